--- a/sassafrasdoor/platform/front.py
+++ b/sassafrasdoor/platform/front.py
@@ -29,7 +29,7 @@
 )
 from sassafrasdoor.requests.attempts import DirectRequest
 from sassafrasdoor.requests.streaming import StreamCaller
-from sassafrasdoor.steps.durable.handing_on import first_answer
+from sassafrasdoor.steps.durable.hedging import first_answer
 from sassafrasdoor.steps.durable.service import NotFound, Page
 from sassafrasdoor.table.routes import Repeat
 
--- a/sassafrasdoor/platform/process.py
+++ b/sassafrasdoor/platform/process.py
@@ -30,8 +30,8 @@
 from sassafrasdoor.routing.replicas import Replicas
 from sassafrasdoor.steps.durable.outbox import Outbox
 from sassafrasdoor.steps.durable.runner import Runner
-from sassafrasdoor.steps.durable.service import SHARDS, TOPIC, StepService
-from sassafrasdoor.steps.durable.shards import Duty, Shards
+from sassafrasdoor.steps.durable.service import SHARD_COUNT, TOPIC, StepService
+from sassafrasdoor.steps.durable.shards import ShardLease, Shards
 from sassafrasdoor.steps.durable.state import Steps
 from sassafrasdoor.stopping import lasting
 from sassafrasdoor.table.routes import RoutesInForce
@@ -128,7 +128,7 @@
         )
         self._steps = Steps()
         # The shard after those of the steps is no step's: its holder orders the loads.
-        shards = min(SHARDS, settings.partitions - 1)
+        shards = min(SHARD_COUNT, settings.partitions - 1)
         self._weights_shard = shards
         member = f"{settings.front}/{uuid.uuid4().hex[:8]}"
         self._instances = Instances(
@@ -173,7 +173,7 @@
             member,
             self._rank,
             self._gained,
-            self._runner.disown,
+            self._runner.stop_shard,
             self._instances,
         )
         self._build_weights()
@@ -197,7 +197,7 @@
         self._replicas.list_tail = self._list
 
     def _gained(self, shard):
-        self._runner.own(shard)
+        self._runner.start_shard(shard)
         if shard == self._weights_shard:
             self._weights.wake()
 
@@ -207,13 +207,13 @@
     def _build_weights(self):
         self._weights = WeightsController(
             self._client,
-            Duty(self._shards, self._weights_shard, self._settings.name),
+            ShardLease(self._shards, self._weights_shard, self._settings.name),
             self._replicas,
             self._routes,
             handover=lambda: self._handover,
             work=self._runner,
         )
-        self._steps.use(self._weights_shard)
+        self._steps.mark_used(self._weights_shard)
         self._steps.on_change(self._weights.record_demand)
 
     @property
@@ -350,7 +350,7 @@
         """
         if not self._instances.tail.loaded:
             return False
-        if self._shards.holding:
+        if self._shards.holds_any:
             return True
         if not self._instances.is_entry_point:
             self._turn.step_back()
@@ -434,7 +434,7 @@
     async def _forget_old(self):
         while True:
             await asyncio.sleep(CLEANUP_INTERVAL)
-            self._steps.forget(now() - self._settings.results_kept - KEEP_MARGIN)
+            self._steps.discard_done(now() - self._settings.results_kept - KEEP_MARGIN)
 
     async def _look_at_routes(self):
         while True:
@@ -490,6 +490,6 @@
     async def _hand_over(self):
         """Give all shards up, with what was received of their items before."""
         for shard, release in self._shards.leave().items():
-            self._runner.disown(shard)
+            self._runner.stop_shard(shard)
             self._outboxes[shard].put(release)
         await asyncio.gather(*(outbox.flush() for outbox in self._outboxes))
--- a/sassafrasdoor/platform/steps.py
+++ b/sassafrasdoor/platform/steps.py
@@ -31,7 +31,7 @@
             items=items,
         )
         # Kept, it would be skipped by every reader of the log: accepted and unknown.
-        fault = records.fault_of(spec)
+        fault = records.validation_error(spec)
         return Rejected("step invalid", [Finding("(root)", fault)]) if fault else spec
     except (ValueError, KeyError, TypeError, AttributeError) as error:
         return Rejected("step invalid", [Finding("(root)", repr(error))])
--- a/sassafrasdoor/platform/tests/test_foreign_records.py
+++ b/sassafrasdoor/platform/tests/test_foreign_records.py
@@ -113,7 +113,7 @@
         steps.fold(0, 91, records.encode(sample))
         self.assertEqual(steps.by_id["s2"].listed[0].text, "t")
         for step in steps.by_id.values():
-            step.beginning("i0")
+            step.longest_partial_sample("i0")
             for one in step.listed:
                 self.assertIsInstance(one.text, str)
                 self.assertTrue(all(type(one) is int for one in one.versions))
--- a/sassafrasdoor/steps/durable/handing_on.py
+++ b/sassafrasdoor/steps/durable/hedging.py
@@ -5,22 +5,22 @@
 from sassafrasdoor.clock import passed, remaining
 
 
-async def first_answer(peers, ask, is_answer, hedge_after, deadline):
-    """Return the first result of ``ask(peer, deadline)`` that is an answer, or None.
+async def first_answer(peers, call, is_answer, hedge_after, deadline):
+    """Return the first result of ``call(peer, deadline)`` that is an answer, or None.
 
     ``is_answer(result)`` tells. The next peer is asked once one has failed, or beside
     it after ``hedge_after`` seconds: one that has lost power or stands still says
     nothing.
     """
-    left, asked = list(peers), set()
+    uncalled, tasks = list(peers), set()
     try:
-        while (left or asked) and not passed(deadline):
-            if left:
-                asked.add(asyncio.ensure_future(ask(left.pop(0), deadline)))
+        while (uncalled or tasks) and not passed(deadline):
+            if uncalled:
+                tasks.add(asyncio.ensure_future(call(uncalled.pop(0), deadline)))
             timeout = remaining(deadline)
-            done, asked = await asyncio.wait(
-                asked,
-                timeout=min(timeout, hedge_after) if left else timeout,
+            done, tasks = await asyncio.wait(
+                tasks,
+                timeout=min(timeout, hedge_after) if uncalled else timeout,
                 return_when=asyncio.FIRST_COMPLETED,
             )
             for task in done:
@@ -28,5 +28,5 @@
                     return task.result()
         return None
     finally:
-        for task in asked:
+        for task in tasks:
             task.cancel()
--- a/sassafrasdoor/steps/durable/jobs.py
+++ b/sassafrasdoor/steps/durable/jobs.py
@@ -26,9 +26,9 @@
         "failures",
         "item",
         "keep_at",
-        "kept",
+        "appended",
         "last_event_at",
-        "moves",
+        "migrations",
         "numbers",
         "replica",
         "reward_failures",
@@ -43,7 +43,7 @@
         "unanswered",
         "versions",
         "whole_at",
-        "why",
+        "abort_reason",
     )
 
     def __init__(self, step, item):
@@ -52,7 +52,7 @@
         self.task = None
         self.replica = None
         self.attempts = 0
-        self.moves = 0
+        self.migrations = 0
         self.avoid = ""
         self.failures = len(step.failed.get(item.item_id, ()))
         self.reward_failures = len(step.reward_failed.get(item.item_id, ()))
@@ -74,9 +74,9 @@
         self.versions = []
         self.numbers = []
         self.last_event_at = None
-        self.why = ""
+        self.abort_reason = ""
         self.run = uuid.uuid4().hex[:12]
-        self.kept = 0
+        self.appended = 0
         self.keep_at = None
 
     @property
@@ -90,14 +90,14 @@
         The events are logged again under this run's name, as the former runner may
         still append to its own.
         """
-        beginning = step.beginning(self.item.item_id)
-        if beginning is None or min(beginning.versions) < step.spec.min_version:
+        partial = step.longest_partial_sample(self.item.item_id)
+        if partial is None or min(partial.versions) < step.spec.min_version:
             return
-        self.texts = list(beginning.texts)
-        self.versions = list(beginning.versions)
-        self.numbers = list(beginning.numbers)
+        self.texts = list(partial.texts)
+        self.versions = list(partial.versions)
+        self.numbers = list(partial.numbers)
 
-    def score_next(self):
+    def begin_scoring(self):
         """Start scoring the complete text; no progress is logged any more."""
         self.scoring = True
         self.whole_at = self.whole_at or now()
@@ -105,18 +105,18 @@
         self.last_event_at = self.sent_at = None
         self.keep_at = None
 
-    def seconds(self):
+    def timings(self):
         """Return the seconds from its step's record to its first attempt, to its
         complete text and to now; None for what has not happened."""
-        moments = (self.begun_at, self.whole_at, now())
+        times = (self.begun_at, self.whole_at, now())
         seen_at = self.step.seen_at
-        return [None if at is None else round(at - seen_at, 2) for at in moments]
+        return [None if at is None else round(at - seen_at, 2) for at in times]
 
     def progress(self):
         """Return the ``Progress`` of the events not yet logged, or None."""
-        if self.scoring or self.kept >= len(self.numbers):
+        if self.scoring or self.appended >= len(self.numbers):
             return None
-        first, self.kept = self.kept, len(self.numbers)
+        first, self.appended = self.appended, len(self.numbers)
         return Progress(
             self.step.spec.step_id,
             self.item.item_id,
@@ -127,7 +127,7 @@
             self.versions[first:],
         )
 
-    def take(self, event):
+    def append_event(self, event):
         """Append one event's text, number and weight version."""
         self.texts.append(event.data)
         self.numbers.append(event.number)
--- a/sassafrasdoor/steps/durable/order.py
+++ b/sassafrasdoor/steps/durable/order.py
@@ -15,9 +15,9 @@
     groups = {}
     for item in spec.items:
         groups.setdefault(item.group, []).append(item)
-    spare = max(0, len(groups) - spec.wanted) if spec.wanted else 0
-    later = set(_longest(list(groups)[spec.wanted // 2 :], groups, spare))
-    return sorted(spec.items, key=lambda item: (item.group in later, -item.expected))
+    spare_count = max(0, len(groups) - spec.wanted) if spec.wanted else 0
+    deferred = set(_longest(list(groups)[spec.wanted // 2 :], groups, spare_count))
+    return sorted(spec.items, key=lambda item: (item.group in deferred, -item.expected))
 
 
 def _longest(names, groups, count):
--- a/sassafrasdoor/steps/durable/outbox.py
+++ b/sassafrasdoor/steps/durable/outbox.py
@@ -7,13 +7,13 @@
 from sassafrasdoor.metrics import counter
 from sassafrasdoor.outcomes import Outcome
 
-GATHER = 0.05
+BATCH_DELAY = 0.05
 """Seconds in which records are gathered for one append: short against the half
 second between a trainer's reads, long against the 4 ms of an append."""
-RETRY_PAUSE = 0.25
+RETRY_DELAY = 0.25
 APPEND_TIMEOUT = 1.0
 """Seconds; a slow log answers within 60 times 4 ms."""
-MOST_BYTES = 1_000_000
+MAX_BATCH_BYTES = 1_000_000
 
 APPENDED = counter("steps_records_appended_total", "Step records, by append's result.")
 
@@ -24,37 +24,37 @@
     A record may be appended twice when a reply was lost: the fold takes the first.
     """
 
-    __slots__ = ("_log", "_shard", "_topic", "_waiting", "_wake", "_emptied")
+    __slots__ = ("_log", "_shard", "_topic", "_pending", "_wake", "_acknowledged")
 
     def __init__(self, log, topic, shard):
         self._log = log
         self._topic = topic
         self._shard = shard
-        self._waiting = []
+        self._pending = []
         self._wake = asyncio.Event()
-        self._emptied = asyncio.Event()
-        self._emptied.set()
+        self._acknowledged = asyncio.Event()
+        self._acknowledged.set()
 
     def put(self, data):
         """Queue one record (bytes)."""
-        self._waiting.append(data)
-        self._emptied.clear()
+        self._pending.append(data)
+        self._acknowledged.clear()
         self._wake.set()
 
     @property
-    def empty(self):
+    def is_empty(self):
         """Whether everything was acknowledged."""
-        return not self._waiting
+        return not self._pending
 
     async def flush(self):
         """Wait until everything was acknowledged."""
-        await self._emptied.wait()
+        await self._acknowledged.wait()
 
     async def run(self):
         """Append until cancelled."""
         while True:
             await self._wake.wait()
-            await asyncio.sleep(GATHER)
+            await asyncio.sleep(BATCH_DELAY)
             batch = self._batch()
             result = await self._log.append(
                 self._topic, self._shard, batch, deadline_in(APPEND_TIMEOUT)
@@ -67,18 +67,18 @@
                     records=len(batch),
                     reason=result.reason,
                 )
-                await asyncio.sleep(RETRY_PAUSE)
+                await asyncio.sleep(RETRY_DELAY)
                 continue
-            del self._waiting[: len(batch)]
-            if not self._waiting:
+            del self._pending[: len(batch)]
+            if not self._pending:
                 self._wake.clear()
-                self._emptied.set()
+                self._acknowledged.set()
 
     def _batch(self):
         batch, size = [], 0
-        for data in self._waiting:
+        for data in self._pending:
             size += len(data) + 4
-            if batch and size > MOST_BYTES:
+            if batch and size > MAX_BATCH_BYTES:
                 break
             batch.append(data)
         return batch
--- a/sassafrasdoor/steps/durable/records.py
+++ b/sassafrasdoor/steps/durable/records.py
@@ -14,11 +14,11 @@
 STEP, SAMPLE, FAILURE, END, CLAIM, PROGRESS = b"S", b"R", b"A", b"E", b"C", b"P"
 TEXT, SCORE, REWARD_FAILURE = b"T", b"G", b"F"
 PACKED = b"Z"
-PACK_FROM = 1024
+MIN_PACKED_BYTES = 1024
 """Bytes; shorter records gain less than the packing costs."""
-PACK_LEVEL = 1
+COMPRESSION_LEVEL = 1
 COMPLETED, ERRORED = "completed", "errored"
-MALFORMED = (
+DECODE_ERRORS = (
     ValueError,
     KeyError,
     TypeError,
@@ -27,7 +27,7 @@
     zlib.error,
 )
 """What reading bytes raises that another writer may have written."""
-MOST_REASON = 200
+MAX_REASON_LENGTH = 200
 """Characters of a reason that quotes such bytes."""
 
 
@@ -240,25 +240,28 @@
         self.versions = versions
 
 
-def fault_of(spec):
+def validation_error(spec):
     """Return what would make a step's record unreadable, empty for nothing."""
     document = _step_document(spec)
     try:
         for row in document.pop("items"):
-            _item(row, spec.model)
-        _check(document)
-    except MALFORMED as error:
-        return str(error)[:MOST_REASON]
+            _decode_item(row, spec.model)
+        _check_types(document)
+    except DECODE_ERRORS as error:
+        return str(error)[:MAX_REASON_LENGTH]
     return ""
 
 
 def encode_step(spec, record_limit):
     """Return the records of a step, each at most ``record_limit`` bytes."""
-    packed = zlib.compress(json.dumps(_step_document(spec)).encode(), PACK_LEVEL)
-    room = record_limit - 256
-    pieces = [packed[at : at + room] for at in range(0, len(packed), room)]
+    packed = zlib.compress(json.dumps(_step_document(spec)).encode(), COMPRESSION_LEVEL)
+    piece_size = record_limit - 256
+    pieces = [
+        packed[start : start + piece_size]
+        for start in range(0, len(packed), piece_size)
+    ]
     return [
-        STEP + _line(spec.step_id, part, len(pieces)) + piece
+        STEP + _part_header(spec.step_id, part, len(pieces)) + piece
         for part, piece in enumerate(pieces)
     ]
 
@@ -272,40 +275,40 @@
     kind = _KINDS[type(record)]
     fields = {name: getattr(record, name) for name in _fields(type(record))}
     payload = json.dumps(fields).encode()
-    if len(payload) < PACK_FROM:
+    if len(payload) < MIN_PACKED_BYTES:
         return kind + payload
-    return PACKED + kind + zlib.compress(payload, PACK_LEVEL)
+    return PACKED + kind + zlib.compress(payload, COMPRESSION_LEVEL)
 
 
 def decode(data):
     """Return the record in the bytes (a step's ``StepPart``), or ``Unreadable``."""
-    packed = data[:1] == PACKED
-    data = data[packed:]
-    read = _DECODERS.get(data[:1])
-    if read is None:
+    is_packed = data[:1] == PACKED
+    data = data[is_packed:]
+    decoder = _DECODERS.get(data[:1])
+    if decoder is None:
         return Unreadable("unknown kind of record")
     try:
-        return read(zlib.decompress(data[1:]) if packed else data[1:])
-    except MALFORMED as error:
-        return Unreadable(f"record not understood: {error}"[:MOST_REASON])
+        return decoder(zlib.decompress(data[1:]) if is_packed else data[1:])
+    except DECODE_ERRORS as error:
+        return Unreadable(f"record not understood: {error}"[:MAX_REASON_LENGTH])
 
 
 def unpack_step(pieces):
     """Return the ``StepSpec`` in the joined pieces, or ``Unreadable``."""
     try:
         document = json.loads(zlib.decompress(b"".join(pieces)))
-        items = [_item(one, document["model"]) for one in document.pop("items")]
-        _check(document)
+        items = [_decode_item(row, document["model"]) for row in document.pop("items")]
+        _check_types(document)
         return StepSpec(items=items, **document)
-    except MALFORMED as error:
-        return Unreadable(f"step not understood: {error}"[:MOST_REASON])
+    except DECODE_ERRORS as error:
+        return Unreadable(f"step not understood: {error}"[:MAX_REASON_LENGTH])
 
 
-def _fields(kind):
-    return kind.__slots__ or kind.__base__.__slots__
+def _fields(record_type):
+    return record_type.__slots__ or record_type.__base__.__slots__
 
 
-def _line(step_id, part, parts):
+def _part_header(step_id, part, parts):
     return json.dumps([step_id, part, parts]).encode() + b"\n"
 
 
@@ -320,40 +323,42 @@
             item.tokens,
             item.expected,
             item.group,
-            _reward_row(item.reward),
+            _encode_reward(item.reward),
         ]
         for item in spec.items
     ]
     return document
 
 
-def _reward_row(reward):
+def _encode_reward(reward):
     if reward is None:
         return None
     body = base64.b64encode(reward.body).decode()
     return [reward.call_id, reward.host, reward.path, body]
 
 
-def _item(row, model):
+def _decode_item(row, model):
     # Rows of an earlier program end before the reward call.
     item_id, path, headers, body, tokens, expected, group, *rest = row
-    reward = _reward(rest[0]) if rest and rest[0] is not None else None
-    _check({"item_id": item_id, "path": path, "headers": headers, "tokens": tokens})
-    _check({"expected": expected, "group": group, "model": model})
+    reward = _decode_reward(rest[0]) if rest and rest[0] is not None else None
+    _check_types(
+        {"item_id": item_id, "path": path, "headers": headers, "tokens": tokens}
+    )
+    _check_types({"expected": expected, "group": group, "model": model})
     body = base64.b64decode(body)
     return Item(item_id, path, headers, body, tokens, expected, group, model, reward)
 
 
-def _reward(row):
+def _decode_reward(row):
     call_id, host, path, body = row
-    _check({"call_id": call_id, "host": host, "path": path})
+    _check_types({"call_id": call_id, "host": host, "path": path})
     return RewardCall(call_id, host, path, base64.b64decode(body))
 
 
 def _decode_part(data):
-    line, _, piece = data.partition(b"\n")
-    step_id, part, parts = json.loads(line)
-    _check({"step_id": step_id, "part": part, "parts": parts})
+    header, _, piece = data.partition(b"\n")
+    step_id, part, parts = json.loads(header)
+    _check_types({"step_id": step_id, "part": part, "parts": parts})
     return StepPart(step_id, part, parts, piece)
 
 
@@ -402,31 +407,33 @@
 """The type of the elements of each list; an event may have no number."""
 
 
-def _check(fields):
+def _check_types(fields):
     for name, value in fields.items():
         if name in _TYPES and type(value) is not _TYPES[name]:
             raise TypeError(f"{name} is {type(value).__name__}")
-        if name in _ELEMENTS and any(type(one) is not _ELEMENTS[name] for one in value):
+        if name in _ELEMENTS and any(
+            type(element) is not _ELEMENTS[name] for element in value
+        ):
             raise TypeError(f"{name} holds other elements")
 
 
-def _reader(kind):
-    def read(data):
+def _decoder(record_type):
+    def decode_record(data):
         fields = json.loads(data)
-        _check(fields)
-        return kind(**fields)
+        _check_types(fields)
+        return record_type(**fields)
 
-    return read
+    return decode_record
 
 
 _DECODERS = {
     STEP: _decode_part,
-    SAMPLE: _reader(Sample),
-    TEXT: _reader(Text),
-    SCORE: _reader(Score),
-    FAILURE: _reader(Failure),
-    REWARD_FAILURE: _reader(RewardFailure),
-    END: _reader(End),
-    CLAIM: _reader(Claim),
-    PROGRESS: _reader(Progress),
+    SAMPLE: _decoder(Sample),
+    TEXT: _decoder(Text),
+    SCORE: _decoder(Score),
+    FAILURE: _decoder(Failure),
+    REWARD_FAILURE: _decoder(RewardFailure),
+    END: _decoder(End),
+    CLAIM: _decoder(Claim),
+    PROGRESS: _decoder(Progress),
 }
--- a/sassafrasdoor/steps/durable/reward_order.py
+++ b/sassafrasdoor/steps/durable/reward_order.py
@@ -34,7 +34,7 @@
     """
     return sorted(
         jobs,
-        key=lambda job: (job.step.missing_of(job.item.group), job.step.seen_at),
+        key=lambda job: (job.step.missing_samples(job.item.group), job.step.seen_at),
     )
 
 
--- a/sassafrasdoor/steps/durable/rewards.py
+++ b/sassafrasdoor/steps/durable/rewards.py
@@ -35,24 +35,24 @@
 
     __slots__ = (
         "_direct",
-        "_give_up",
+        "_on_failed",
         "_jobs",
         "_outboxes",
         "_replicas",
         "_routes",
-        "_scored",
+        "_on_scored",
         "_in_flight",
         "_wake",
     )
 
-    def __init__(self, direct, replicas, routes, outboxes, wake, scored, give_up):
+    def __init__(self, direct, replicas, routes, outboxes, wake, on_scored, on_failed):
         self._direct = direct
         self._replicas = replicas
         self._routes = routes
         self._outboxes = outboxes
         self._wake = wake
-        self._scored = scored
-        self._give_up = give_up
+        self._on_scored = on_scored
+        self._on_failed = on_failed
         self._jobs = {}
         self._in_flight = {}
 
@@ -67,7 +67,7 @@
         self._jobs.pop(job.key, None)
 
     @property
-    def waiting(self):
+    def pending(self):
         """Jobs whose call is not in flight."""
         return [job for job in self._jobs.values() if job.task is None]
 
@@ -76,7 +76,7 @@
         configuration = self._routes.current
         if configuration is None:
             return
-        due = [job for job in self.waiting if passed(job.reward_from)]
+        due = [job for job in self.pending if passed(job.reward_from)]
         for job in reward_order.ordered(due):
             call = job.item.reward
             route = configuration.match(call.host, call.path)
@@ -87,14 +87,14 @@
             request = self._request(job, route, configuration)
             attempts = Attempts(request)
             if self._free_slots(attempts.service):
-                task = self._attempt(job, attempts)
-                job.task = asyncio.ensure_future(task)
+                call = self._call(job, attempts)
+                job.task = asyncio.ensure_future(call)
 
     def _free_slots(self, service):
         slots = sum(
-            one.listing.slots
-            for one in self._replicas.of_service(service)
-            if not one.state.suspect
+            replica.listing.slots
+            for replica in self._replicas.of_service(service)
+            if not replica.state.suspect
         )
         return reward_order.free_slots(slots, self._in_flight.get(service, 0))
 
@@ -112,7 +112,7 @@
             version=configuration.version,
         )
 
-    async def _attempt(self, job, attempts):
+    async def _call(self, job, attempts):
         service = attempts.service
         self._in_flight[service] = self._in_flight.get(service, 0) + 1
         try:
@@ -127,29 +127,29 @@
 
     def _handle_result(self, job, attempts, result):
         """Handle the result of a reward call."""
-        kind = type(result).__name__
+        label = type(result).__name__
         if isinstance(result, Answer):
-            kind = f"{result.status // 100}xx"
+            label = f"{result.status // 100}xx"
             if result.status in SUCCESSES and result.signature:
-                CALLS.inc({"result": kind})
-                self._take(job, result)
+                CALLS.inc({"result": label})
+                self._append_score(job, result)
                 return
-        CALLS.inc({"result": kind})
+        CALLS.inc({"result": label})
         job.unanswered += isinstance(result, Unknown)
         if attempts.failures:
-            self._failed(job, attempts)
+            self._handle_failure(job, attempts)
         else:
             job.reward_from = deadline_in(reward_order.LOST_RETRY_DELAY)
 
-    def _take(self, job, answer):
+    def _append_score(self, job, answer):
         SECONDS.observe({}, now() - job.text_kept_at)
         self.drop(job)
         spec = job.step.spec
         score = Score(spec.step_id, job.item.item_id, answer.signature)
         self._outboxes[job.step.shard].put(encode(score))
-        self._scored(job)
+        self._on_scored(job)
 
-    def _failed(self, job, attempts):
+    def _handle_failure(self, job, attempts):
         spec = job.step.spec
         for _ in range(attempts.failures):
             record = RewardFailure(spec.step_id, job.item.item_id)
@@ -167,6 +167,6 @@
         )
         if job.reward_failures >= allowed:
             self.drop(job)
-            self._give_up(job, f"reward call failed with {SERVER_ERROR}")
+            self._on_failed(job, f"reward call failed with {SERVER_ERROR}")
         else:
             job.reward_from = deadline_in(reward_order.FAILED_RETRY_DELAY)
--- a/sassafrasdoor/steps/durable/shards.py
+++ b/sassafrasdoor/steps/durable/shards.py
@@ -15,23 +15,23 @@
 from sassafrasdoor.outcomes import Outcome
 from sassafrasdoor.steps.durable.records import Claim, encode
 
-TICK = 0.1
+CHECK_INTERVAL = 0.1
 RENEW_INTERVAL = 0.5
-LAPSE_AFTER = 1.7
+LEASE_TIMEOUT = 1.7
 """Seconds without renewal until others claim: three renewals may be lost, and an item
 must be back at a replica well within five seconds of its runner's death."""
-MARGIN = 0.3
+FENCE_MARGIN = 0.3
 """Seconds by which a holder stops before its claim lapses elsewhere."""
-RANK_PAUSE = 0.3
+RANK_DELAY = 0.3
 """Seconds by which the next in rank waits longer, so that they do not claim at once."""
 SEPARATOR = "/"
-MOST_RANK = 5
+MAX_RANK = 5
 CLAIM_TIMEOUT = 1.5
 CONFIRM_TIMEOUT = 0.5
 """Seconds for a look whether a claim was renewed; a slow log answers within 0.25 s."""
 
 CLAIMS = counter("steps_shard_claims_total", "Claims of shards, by result.")
-ENDED = counter(
+ENDED_RUNNERS = counter(
     "steps_runners_ended_total",
     "Shards claimed since their runner is known to be gone.",
 )
@@ -55,7 +55,7 @@
         "_leaving",
         "_log",
         "_next_claim",
-        "_looking",
+        "_confirming",
         "_on_gain",
         "_on_loss",
         "_processes",
@@ -86,13 +86,13 @@
         self._sent_at = {}
         self._renewed_at = {}
         self._next_claim = {}
-        self._looking = set()
+        self._confirming = set()
         self._leaving = False
         self._tasks = set()
-        steps.on_claim(self._claimed)
+        steps.on_claim(self._handle_claim)
 
     @property
-    def holding(self):
+    def holds_any(self):
         """Whether this process runs any shard."""
         return bool(self._held)
 
@@ -103,8 +103,8 @@
             await self._tails[0].wanted.wait()
             for shard in list(self._steps.used_shards):
                 if self._is_due(shard):
-                    self._claim(shard)
-            await asyncio.sleep(TICK)
+                    self._send_claim(shard)
+            await asyncio.sleep(CHECK_INTERVAL)
 
     def runs_here(self, shard):
         """Whether this process runs a shard, as far as it knows."""
@@ -115,7 +115,7 @@
         claim = self._steps.claims.get(shard)
         if claim is None or claim.released or shard in self._held:
             return False
-        return not (passed(claim.seen_at + LAPSE_AFTER) or self._has_ended(claim))
+        return not (passed(claim.seen_at + LEASE_TIMEOUT) or self._has_ended(claim))
 
     def fence(self, shard):
         """Return the fencing number if this process holds a shard now, else 0.
@@ -126,7 +126,7 @@
         claim = self._steps.claims.get(shard)
         if self._leaving or shard not in self._held:
             return 0
-        lapses_at = self._renewed_at.get(shard, LONG_AGO) + LAPSE_AFTER - MARGIN
+        lapses_at = self._renewed_at.get(shard, LONG_AGO) + LEASE_TIMEOUT - FENCE_MARGIN
         if boot_now() >= lapses_at:
             return 0
         return claim.epoch + 1
@@ -134,11 +134,11 @@
     def leave(self):
         """Claim nothing more; return the records that release what is held."""
         self._leaving = True
-        released = {}
+        releases = {}
         for shard in sorted(self._held):
             claim = self._steps.claims[shard]
-            released[shard] = encode(Claim(self._runner, claim.offset, True))
-        return released
+            releases[shard] = encode(Claim(self._runner, claim.offset, True))
+        return releases
 
     def _is_due(self, shard):
         if self._leaving or not self._processes.is_listed:
@@ -151,7 +151,7 @@
         claim = self._steps.claims.get(shard)
         if shard in self._held:
             return passed(claim.seen_at + RENEW_INTERVAL)
-        if not passed(self._free_from(shard, claim)):
+        if not passed(self._claimable_at(shard, claim)):
             return False
         if claim is None or claim.released or self._has_ended(claim):
             return True
@@ -166,82 +166,82 @@
         of the shard must have been read after the lapse.
         """
         tail = self._tails[shard]
-        if tail.confirmed_at >= claim.seen_at + LAPSE_AFTER:
+        if tail.confirmed_at >= claim.seen_at + LEASE_TIMEOUT:
             return True
-        if shard not in self._looking:
-            self._looking.add(shard)
+        if shard not in self._confirming:
+            self._confirming.add(shard)
             task = asyncio.ensure_future(tail.confirm(deadline_in(CONFIRM_TIMEOUT)))
             self._tasks.add(task)
-            task.add_done_callback(lambda done: self._looked(shard, done))
+            task.add_done_callback(lambda task: self._handle_confirmation(shard, task))
         return False
 
-    def _looked(self, shard, task):
-        self._looking.discard(shard)
+    def _handle_confirmation(self, shard, task):
+        self._confirming.discard(shard)
         self._tasks.discard(task)
 
-    def _free_from(self, shard, claim):
+    def _claimable_at(self, shard, claim):
         """Return when this process may claim a shard that it does not hold."""
-        rank_pause = min(MOST_RANK, self._ranking(shard)) * RANK_PAUSE
+        rank_delay = min(MAX_RANK, self._ranking(shard)) * RANK_DELAY
         if claim is None:
-            return self._steps.used_shards[shard] + rank_pause
-        if self._is_former_self(claim):
+            return self._steps.used_shards[shard] + rank_delay
+        if self._is_of_this_instance(claim):
             return claim.seen_at
         if claim.released or self._has_ended(claim):
-            return claim.seen_at + rank_pause
+            return claim.seen_at + rank_delay
         # While the log was away nobody could renew, and nobody could see it.
         restored_at = self._tails[shard].restored_at or LONG_AGO
-        return max(claim.seen_at, restored_at) + LAPSE_AFTER + rank_pause
+        return max(claim.seen_at, restored_at) + LEASE_TIMEOUT + rank_delay
 
     def _has_ended(self, claim):
         """Say whether the claim is of a process that is known to have ended."""
-        if self._is_former_self(claim):
+        if self._is_of_this_instance(claim):
             return True
         instance = claim.runner.partition(SEPARATOR)[0]
         return self._processes.has_ended(instance, claim.runner, claim.seen_at)
 
-    def _is_former_self(self, claim):
+    def _is_of_this_instance(self, claim):
         """Say whether the claim is of a process of this instance that has ended.
 
         Where all processes end at once, nobody else need wait for its lapse.
         """
         return claim.runner.partition(SEPARATOR)[0] == self._instance
 
-    def _claim(self, shard):
+    def _send_claim(self, shard):
         self._next_claim[shard] = deadline_in(RENEW_INTERVAL)
         self._sent_at.setdefault(shard, boot_now())
         claim = self._steps.claims.get(shard)
         if shard not in self._held:
-            self._note_ended(shard, claim)
+            self._note_runner_ended(shard, claim)
         replaces = -1 if claim is None else claim.offset
         record = encode(Claim(self._runner, replaces, False))
-        task = asyncio.ensure_future(self._append(shard, record))
+        task = asyncio.ensure_future(self._append_claim(shard, record))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def _note_ended(self, shard, claim):
+    def _note_runner_ended(self, shard, claim):
         """Say that a shard is claimed since its runner is known to be gone."""
         if claim is None or claim.released or not self._has_ended(claim):
             return
-        ENDED.inc({})
+        ENDED_RUNNERS.inc({})
         note("shard.runner_ended", shard=shard, runner=claim.runner)
 
-    async def _append(self, shard, record):
-        limit = deadline_in(CLAIM_TIMEOUT)
-        result = await self._log.append(self._topic, shard, [record], limit)
+    async def _append_claim(self, shard, record):
+        deadline = deadline_in(CLAIM_TIMEOUT)
+        result = await self._log.append(self._topic, shard, [record], deadline)
         CLAIMS.inc({"result": type(result).__name__})
         if isinstance(result, Outcome):
             note("shard.not_claimed", shard=shard, reason=result.reason)
 
-    def _claimed(self, shard, claim):
-        mine = claim.runner == self._runner and not claim.released
-        if mine:
+    def _handle_claim(self, shard, claim):
+        is_own = claim.runner == self._runner and not claim.released
+        if is_own:
             # The oldest send not yet seen back may be the one that was folded now.
             self._renewed_at[shard] = self._sent_at.pop(shard, LONG_AGO)
-        if mine and shard not in self._held and not self._leaving:
+        if is_own and shard not in self._held and not self._leaving:
             self._held.add(shard)
             note("shard.gained", shard=shard, claim=claim.offset)
             self._on_gain(shard)
-        elif not mine and shard in self._held:
+        elif not is_own and shard in self._held:
             self._held.discard(shard)
             age = round(now() - claim.seen_at, 3)
             note("shard.lost", shard=shard, to=claim.runner, age_seconds=age)
@@ -249,7 +249,7 @@
         HELD.set({}, len(self._held))
 
 
-class Duty:
+class ShardLease:
     """A duty that one process has at a time: the lease of a shard without steps.
 
     ``fence`` is the fencing number while this process has it, else 0; ``identity``
--- a/sassafrasdoor/steps/durable/state.py
+++ b/sassafrasdoor/steps/durable/state.py
@@ -11,8 +11,8 @@
 from sassafrasdoor.decisions import note
 from sassafrasdoor.steps.durable import records
 
-MAX_STARTED_PARTS = 64
-MAX_FORGOTTEN = 4096
+MAX_PARTIAL_STEPS = 64
+MAX_DISCARDED_IDS = 4096
 """Names of dropped steps that are kept, so that a line can say why one is unknown."""
 
 
@@ -26,8 +26,8 @@
     """
 
     __slots__ = (
-        "_sizes",
-        "_whole",
+        "_group_sizes",
+        "_listed_by_group",
         "ended",
         "failed",
         "items",
@@ -46,8 +46,8 @@
         self.spec = spec
         self.shard = shard
         self.items = {item.item_id: item for item in spec.items}
-        self._sizes = Counter(item.group for item in spec.items)
-        self._whole = {}
+        self._group_sizes = Counter(item.group for item in spec.items)
+        self._listed_by_group = {}
         self.listed = []
         self.listed_ids = set()
         self.failed = {}
@@ -74,23 +74,23 @@
             not self.ended and item_id in self.items and item_id not in self.listed_ids
         )
 
-    def missing_of(self, group):
+    def missing_samples(self, group):
         """Return how many samples a group still lacks."""
-        return self._sizes[group] - self._whole.get(group, 0)
+        return self._group_sizes[group] - self._listed_by_group.get(group, 0)
 
-    def take(self, sample):
+    def add_sample(self, sample):
         """List a sample at the next position."""
         self.listed_ids.add(sample.item_id)
         self.progress.pop(sample.item_id, None)
         self.texts.pop(sample.item_id, None)
         self.listed.append(sample)
         group = self.items[sample.item_id].group
-        self._whole[group] = self._whole.get(group, 0) + 1
+        self._listed_by_group[group] = self._listed_by_group.get(group, 0) + 1
 
-    def beginning(self, item_id):
+    def longest_partial_sample(self, item_id):
         """Return the longest ``Beginning`` kept of an item, or None."""
         runs = self.progress.get(item_id, {}).values()
-        return max(runs, key=lambda one: len(one.numbers), default=None)
+        return max(runs, key=lambda run: len(run.numbers), default=None)
 
     def wake(self):
         """Wake those who wait for a further sample."""
@@ -100,7 +100,7 @@
                 waiter.set_result(None)
 
 
-class ClaimSeen:
+class ObservedClaim:
     """The last claim of a shard that counted, and when this process saw it.
 
     ``epoch`` is the offset of its holder's first claim: it grows with each change.
@@ -108,16 +108,18 @@
 
     __slots__ = ("epoch", "offset", "released", "runner", "seen_at")
 
-    def __init__(self, offset, claim, last):
-        renewed = last is not None and last.runner == claim.runner
-        self.epoch = last.epoch if renewed and not last.released else offset
+    def __init__(self, offset, claim, previous):
+        is_same_runner = previous is not None and previous.runner == claim.runner
+        self.epoch = (
+            previous.epoch if is_same_runner and not previous.released else offset
+        )
         self.offset = offset
         self.runner = claim.runner
         self.released = claim.released
         self.seen_at = now()
 
 
-class Beginning:
+class PartialSample:
     """The events kept of one run of an unfinished sample."""
 
     __slots__ = ("numbers", "run", "texts", "versions")
@@ -146,10 +148,10 @@
     __slots__ = (
         "_callbacks",
         "_claim_callbacks",
-        "_parts",
+        "_partial_steps",
         "by_id",
         "claims",
-        "forgotten",
+        "discarded",
         "used_shards",
     )
 
@@ -157,8 +159,8 @@
         self.by_id = {}
         self.claims = {}
         self.used_shards = {}
-        self.forgotten = {}
-        self._parts = {}
+        self.discarded = {}
+        self._partial_steps = {}
         self._callbacks = []
         self._claim_callbacks = []
 
@@ -173,8 +175,8 @@
     def fold(self, shard, offset, data):
         """Fold one record in; total for all bytes."""
         record = records.decode(data)
-        take = _FOLDS.get(type(record))
-        if take is None:
+        fold = _FOLDS.get(type(record))
+        if fold is None:
             note(
                 "step.record_unreadable",
                 shard=shard,
@@ -182,34 +184,34 @@
                 reason=record.reason,
             )
             return
-        take(self, shard, offset, record)
+        fold(self, shard, offset, record)
 
-    def use(self, shard):
+    def mark_used(self, shard):
         """Count a shard as used from now on, also without steps."""
         self.used_shards.setdefault(shard, now())
 
-    def forget(self, before):
+    def discard_done(self, before):
         """Drop steps that this process learned of before a point in time."""
         for step_id, step in list(self.by_id.items()):
             if step.seen_at < before and step.is_done:
                 del self.by_id[step_id]
-                self.forgotten[step_id] = now()
-        while len(self.forgotten) > MAX_FORGOTTEN:
-            self.forgotten.pop(next(iter(self.forgotten)))
+                self.discarded[step_id] = now()
+        while len(self.discarded) > MAX_DISCARDED_IDS:
+            self.discarded.pop(next(iter(self.discarded)))
 
-    def _take_part(self, shard, offset, part):
+    def _fold_part(self, shard, offset, part):
         if part.step_id in self.by_id:
             return
         if part.part == 0:
-            self._parts[part.step_id] = []
-        pieces = self._parts.get(part.step_id)
+            self._partial_steps[part.step_id] = []
+        pieces = self._partial_steps.get(part.step_id)
         if pieces is None or len(pieces) != part.part:
             return
         pieces.append(part.piece)
         if len(pieces) == part.parts:
-            self._accept(shard, self._parts.pop(part.step_id))
-        while len(self._parts) > MAX_STARTED_PARTS:
-            self._parts.pop(next(iter(self._parts)))
+            self._accept(shard, self._partial_steps.pop(part.step_id))
+        while len(self._partial_steps) > MAX_PARTIAL_STEPS:
+            self._partial_steps.pop(next(iter(self._partial_steps)))
 
     def _accept(self, shard, pieces):
         spec = records.unpack_step(pieces)
@@ -217,18 +219,18 @@
             note("step.record_unreadable", shard=shard, reason=spec.reason)
             return
         step = self.by_id[spec.step_id] = Step(spec, shard)
-        self.use(shard)
-        self._changed(step)
+        self.mark_used(shard)
+        self._notify_changed(step)
 
-    def _take_sample(self, shard, offset, sample):
+    def _fold_sample(self, shard, offset, sample):
         step = self.by_id.get(sample.step_id)
         if step is None or not step.is_open(sample.item_id):
             return
-        step.take(sample)
+        step.add_sample(sample)
         step.wake()
-        self._changed(step)
+        self._notify_changed(step)
 
-    def _take_text(self, shard, offset, text):
+    def _fold_text(self, shard, offset, text):
         step = self.by_id.get(text.step_id)
         if step is None or not step.is_open(text.item_id):
             return
@@ -236,9 +238,9 @@
             return
         step.texts[text.item_id] = text
         step.progress.pop(text.item_id, None)
-        self._changed(step)
+        self._notify_changed(step)
 
-    def _take_score(self, shard, offset, score):
+    def _fold_score(self, shard, offset, score):
         step = self.by_id.get(score.step_id)
         text = step.texts.get(score.item_id) if step is not None else None
         if text is None:
@@ -251,35 +253,35 @@
             text.versions,
             score.score,
         )
-        self._take_sample(shard, offset, sample)
+        self._fold_sample(shard, offset, sample)
 
-    def _take_failure(self, shard, offset, failure):
+    def _fold_failure(self, shard, offset, failure):
         step = self.by_id.get(failure.step_id)
         if step is not None:
             step.failed.setdefault(failure.item_id, set()).add(failure.attempt)
 
-    def _take_reward_failure(self, shard, offset, failure):
+    def _fold_reward_failure(self, shard, offset, failure):
         step = self.by_id.get(failure.step_id)
         if step is not None:
             step.reward_failed.setdefault(failure.item_id, set()).add(failure.attempt)
 
-    def _take_end(self, shard, offset, end):
+    def _fold_end(self, shard, offset, end):
         step = self.by_id.get(end.step_id)
         if step is None or step.ended:
             return
         step.ended = True
         step.wake()
-        self._changed(step)
+        self._notify_changed(step)
 
-    def _take_claim(self, shard, offset, claim):
-        last = self.claims.get(shard)
-        if claim.replaces != (-1 if last is None else last.offset):
+    def _fold_claim(self, shard, offset, claim):
+        previous = self.claims.get(shard)
+        if claim.replaces != (-1 if previous is None else previous.offset):
             return
-        self.claims[shard] = seen = ClaimSeen(offset, claim, last)
+        self.claims[shard] = observed = ObservedClaim(offset, claim, previous)
         for callback in self._claim_callbacks:
-            callback(shard, seen)
+            callback(shard, observed)
 
-    def _take_progress(self, shard, offset, progress):
+    def _fold_progress(self, shard, offset, progress):
         step = self.by_id.get(progress.step_id)
         if step is None or not step.is_open(progress.item_id):
             return
@@ -288,23 +290,23 @@
         if not len(progress.numbers) == len(progress.texts) == len(progress.versions):
             return
         runs = step.progress.setdefault(progress.item_id, {})
-        beginning = runs.setdefault(progress.run, Beginning(progress.run))
-        if progress.first == len(beginning.numbers):
-            beginning.extend(progress)
+        partial = runs.setdefault(progress.run, PartialSample(progress.run))
+        if progress.first == len(partial.numbers):
+            partial.extend(progress)
 
-    def _changed(self, step):
+    def _notify_changed(self, step):
         for callback in self._callbacks:
             callback(step)
 
 
 _FOLDS = {
-    records.StepPart: Steps._take_part,
-    records.Sample: Steps._take_sample,
-    records.Text: Steps._take_text,
-    records.Score: Steps._take_score,
-    records.Failure: Steps._take_failure,
-    records.RewardFailure: Steps._take_reward_failure,
-    records.End: Steps._take_end,
-    records.Claim: Steps._take_claim,
-    records.Progress: Steps._take_progress,
+    records.StepPart: Steps._fold_part,
+    records.Sample: Steps._fold_sample,
+    records.Text: Steps._fold_text,
+    records.Score: Steps._fold_score,
+    records.Failure: Steps._fold_failure,
+    records.RewardFailure: Steps._fold_reward_failure,
+    records.End: Steps._fold_end,
+    records.Claim: Steps._fold_claim,
+    records.Progress: Steps._fold_progress,
 }
--- a/sassafrasdoor/steps/durable/tests/fixtures.py
+++ b/sassafrasdoor/steps/durable/tests/fixtures.py
@@ -49,11 +49,11 @@
 
 def routes_in_force(*routes, version=1):
     """Return ``RoutesInForce`` with these routes, or with the step route."""
-    found = RoutesInForce()
+    in_force = RoutesInForce()
     limits = Limits(16384, 1_000_000, 15.0)
     rows = list(routes) or [route()]
-    found.take(Configuration(version, rows, {SERVICE: [MODEL]}, limits))
-    return found
+    in_force.take(Configuration(version, rows, {SERVICE: [MODEL]}, limits))
+    return in_force
 
 
 def spec(step_id="s1", items=2, min_version=1, model=MODEL, rewarded=False):
@@ -71,22 +71,22 @@
 
 def replicas(count=1, slots=4, version=1):
     """Return ``Replicas`` with engines ``e0``, ``e1``, ... at a version."""
-    found = Replicas("zone-a")
+    replica_set = Replicas("zone-a")
     for at in range(count):
         listing = Listing(
             SERVICE, f"10.0.0.{at}:80", "zone-a", slots, False, {MODEL: version}
         )
-        found.listed(f"e{at}", listing)
-    return found
+        replica_set.listed(f"e{at}", listing)
+    return replica_set
 
 
-def add_scorers(found, count=1, slots=4):
+def add_scorers(replica_set, count=1, slots=4):
     """Add replicas ``s0``, ``s1``, ... of the scoring service to ``Replicas``."""
     for at in range(count):
         address = f"10.0.1.{at}:80"
         listing = Listing(SCORER, address, "zone-a", slots, False, {})
-        found.listed(f"s{at}", listing)
-    return found
+        replica_set.listed(f"s{at}", listing)
+    return replica_set
 
 
 class ScriptedClient:
--- a/sassafrasdoor/steps/durable/tests/test_reward_order.py
+++ b/sassafrasdoor/steps/durable/tests/test_reward_order.py
@@ -16,29 +16,29 @@
             item.group = "ab"[at % 2]
         step = Step(step.spec, 0)
         for item_id in listed:
-            step.take(Sample("s1", item_id, COMPLETED, "t", [1]))
-        left = [one for one in step.spec.items if one.item_id not in listed]
-        return [Job(step, item) for item in left]
+            step.add_sample(Sample("s1", item_id, COMPLETED, "t", [1]))
+        remaining = [item for item in step.spec.items if item.item_id not in listed]
+        return [Job(step, item) for item in remaining]
 
-    def test_group_that_lacks_least_goes_first(self):
-        found = reward_order.ordered(self.jobs(listed=["i1"]))
-        self.assertEqual([job.item.item_id for job in found], ["i3", "i0", "i2"])
+    def test_group_missing_the_fewest_samples_is_first(self):
+        jobs = reward_order.ordered(self.jobs(listed=["i1"]))
+        self.assertEqual([job.item.item_id for job in jobs], ["i3", "i0", "i2"])
 
-    def test_half_of_the_places_stays_with_live_callers(self):
+    def test_half_of_the_slots_is_left_to_live_callers(self):
         self.assertEqual(reward_order.free_slots(48, 0), 24)
         self.assertEqual(reward_order.free_slots(48, 24), 0)
 
-    def test_a_small_service_gets_two_at_once(self):
+    def test_small_service_gets_two_concurrent_calls(self):
         self.assertEqual(reward_order.free_slots(1, 0), 2)
 
-    def test_time_follows_the_route(self):
-        found = reward_order.call_timeout(reward_route(target=0.8, timeout=10.0))
-        self.assertAlmostEqual(found, 2.4)
-        found = reward_order.call_timeout(reward_route(target=0.8, timeout=10.0), 1)
-        self.assertAlmostEqual(found, 4.8)
-        found = reward_order.call_timeout(reward_route(target=0.8, timeout=1.0))
-        self.assertEqual(found, 1.0)
+    def test_timeout_follows_the_route(self):
+        timeout = reward_order.call_timeout(reward_route(target=0.8, timeout=10.0))
+        self.assertAlmostEqual(timeout, 2.4)
+        timeout = reward_order.call_timeout(reward_route(target=0.8, timeout=10.0), 1)
+        self.assertAlmostEqual(timeout, 4.8)
+        timeout = reward_order.call_timeout(reward_route(target=0.8, timeout=1.0))
+        self.assertEqual(timeout, 1.0)
 
     def test_larger_of_both_attempts_counts(self):
-        found = reward_order.allowed_failures(route(attempts=2), reward_route())
-        self.assertEqual(found, 3)
+        allowed = reward_order.allowed_failures(route(attempts=2), reward_route())
+        self.assertEqual(allowed, 3)
--- a/sassafrasdoor/steps/durable/tests/test_rewards.py
+++ b/sassafrasdoor/steps/durable/tests/test_rewards.py
@@ -31,7 +31,7 @@
 FAILED = Answer(500, [], b"", "stamp of a failure")
 
 
-class Log:
+class FoldingOutbox:
     """An outbox whose records are folded as if appended, unless ``held``."""
 
     def __init__(self, steps):
@@ -54,20 +54,20 @@
     async def asyncSetUp(self):
         self.client = ScriptedClient()
         self.steps = Steps()
-        self.log = Log(self.steps)
+        self.outbox = FoldingOutbox(self.steps)
         self.replicas = add_scorers(replicas(), 2)
         self.routes = routes_in_force(route(), reward_route())
 
     async def submit(self, items=1, **step):
         data = records.encode_step(spec(items=items, rewarded=True, **step), 10_000)
         for record in data:
-            self.log.fold(record)
+            self.outbox.fold(record)
 
     async def run_shard(self):
         self.runner = Runner(
-            self.client, self.replicas, self.routes, self.steps, [self.log]
+            self.client, self.replicas, self.routes, self.steps, [self.outbox]
         )
-        self.runner.own(0)
+        self.runner.start_shard(0)
         self.task = asyncio.ensure_future(self.runner.run())
         self.addCleanup(self.task.cancel)
 
@@ -85,20 +85,20 @@
         await self.until(lambda: self.listed)
         return self.listed[0]
 
-    def kinds(self):
-        return [type(one) for one in self.log.records]
+    def record_types(self):
+        return [type(record) for record in self.outbox.records]
 
     async def test_text_is_listed_with_its_score(self):
         await self.submit()
         await self.run_shard()
-        found = await self.sample()
+        sample = await self.sample()
         self.assertEqual(
-            (found.state, found.text, found.score, found.versions),
+            (sample.state, sample.text, sample.score, sample.versions),
             (COMPLETED, "text", "stamp r0", [1]),
         )
-        self.assertEqual(self.kinds(), [Text, Score])
+        self.assertEqual(self.record_types(), [Text, Score])
 
-    async def test_call_is_sent_as_the_trainer_wrote_it(self):
+    async def test_call_is_sent_unchanged(self):
         await self.submit()
         await self.run_shard()
         await self.sample()
@@ -108,61 +108,61 @@
             ("r0", "POST", "/score/0", b"score 0", [("Host", "score.example")]),
         )
 
-    async def test_nothing_is_scored_before_the_log_keeps_the_text(self):
+    async def test_text_is_not_scored_before_it_is_logged(self):
         """Guards against a score of a text that the log does not keep."""
-        self.log.held = True
+        self.outbox.held = True
         await self.submit()
         await self.run_shard()
-        await self.until(lambda: self.kinds() == [Text])
+        await self.until(lambda: self.record_types() == [Text])
         for _ in range(20):
             await asyncio.sleep(0.01)
         self.assertEqual(self.client.calls, [])
-        self.log.held = False
-        self.log.fold(encode(self.log.records[0]))
+        self.outbox.held = False
+        self.outbox.fold(encode(self.outbox.records[0]))
         self.assertEqual((await self.sample()).score, "stamp r0")
 
-    async def test_next_runner_makes_no_text_again(self):
+    async def test_next_runner_does_not_regenerate_a_logged_text(self):
         """Guards against a logged text that is generated again."""
         await self.submit()
-        self.log.fold(encode(Text("s1", "i0", "kept", [1])))
+        self.outbox.fold(encode(Text("s1", "i0", "kept", [1])))
         await self.run_shard()
         self.assertEqual((await self.sample()).text, "kept")
         self.assertEqual(self.client.sent, [])
 
-    async def test_first_text_counts_also_while_another_is_made(self):
+    async def test_first_text_counts_while_another_is_generated(self):
         """Guards against a later text that replaces the one that was scored."""
         self.client.script = [([(0, "other", 1)], ScriptedClient.HANG)]
         await self.submit()
         await self.run_shard()
         await self.until(lambda: self.client.sent)
-        self.log.fold(encode(Text("s1", "i0", "first", [1])))
-        self.log.fold(encode(Text("s1", "i0", "second", [1])))
+        self.outbox.fold(encode(Text("s1", "i0", "first", [1])))
+        self.outbox.fold(encode(Text("s1", "i0", "second", [1])))
         self.assertEqual((await self.sample()).text, "first")
         await self.until(lambda: self.client.cancelled == 1)
 
-    async def test_failures_are_counted_in_the_log_until_the_attempts_are_used(self):
+    async def test_item_is_errored_after_allowed_failed_calls(self):
         self.client.answers = [FAILED] * 9
         await self.submit()
         await self.run_shard()
-        found = await self.sample()
-        self.assertEqual((found.state, found.text, found.score), (ERRORED, "", ""))
-        failures = self.kinds().count(RewardFailure)
+        sample = await self.sample()
+        self.assertEqual((sample.state, sample.text, sample.score), (ERRORED, "", ""))
+        failures = self.record_types().count(RewardFailure)
         self.assertEqual(failures, len(self.client.calls))
         # The last round of tries may end one try beyond: two replicas are asked.
         self.assertIn(failures, (3, 4))
 
-    async def test_failures_of_a_former_runner_count(self):
+    async def test_failures_of_a_previous_runner_count(self):
         """Guards against failed reward calls counted in one runner's memory only."""
         self.client.answers = [FAILED] * 9
         await self.submit()
-        self.log.fold(encode(Text("s1", "i0", "kept", [1])))
+        self.outbox.fold(encode(Text("s1", "i0", "kept", [1])))
         for _ in range(2):
-            self.log.fold(encode(RewardFailure("s1", "i0")))
+            self.outbox.fold(encode(RewardFailure("s1", "i0")))
         await self.run_shard()
         self.assertEqual((await self.sample()).state, ERRORED)
         self.assertLessEqual(len(self.client.calls), 3)
 
-    async def test_refusals_lost_and_unsigned_answers_are_no_failures(self):
+    async def test_refusals_lost_and_unsigned_answers_do_not_count_as_failures(self):
         """Guards against refused or lost reward calls counted as failures."""
         self.client.answers = [
             *[NotRun("full", 0.1)] * 6,
@@ -171,16 +171,16 @@
         ]
         await self.submit()
         await self.run_shard()
-        found = await self.sample()
-        self.assertEqual((found.state, found.score), (COMPLETED, "stamp r0"))
-        self.assertNotIn(RewardFailure, self.kinds())
+        sample = await self.sample()
+        self.assertEqual((sample.state, sample.score), (COMPLETED, "stamp r0"))
+        self.assertNotIn(RewardFailure, self.record_types())
 
-    async def test_ended_step_sends_none_and_ends_those_under_way(self):
+    async def test_ending_a_step_cancels_its_calls(self):
         self.client.answers = [ScriptedClient.HANG] * 9
         await self.submit(items=2)
         await self.run_shard()
         await self.until(lambda: len(self.client.calls) >= 2)
-        self.log.fold(encode(End("s1")))
+        self.outbox.fold(encode(End("s1")))
         await self.until(lambda: self.client.cancelled >= 2)
         sent = len(self.client.calls)
         for _ in range(20):
@@ -192,14 +192,14 @@
         self.routes = routes_in_force()
         await self.submit()
         await self.run_shard()
-        await self.until(lambda: self.kinds() == [Text])
+        await self.until(lambda: self.record_types() == [Text])
         self.assertEqual(self.client.calls, [])
         current = self.routes.current
         newer = routes_in_force(route(), reward_route(), version=current.version + 1)
         self.routes.take(newer.current)
         self.assertEqual((await self.sample()).score, "stamp r0")
 
-    async def test_item_is_given_up_after_the_time_it_is_kept(self):
+    async def test_item_is_errored_after_its_retention(self):
         self.routes = routes_in_force(route(keep_for=0.3))
         await self.submit()
         await self.run_shard()
@@ -207,20 +207,20 @@
 
 
 class OldRecordTest(unittest.TestCase):
-    def test_step_without_reward_calls_is_read_as_before(self):
+    def test_step_without_reward_calls_is_readable(self):
         (data,) = records.encode_step(spec(), 10_000)
         part = records.decode(data)
-        found = records.unpack_step([part.piece])
-        self.assertEqual([item.reward for item in found.items], [None, None])
+        step = records.unpack_step([part.piece])
+        self.assertEqual([item.reward for item in step.items], [None, None])
 
-    def test_rows_of_an_earlier_program_have_no_reward_call(self):
+    def test_rows_of_an_earlier_version_have_no_reward_call(self):
         row = ["i", "/p", {}, "", 1, 0, "g"]
-        self.assertIsNone(records._item(row, "m").reward)
+        self.assertIsNone(records._decode_item(row, "m").reward)
 
-    def test_reward_call_comes_back_as_it_was(self):
+    def test_reward_call_round_trip(self):
         (data,) = records.encode_step(spec(rewarded=True), 10_000)
-        found = records.unpack_step([records.decode(data).piece])
-        reward = found.items[1].reward
+        step = records.unpack_step([records.decode(data).piece])
+        reward = step.items[1].reward
         self.assertEqual(
             (reward.call_id, reward.host, reward.path, reward.body),
             ("r1", "score.example", "/score/1", b"score 1"),
--- a/sassafrasdoor/steps/durable/tests/test_runner.py
+++ b/sassafrasdoor/steps/durable/tests/test_runner.py
@@ -26,7 +26,7 @@
 BROKEN = Broken("connection lost", began=True)
 
 
-async def nobody_listens(replica):
+async def refuse_connection(replica):
     return Refused("nobody listens")
 
 
@@ -41,7 +41,7 @@
 
     @property
     def samples(self):
-        return [one for one in self.records if isinstance(one, records.Sample)]
+        return [record for record in self.records if isinstance(record, records.Sample)]
 
 
 class RunnerTest(unittest.IsolatedAsyncioTestCase):
@@ -54,11 +54,11 @@
             self.addCleanup(setattr, where, name, getattr(where, name))
             setattr(where, name, 1000.0)
 
-    async def start(self, client, found=None, routes=None, **step):
+    async def start(self, client, replica_set=None, routes=None, **step):
         self.client = client
         self.outbox = Outbox()
         self.steps = Steps()
-        self.replicas = found or replicas()
+        self.replicas = replica_set or replicas()
         self.runner = Runner(
             client,
             self.replicas,
@@ -68,7 +68,7 @@
         )
         for offset, data in enumerate(records.encode_step(spec(**step), 10_000)):
             self.steps.fold(0, offset, data)
-        self.runner.own(0)
+        self.runner.start_shard(0)
         task = asyncio.ensure_future(self.runner.run())
         self.addCleanup(task.cancel)
 
@@ -84,11 +84,11 @@
 
     async def test_items_become_samples(self):
         await self.start(ScriptedClient())
-        found = await self.samples(2)
-        self.assertEqual({one.item_id for one in found}, {"i0", "i1"})
-        self.assertEqual({one.state for one in found}, {COMPLETED})
+        samples = await self.samples(2)
+        self.assertEqual({sample.item_id for sample in samples}, {"i0", "i1"})
+        self.assertEqual({sample.state for sample in samples}, {COMPLETED})
 
-    async def test_broken_stream_goes_on_after_its_last_event(self):
+    async def test_broken_stream_resumes_after_its_last_event(self):
         """Guards against repeated or missing events in a resumed stream."""
         first = ([(0, "a", 1), (1, "b", 1)], BROKEN)
         await self.start(ScriptedClient(first, [(2, "c", 1)]), items=1)
@@ -117,7 +117,7 @@
         self.assertEqual((sample.text, sample.versions), ("new", [2]))
         self.assertNotEqual(self.client.sent[0][0], self.client.sent[1][0])
 
-    async def test_one_version_is_kept_where_it_is_asked_for(self):
+    async def test_mixed_sample_is_regenerated_on_a_single_version_route(self):
         mixed = [(0, "a", 1), (1, "b", 2)]
         await self.start(
             ScriptedClient(mixed, [(0, "c", 2)]),
@@ -127,35 +127,37 @@
         (sample,) = await self.samples(1)
         self.assertEqual((sample.text, sample.versions), ("c", [2]))
 
-    async def test_failures_end_an_item_after_the_attempts_allowed(self):
+    async def test_item_is_errored_after_allowed_attempts(self):
         failed = SampleFailed("status 500", final=False)
         await self.start(ScriptedClient(failed, failed, failed), replicas(3), items=1)
         (sample,) = await self.samples(1)
         self.assertEqual(sample.state, ERRORED)
         self.assertEqual(len(self.client.sent), 3)
-        written = [type(one) for one in self.outbox.records]
-        self.assertEqual(written, [records.Failure, records.Failure, records.Sample])
+        record_types = [type(record) for record in self.outbox.records]
+        self.assertEqual(
+            record_types, [records.Failure, records.Failure, records.Sample]
+        )
 
-    async def test_failures_of_a_former_runner_count(self):
+    async def test_failures_of_a_previous_runner_count(self):
         """Guards against failures counted in one runner's memory only."""
         failed = SampleFailed("status 500", final=False)
         await self.start(ScriptedClient(failed), items=1, step_id="s1")
         self.steps.by_id["s1"].failed["i0"] = {"t1", "t2"}
-        self.runner.disown(0)
+        self.runner.stop_shard(0)
         self.client.script = [failed]
         self.client.sent.clear()
         self.outbox.records.clear()
-        self.runner.own(0)
+        self.runner.start_shard(0)
         (sample,) = await self.samples(1)
         self.assertEqual((sample.state, len(self.client.sent)), (ERRORED, 1))
 
-    async def test_final_failure_is_not_tried_again(self):
+    async def test_final_failure_is_not_retried(self):
         final = SampleFailed("status 422", final=True)
         await self.start(ScriptedClient(final), items=1)
         (sample,) = await self.samples(1)
         self.assertEqual((sample.state, len(self.client.sent)), (ERRORED, 1))
 
-    async def test_refusals_are_no_failures(self):
+    async def test_refusals_do_not_count_as_failures(self):
         """Guards against refusals during a load of weights counted as failures."""
         refused = [NotRun("loading")] * 2 + [WrongReplica("gone")] * 2
         await self.start(ScriptedClient(*refused), replicas(2), items=1)
@@ -170,22 +172,22 @@
         self.client.script = [[(0, "x", 2)]]
         await self.samples(1)
 
-    async def test_no_route_known_waits(self):
+    async def test_item_waits_for_a_configuration(self):
         """Guards against a runner that ends for want of a configuration."""
         routes = RoutesInForce()
         await self.start(ScriptedClient(), routes=routes, items=1)
-        await asyncio.sleep(3 * module.TICK)
+        await asyncio.sleep(3 * module.DISPATCH_INTERVAL)
         self.assertEqual(self.client.sent, [])
         routes.take(routes_in_force().current)
         await self.samples(1)
 
-    async def test_removed_route_ends_its_items(self):
+    async def test_items_of_a_removed_route_are_errored(self):
         other = route(prefix="/other/")
         await self.start(ScriptedClient(), routes=routes_in_force(other), items=1)
         (sample,) = await self.samples(1)
         self.assertEqual((sample.state, self.client.sent), (ERRORED, []))
 
-    async def test_end_of_a_step_ends_its_streams(self):
+    async def test_ending_a_step_cancels_its_streams(self):
         """Guards against streams that go on after their step has ended."""
         hang = ScriptedClient.HANG
         await self.start(ScriptedClient(([], hang), ([], hang)))
@@ -194,14 +196,14 @@
         await self.until(lambda: self.client.cancelled == 2)
         self.assertEqual(self.outbox.records, [])
 
-    async def test_lost_shard_ends_its_streams(self):
+    async def test_losing_a_shard_cancels_its_streams(self):
         hang = ScriptedClient.HANG
         await self.start(ScriptedClient(([], hang)), items=1)
         await self.until(lambda: len(self.client.sent) == 1)
-        self.runner.disown(0)
+        self.runner.stop_shard(0)
         await self.until(lambda: self.client.cancelled == 1)
 
-    async def test_silent_stream_goes_on_elsewhere(self):
+    async def test_silent_stream_resumes_at_another_replica(self):
         """Guards against a silent stream that holds its item."""
         gap, module.GAP_TIMEOUT = module.GAP_TIMEOUT, 0.2
         self.addCleanup(setattr, module, "GAP_TIMEOUT", gap)
@@ -210,59 +212,61 @@
         (sample,) = await self.samples(1)
         self.assertEqual(sample.text, "a\nb")
 
-    async def test_item_at_a_dark_replica_goes_elsewhere(self):
+    async def test_item_leaves_an_unresponsive_replica(self):
         placement.UNRESPONSIVE_AFTER = 0.2
-        dark = ([], ScriptedClient.HANG)
-        await self.start(ScriptedClient(dark), replicas(2), items=1)
+        hanging = ([], ScriptedClient.HANG)
+        await self.start(ScriptedClient(hanging), replicas(2), items=1)
         (sample,) = await self.samples(1)
         self.assertEqual(sample.text, "text")
         self.assertNotEqual(self.client.sent[0][0], self.client.sent[1][0])
 
-    async def test_sample_moves_away_from_a_slow_replica(self):
+    async def test_sample_migrates_from_a_slow_replica(self):
         """Guards against samples that stay at a slow replica."""
         slow = ([(0, "a", 1)], ScriptedClient.HANG)
-        found = replicas(2)
-        await self.start(ScriptedClient(slow, [(1, "b", 1)]), found, items=1)
+        replica_set = replicas(2)
+        await self.start(ScriptedClient(slow, [(1, "b", 1)]), replica_set, items=1)
         await self.until(lambda: self.client.sent)
-        begun, other = self.client.sent[0][0], {"e0": "e1", "e1": "e0"}
-        found.get(begun).pace = 0.2
-        found.get(other[begun]).pace = 0.05
+        origin, other = self.client.sent[0][0], {"e0": "e1", "e1": "e0"}
+        replica_set.get(origin).pace = 0.2
+        replica_set.get(other[origin]).pace = 0.05
         (sample,) = await self.samples(1)
         self.assertEqual(sample.text, "a\nb")
         sent = [(name, after) for name, _, after in self.client.sent]
-        self.assertEqual(sent, [(begun, None), (other[begun], 0)])
-        self.assertFalse(found.get(begun).state.suspect)
+        self.assertEqual(sent, [(origin, None), (other[origin], 0)])
+        self.assertFalse(replica_set.get(origin).state.suspect)
 
-    async def test_item_that_is_placed_is_not_moved_before_it_has_begun(self):
+    async def test_attempt_that_has_not_started_is_not_migrated(self):
         """Guards against an item lost by cancelling an attempt that has not begun."""
-        found = replicas(2, slots=1)
-        found.get("e0").pace, found.get("e1").pace = 0.2, 0.04
-        found.get("e1").state.started()
-        await self.start(ScriptedClient(), found, items=1)
+        replica_set = replicas(2, slots=1)
+        replica_set.get("e0").pace, replica_set.get("e1").pace = 0.2, 0.04
+        replica_set.get("e1").state.started()
+        await self.start(ScriptedClient(), replica_set, items=1)
         self.runner._dispatch()
-        found.get("e1").state.finished()
-        self.runner._move_slow()
+        replica_set.get("e1").state.finished()
+        self.runner._migrate_slow_samples()
         (sample,) = await self.samples(1)
         self.assertEqual(sample.state, COMPLETED)
-        self.assertEqual([one.load for one in found.of_service("engines")], [0, 0])
+        self.assertEqual(
+            [replica.load for replica in replica_set.of_service("engines")], [0, 0]
+        )
 
-    async def test_items_wait_for_places(self):
+    async def test_items_wait_for_free_slots(self):
         hang = ScriptedClient.HANG
         script = [([], hang)] * 3
         await self.start(ScriptedClient(*script), replicas(1, slots=3), items=5)
         await self.until(lambda: len(self.client.sent) == 3)
-        await asyncio.sleep(3 * module.TICK)
+        await asyncio.sleep(3 * module.DISPATCH_INTERVAL)
         self.assertEqual(len(self.client.sent), 3)
 
-    async def test_item_that_crashes_replicas_is_held_between_attempts(self):
+    async def test_item_that_crashes_replicas_is_delayed_between_attempts(self):
         """One item takes down replica after replica, as fast as they come."""
         client = ScriptedClient(*[BROKEN] * 6)
-        client.reach = nobody_listens
+        client.reach = refuse_connection
         await self.start(client, replicas(8), items=1)
         await self.until(lambda: len(client.sent) >= 3)
         await asyncio.sleep(1.0)
         # The crash that tells may be known only after the next attempt has begun.
         self.assertLessEqual(len(client.sent), 4)
-        with mock.patch.object(module, "HELD_FOR", 0.0):
+        with mock.patch.object(module, "CRASH_RETRY_DELAY", 0.0):
             await self.samples(1)
         self.assertEqual(self.outbox.samples[0].state, COMPLETED)
--- a/sassafrasdoor/steps/durable/tests/test_service.py
+++ b/sassafrasdoor/steps/durable/tests/test_service.py
@@ -9,7 +9,7 @@
 from sassafrasdoor.outcomes import NotRun, Unavailable, Unknown
 from sassafrasdoor.steps.durable import records, service as module
 from sassafrasdoor.steps.durable.service import (
-    SHARDS,
+    SHARD_COUNT,
     TOPIC,
     NotFound,
     StepService,
@@ -25,7 +25,7 @@
     def __init__(self, log):
         self.steps = Steps()
         self.tails = [
-            Tail(log, TOPIC, shard, self._fold(shard)) for shard in range(SHARDS)
+            Tail(log, TOPIC, shard, self._fold(shard)) for shard in range(SHARD_COUNT)
         ]
         self.service = StepService(log, self.steps, self.tails, 10_000)
 
@@ -37,18 +37,20 @@
     def setUp(self):
         self.log = MemoryPartitionedLog()
         self.instance = Instance(self.log)
-        self.patience = module.APPEND_PATIENCE
-        module.APPEND_PATIENCE = 1.2
+        self.submit_timeout = module.SUBMIT_TIMEOUT
+        module.SUBMIT_TIMEOUT = 1.2
 
     def tearDown(self):
-        module.APPEND_PATIENCE = self.patience
+        module.SUBMIT_TIMEOUT = self.submit_timeout
 
-    async def submit(self, elsewhere=None, **fields):
-        async def nowhere():
+    async def submit(self, forward=None, **fields):
+        async def refuse_forward():
             return False
 
         step, limit = spec(**fields), deadline_in(5)
-        return await self.instance.service.submit(step, limit, elsewhere or nowhere)
+        return await self.instance.service.submit(
+            step, limit, forward or refuse_forward
+        )
 
     async def test_accepted_step_is_read_at_another_instance(self):
         self.assertIs(await self.submit(), True)
@@ -56,7 +58,7 @@
         page = await other.service.read("s1", 0, deadline_in(0))
         self.assertEqual((page.total, page.samples), (2, []))
 
-    async def test_refused_while_nothing_can_have_been_appended(self):
+    async def test_submission_is_refused_if_nothing_was_appended(self):
         self.log.down = True
         result = await self.submit()
         self.assertIsInstance(result, NotRun)
@@ -66,44 +68,44 @@
             await other.service.read("s1", 0, deadline_in(0)), NotFound
         )
 
-    async def test_last_try_is_never_one_without_time(self):
+    async def test_last_append_has_the_minimum_timeout(self):
         """Guards against a refused submission that is reported as unknown."""
-        given = []
+        timeouts = []
 
         async def refuse(topic, part, data, deadline):
-            given.append(remaining(deadline))
+            timeouts.append(remaining(deadline))
             return Unavailable("down")
 
         self.log.append = refuse
-        module.APPEND_PATIENCE = 1.5
+        module.SUBMIT_TIMEOUT = 1.5
         self.assertIsInstance(await self.submit(), NotRun)
-        self.assertGreater(len(given), 2)
-        self.assertGreater(min(given), module.APPEND_LEAST / 2)
+        self.assertGreater(len(timeouts), 2)
+        self.assertGreater(min(timeouts), module.MIN_APPEND_TIMEOUT / 2)
 
-    async def test_step_goes_elsewhere_when_the_log_is_away_here(self):
+    async def test_step_is_forwarded_when_the_log_is_unreachable(self):
         """Guards against a submission held at an instance that cannot reach the log."""
         self.log.down = True
         for answer, expected in ((True, True), (None, Unknown), (False, NotRun)):
             calls = []
 
-            async def elsewhere(answer=answer, calls=calls):
+            async def forward(answer=answer, calls=calls):
                 calls.append(1)
                 return answer
 
-            result = await self.submit(elsewhere)
+            result = await self.submit(forward)
             self.assertTrue(calls)
             if expected is True:
                 self.assertIs(result, True)
             else:
                 self.assertIsInstance(result, expected)
 
-    async def test_step_that_was_handed_on_is_tried_once(self):
+    async def test_forwarded_step_is_appended_once(self):
         self.log.down = True
         result = await self.instance.service.submit(spec(), deadline_in(5))
         self.assertIsInstance(result, NotRun)
         self.assertEqual(len(self.log.calls), 1)
 
-    async def test_append_without_reply_is_never_refused(self):
+    async def test_append_without_reply_is_reported_as_unknown(self):
         """Guards against an append without reply that is reported as not run."""
         self.log.lose_replies = 100
         self.log.land_late = 0.5
@@ -111,7 +113,7 @@
         self.assertIsInstance(result, Unknown)
         self.assertNotIsInstance(result, NotRun)
 
-    async def test_lost_reply_is_followed_by_a_second_append(self):
+    async def test_append_is_retried_after_a_lost_reply(self):
         self.log.lose_replies = 1
         self.assertIs(await self.submit(), True)
         page = await Instance(self.log).service.read("s1", 0, deadline_in(0))
@@ -124,12 +126,12 @@
         result = await self.instance.service.read("s1", 0, deadline_in(0))
         self.assertIsInstance(result, NotRun)
 
-    async def test_body_is_given_until_it_is_unknown(self):
+    async def test_body_is_returned_for_known_items_only(self):
         await self.submit()
         self.assertEqual(await self.instance.service.body("s1", "i1"), b"body 1")
         self.assertIsInstance(await self.instance.service.body("s1", "i9"), NotFound)
 
-    async def test_end_is_kept_and_may_be_repeated(self):
+    async def test_end_is_logged_and_idempotent(self):
         await self.submit()
         for _ in range(2):
             self.assertIs(await self.instance.service.end("s1", deadline_in(2)), True)
@@ -137,7 +139,7 @@
         await other.service.read("s1", 0, deadline_in(0))
         self.assertTrue(other.steps.by_id["s1"].ended)
 
-    async def test_end_without_the_log_is_no_end(self):
+    async def test_end_without_the_log_is_reported_as_unknown(self):
         await self.submit()
         await self.instance.service.read("s1", 0, deadline_in(0))
         self.log.down = True
@@ -148,51 +150,51 @@
         await self.submit()
         await self.instance.service.read("s1", 0, deadline_in(0))
         tail = self.instance.tails[shard_of(MODEL)]
-        following = asyncio.ensure_future(tail.run())
-        reading = asyncio.ensure_future(
+        tail_task = asyncio.ensure_future(tail.run())
+        read_task = asyncio.ensure_future(
             self.instance.service.read("s1", 0, deadline_in(20))
         )
         await asyncio.sleep(0)
         data = records.encode(records.Sample("s1", "i0", "completed", "x", [1]))
         await self.log.append(TOPIC, shard_of(MODEL), [data], deadline_in(1))
-        page = await reading
-        following.cancel()
-        self.assertEqual([one.text for one in page.samples], ["x"])
+        page = await read_task
+        tail_task.cancel()
+        self.assertEqual([sample.text for sample in page.samples], ["x"])
 
-    async def test_instance_that_is_behind_does_not_say_there_is_nothing(self):
+    async def test_lagging_instance_returns_no_empty_page(self):
         """Guards against an empty answer from an instance that is behind the log."""
         await self.submit()
-        behind = Instance(self.log)
-        await behind.service.read("s1", 0, deadline_in(0))
+        lagging = Instance(self.log)
+        await lagging.service.read("s1", 0, deadline_in(0))
         data = records.encode(records.Sample("s1", "i0", "completed", "x", [1]))
         await self.log.append(TOPIC, shard_of(MODEL), [data], deadline_in(1))
-        behind.tails[shard_of(MODEL)].confirmed_at = None
-        page = await behind.service.read("s1", 0, deadline_in(0))
+        lagging.tails[shard_of(MODEL)].confirmed_at = None
+        page = await lagging.service.read("s1", 0, deadline_in(0))
         self.assertEqual(len(page.samples), 1)
-        behind.tails[shard_of(MODEL)].confirmed_at = None
+        lagging.tails[shard_of(MODEL)].confirmed_at = None
         self.log.down = True
-        result = await behind.service.read("s1", 1, deadline_in(0))
+        result = await lagging.service.read("s1", 1, deadline_in(0))
         self.assertIsInstance(result, NotRun)
 
-    async def test_instance_that_still_starts_refuses_at_once(self):
+    async def test_starting_instance_refuses_immediately(self):
         """Guards against readers held back by a start while others could answer."""
         await self.submit()
         await self.instance.service.read("s1", 0, deadline_in(0))
         for tail in self.instance.tails:
             tail._running, tail.confirmed_at = True, None
         for step_id in ("s1", "unknown"):
-            began = now()
+            started_at = now()
             result = await self.instance.service.read(step_id, 0, deadline_in(5))
             self.assertIsInstance(result, NotRun)
-            self.assertEqual(result.retry_after, module.START_RETRY_AFTER)
-            self.assertLess(now() - began, module.LOOK_TIMEOUT)
+            self.assertEqual(result.retry_after, module.STARTUP_RETRY_AFTER)
+            self.assertLess(now() - started_at, module.REFRESH_TIMEOUT)
 
     async def test_page_is_bounded_but_never_empty(self):
         await self.submit(items=3)
         await self.instance.service.read("s1", 0, deadline_in(0))
-        big = "x" * (module.PAGE_BYTES - 100)
+        big = "x" * (module.MAX_PAGE_BYTES - 100)
         for item in ("i0", "i1", "i2"):
             data = records.encode(records.Sample("s1", item, "completed", big, [1]))
             self.instance.steps.fold(shard_of(MODEL), 99, data)
         page = await self.instance.service.read("s1", 1, deadline_in(0))
-        self.assertEqual([one.item_id for one in page.samples], ["i1"])
+        self.assertEqual([sample.item_id for sample in page.samples], ["i1"])
--- a/sassafrasdoor/steps/durable/tests/test_shards.py
+++ b/sassafrasdoor/steps/durable/tests/test_shards.py
@@ -57,7 +57,7 @@
 
     def start(self):
         self.tasks = [
-            asyncio.ensure_future(one) for one in (self.tail.run(), self.shards.run())
+            asyncio.ensure_future(loop) for loop in (self.tail.run(), self.shards.run())
         ]
 
     def stop(self):
@@ -68,13 +68,13 @@
 class ShardsTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
         self.log = MemoryPartitionedLog()
-        lapse, module.LAPSE_AFTER = module.LAPSE_AFTER, 1.0
-        self.addCleanup(setattr, module, "LAPSE_AFTER", lapse)
-        self.one, self.two = (
+        timeout, module.LEASE_TIMEOUT = module.LEASE_TIMEOUT, 1.0
+        self.addCleanup(setattr, module, "LEASE_TIMEOUT", timeout)
+        self.first, self.second = (
             Instance(self.log, "one/1", 0),
             Instance(self.log, "two/1", 1),
         )
-        for instance in (self.one, self.two):
+        for instance in (self.first, self.second):
             instance.start()
             self.addCleanup(instance.stop)
 
@@ -90,86 +90,86 @@
             self.assertFalse(passed(limit), "condition never came true")
             await asyncio.sleep(0.01)
 
-    async def test_first_in_rank_runs_a_new_shard(self):
+    async def test_first_ranked_process_claims_a_new_shard(self):
         await self.submit()
-        await self.until(lambda: self.one.holds)
-        self.assertEqual(self.two.events, [])
+        await self.until(lambda: self.first.holds)
+        self.assertEqual(self.second.events, [])
 
-    async def test_shard_of_a_dead_process_goes_to_the_next(self):
+    async def test_shard_of_a_dead_process_is_taken_over(self):
         await self.submit()
-        await self.until(lambda: self.one.holds)
-        self.one.stop()
-        await self.until(lambda: self.two.holds)
+        await self.until(lambda: self.first.holds)
+        self.first.stop()
+        await self.until(lambda: self.second.holds)
 
-    async def test_sleeper_loses_the_shard_by_the_log(self):
+    async def test_resumed_process_loses_a_replaced_claim(self):
         """Guards against a resumed process that renews a replaced claim."""
         await self.submit()
-        await self.until(lambda: self.one.holds)
-        self.one.stop()
-        await self.until(lambda: self.two.holds)
-        self.one.start()
-        await self.until(lambda: self.one.events == ["gained", "lost"])
-        self.assertTrue(self.two.holds)
-
-    async def test_restarted_process_takes_its_shards_back_at_once(self):
+        await self.until(lambda: self.first.holds)
+        self.first.stop()
+        await self.until(lambda: self.second.holds)
+        self.first.start()
+        await self.until(lambda: self.first.events == ["gained", "lost"])
+        self.assertTrue(self.second.holds)
+
+    async def test_restarted_process_reclaims_its_shards_immediately(self):
         """Guards against a restarted process that waits for its own former claim."""
-        module.LAPSE_AFTER = 1000.0
+        module.LEASE_TIMEOUT = 1000.0
         await self.submit()
-        await self.until(lambda: self.one.holds)
-        self.one.stop()
-        again = Instance(self.log, "one/2", 3)
-        again.start()
-        self.addCleanup(again.stop)
-        await self.until(lambda: again.holds)
-
-    async def test_shard_of_a_process_known_to_have_ended_is_taken_at_once(self):
+        await self.until(lambda: self.first.holds)
+        self.first.stop()
+        restarted = Instance(self.log, "one/2", 3)
+        restarted.start()
+        self.addCleanup(restarted.stop)
+        await self.until(lambda: restarted.holds)
+
+    async def test_shard_of_an_ended_process_is_claimed_immediately(self):
         """Guards against waiting for the claim of a process that has ended."""
-        module.LAPSE_AFTER = 1000.0
+        module.LEASE_TIMEOUT = 1000.0
         await self.submit()
-        await self.until(lambda: self.one.holds)
-        self.one.stop()
-        self.two.processes.by_instance["one"] = "one/2"
+        await self.until(lambda: self.first.holds)
+        self.first.stop()
+        self.second.processes.by_instance["one"] = "one/2"
         with mock.patch.object(module, "note") as note:
-            await self.until(lambda: self.two.holds)
-            renewed = self.two.steps.claims[0].offset + 2
-            await self.until(lambda: self.two.steps.claims[0].offset >= renewed)
-        said = [call for call in note.mock_calls if "shard.runner_ended" in call.args]
-        self.assertEqual([one.kwargs["runner"] for one in said], ["one/1"])
+            await self.until(lambda: self.second.holds)
+            renewed = self.second.steps.claims[0].offset + 2
+            await self.until(lambda: self.second.steps.claims[0].offset >= renewed)
+        ended = [call for call in note.mock_calls if "shard.runner_ended" in call.args]
+        self.assertEqual([call.kwargs["runner"] for call in ended], ["one/1"])
 
     async def test_shard_runs_elsewhere_while_its_claim_is_renewed(self):
         """Guards against loads and items that end up at two processes."""
         await self.submit()
-        await self.until(lambda: self.one.holds)
-        await self.until(lambda: self.two.shards.runs_elsewhere(0))
-        self.assertFalse(self.one.shards.runs_elsewhere(0))
-        self.two.processes.by_instance["one"] = "one/2"
-        self.assertFalse(self.two.shards.runs_elsewhere(0))
+        await self.until(lambda: self.first.holds)
+        await self.until(lambda: self.second.shards.runs_elsewhere(0))
+        self.assertFalse(self.first.shards.runs_elsewhere(0))
+        self.second.processes.by_instance["one"] = "one/2"
+        self.assertFalse(self.second.shards.runs_elsewhere(0))
 
-    async def test_process_that_is_not_listed_claims_nothing(self):
+    async def test_unlisted_process_claims_nothing(self):
         """Guards against a claim that others take for that of an ended process."""
-        self.one.processes.is_listed = False
+        self.first.processes.is_listed = False
         await self.submit()
-        await self.until(lambda: self.two.holds)
-        self.assertEqual(self.one.events, [])
+        await self.until(lambda: self.second.holds)
+        self.assertEqual(self.first.events, [])
 
-    async def test_released_shard_is_taken_at_once(self):
-        module.LAPSE_AFTER = 1000.0
+    async def test_released_shard_is_claimed_immediately(self):
+        module.LEASE_TIMEOUT = 1000.0
         await self.submit()
-        await self.until(lambda: self.one.holds)
-        await self.append(*self.one.shards.leave().values())
-        await self.until(lambda: self.two.holds)
-        await self.until(lambda: self.one.events == ["gained", "lost"])
+        await self.until(lambda: self.first.holds)
+        await self.append(*self.first.shards.leave().values())
+        await self.until(lambda: self.second.holds)
+        await self.until(lambda: self.first.events == ["gained", "lost"])
 
-    async def test_outage_of_the_log_moves_nothing(self):
+    async def test_log_outage_moves_no_shard(self):
         """Guards against claims that lapse by the time of an outage."""
         await self.submit()
-        await self.until(lambda: self.one.holds)
+        await self.until(lambda: self.first.holds)
         self.log.down = True
-        await asyncio.sleep(2 * module.LAPSE_AFTER)
+        await asyncio.sleep(2 * module.LEASE_TIMEOUT)
         self.log.down = False
-        renewed = self.two.steps.claims[0].offset
-        await self.until(lambda: self.two.steps.claims[0].offset > renewed)
-        self.assertEqual((self.one.events, self.two.events), (["gained"], []))
+        renewed = self.second.steps.claims[0].offset
+        await self.until(lambda: self.second.steps.claims[0].offset > renewed)
+        self.assertEqual((self.first.events, self.second.events), (["gained"], []))
 
 
 class SilentLog(MemoryPartitionedLog):
@@ -195,27 +195,27 @@
         return result
 
 
-class SilenceTest(unittest.IsolatedAsyncioTestCase):
-    async def test_nobody_claims_while_the_log_is_silent(self):
+class SilentLogTest(unittest.IsolatedAsyncioTestCase):
+    async def test_no_claims_while_the_log_is_silent(self):
         """Guards against claims made because a silent log shows no renewal."""
         log = SilentLog()
-        one, two = Instance(log, "one/1", 0), Instance(log, "two/1", 1)
-        lapse, module.LAPSE_AFTER = module.LAPSE_AFTER, 1.0
-        self.addCleanup(setattr, module, "LAPSE_AFTER", lapse)
-        for instance in (one, two):
+        first, second = Instance(log, "one/1", 0), Instance(log, "two/1", 1)
+        timeout, module.LEASE_TIMEOUT = module.LEASE_TIMEOUT, 1.0
+        self.addCleanup(setattr, module, "LEASE_TIMEOUT", timeout)
+        for instance in (first, second):
             instance.start()
             self.addCleanup(instance.stop)
         await log.append(TOPIC, 0, encode_step(spec(), 10_000), deadline_in(1))
-        await self.until(lambda: one.holds and 0 in two.steps.claims)
+        await self.until(lambda: first.holds and 0 in second.steps.claims)
         log.silent = True
-        await self.until(lambda: two.tail.failing_since is not None)
-        await asyncio.sleep(2 * module.LAPSE_AFTER)
+        await self.until(lambda: second.tail.failing_since is not None)
+        await asyncio.sleep(2 * module.LEASE_TIMEOUT)
         log.silent = False
         claims = [records.decode(data) for held in log.held for data in held]
         self.assertEqual({claim.runner for claim in claims}, {"one/1"})
-        renewed = two.steps.claims[0].offset
-        await self.until(lambda: two.steps.claims[0].offset > renewed)
-        self.assertEqual((one.events, two.events), (["gained"], []))
+        renewed = second.steps.claims[0].offset
+        await self.until(lambda: second.steps.claims[0].offset > renewed)
+        self.assertEqual((first.events, second.events), (["gained"], []))
 
     async def until(self, condition):
         limit = deadline_in(20)
@@ -225,7 +225,7 @@
 
 
 class ClaimTest(unittest.TestCase):
-    def test_of_two_claims_on_one_the_first_counts(self):
+    def test_first_of_competing_claims_counts(self):
         steps = Steps()
         for offset, runner in enumerate(("a", "b")):
             steps.fold(0, offset, encode(Claim(runner, -1, False)))
@@ -239,7 +239,7 @@
             self.steps.fold(0, offset, data)
         self.step = self.steps.by_id["s1"]
 
-    def keep(self, run, first, texts, versions=None):
+    def fold_progress(self, run, first, texts, versions=None):
         numbers = list(range(first, first + len(texts)))
         versions = versions or [2] * len(texts)
         record = Progress("s1", "i0", run, first, numbers, texts, versions)
@@ -248,37 +248,37 @@
     def job(self):
         return Job(self.step, self.step.items["i0"])
 
-    def test_next_runner_goes_on_after_what_was_kept(self):
-        self.keep("r", 0, ["a", "b"])
-        self.keep("r", 2, ["c"])
+    def test_next_runner_resumes_after_the_logged_events(self):
+        self.fold_progress("r", 0, ["a", "b"])
+        self.fold_progress("r", 2, ["c"])
         job = self.job()
         self.assertEqual((job.texts, job.last_number), (["a", "b", "c"], 2))
 
-    def test_events_of_two_runs_never_join(self):
+    def test_events_of_two_runs_are_not_joined(self):
         """Guards against progress of two runs joined into one text."""
-        self.keep("r", 0, ["a", "b"])
-        self.keep("q", 2, ["X"])
+        self.fold_progress("r", 0, ["a", "b"])
+        self.fold_progress("q", 2, ["X"])
         self.assertEqual(self.job().texts, ["a", "b"])
 
-    def test_record_that_was_appended_twice_counts_once(self):
-        self.keep("r", 0, ["a"])
-        self.keep("r", 0, ["a"])
+    def test_duplicate_progress_record_is_ignored(self):
+        self.fold_progress("r", 0, ["a"])
+        self.fold_progress("r", 0, ["a"])
         self.assertEqual(self.job().texts, ["a"])
 
-    def test_beginning_of_too_old_weights_is_left(self):
-        self.keep("r", 0, ["a", "b"], [1, 2])
+    def test_progress_of_outdated_weights_is_discarded(self):
+        self.fold_progress("r", 0, ["a", "b"], [1, 2])
         self.assertEqual(self.job().texts, [])
 
-    def test_what_is_resumed_is_kept_anew(self):
-        self.keep("r", 0, ["a", "b"])
+    def test_resumed_events_are_logged_again(self):
+        self.fold_progress("r", 0, ["a", "b"])
         job = self.job()
         progress = job.progress()
         self.assertEqual((progress.first, progress.texts), (0, ["a", "b"]))
         self.assertNotEqual(progress.run, "r")
         self.assertIsNone(job.progress())
 
-    def test_listed_item_needs_no_beginning(self):
-        self.keep("r", 0, ["a"])
+    def test_progress_of_a_listed_item_is_discarded(self):
+        self.fold_progress("r", 0, ["a"])
         sample = records.Sample("s1", "i0", "completed", "a", [2])
         self.steps.fold(0, 11, encode(sample))
         self.assertEqual(self.step.progress, {})
--- a/sassafrasdoor/steps/durable/tests/test_state.py
+++ b/sassafrasdoor/steps/durable/tests/test_state.py
@@ -24,8 +24,8 @@
 
 def folded(*data):
     steps = Steps()
-    for offset, one in enumerate(data):
-        steps.fold(0, offset, one)
+    for offset, record in enumerate(data):
+        steps.fold(0, offset, record)
     return steps
 
 
@@ -37,9 +37,11 @@
     def test_first_sample_of_an_item_counts(self):
         """Guards against a second sample that replaces one already read."""
         steps = folded(*step_records(), sample(text="first"), sample(text="second"))
-        self.assertEqual([one.text for one in steps.by_id["s1"].listed], ["first"])
+        self.assertEqual(
+            [sample.text for sample in steps.by_id["s1"].listed], ["first"]
+        )
 
-    def test_step_submitted_twice_is_one_step(self):
+    def test_duplicate_submission_keeps_the_step(self):
         """Guards against a repeated submission that discards samples."""
         steps = folded(*step_records(), sample(), *step_records())
         self.assertEqual(len(steps.by_id["s1"].listed), 1)
@@ -49,7 +51,7 @@
         self.assertEqual(steps.by_id["s1"].listed, [])
         self.assertTrue(steps.by_id["s1"].is_done)
 
-    def test_sample_of_a_foreign_item_is_not_listed(self):
+    def test_sample_of_an_unknown_item_is_not_listed(self):
         steps = folded(*step_records(), sample(item="other"))
         self.assertEqual(steps.by_id["s1"].listed, [])
 
@@ -58,29 +60,34 @@
         steps = folded(*step_records(), *failures)
         self.assertEqual(len(steps.by_id["s1"].failed["i0"]), 2)
 
-    def test_failure_that_was_appended_twice_counts_once(self):
+    def test_duplicate_failure_record_counts_once(self):
         """Guards against a failure counted twice after a repeated append."""
-        for kind, kept in ((Failure, "failed"), (RewardFailure, "reward_failed")):
-            with self.subTest(kind.__name__):
-                data = encode(kind("s1", "i0"))
-                steps = folded(*step_records(), data, data, encode(kind("s1", "i0")))
-                self.assertEqual(len(getattr(steps.by_id["s1"], kept)["i0"]), 2)
-
-    def test_large_step_is_cut_into_records_and_joined(self):
-        many = step_records(items=400, limit=1000)
-        self.assertGreater(len(many), 2)
-        self.assertTrue(all(len(one) <= 1000 for one in many))
-        steps = folded(*many)
+        for record_type, attribute in (
+            (Failure, "failed"),
+            (RewardFailure, "reward_failed"),
+        ):
+            with self.subTest(record_type.__name__):
+                data = encode(record_type("s1", "i0"))
+                steps = folded(
+                    *step_records(), data, data, encode(record_type("s1", "i0"))
+                )
+                self.assertEqual(len(getattr(steps.by_id["s1"], attribute)["i0"]), 2)
+
+    def test_large_step_is_split_into_records_and_joined(self):
+        parts = step_records(items=400, limit=1000)
+        self.assertGreater(len(parts), 2)
+        self.assertTrue(all(len(part) <= 1000 for part in parts))
+        steps = folded(*parts)
         self.assertEqual(steps.by_id["s1"].items["i7"].body, b"body 7")
 
-    def test_half_a_step_is_no_step(self):
-        many = step_records(items=400, limit=1000)
-        self.assertEqual(folded(*many[:-1]).by_id, {})
-        self.assertEqual(folded(*many[1:]).by_id, {})
+    def test_incomplete_step_is_not_accepted(self):
+        parts = step_records(items=400, limit=1000)
+        self.assertEqual(folded(*parts[:-1]).by_id, {})
+        self.assertEqual(folded(*parts[1:]).by_id, {})
 
     @settings(derandomize=True, deadline=None)
     @given(st.binary(max_size=64))
-    def test_any_bytes_are_folded_without_harm(self, data):
+    def test_arbitrary_bytes_do_not_break_the_fold(self, data):
         steps = folded(*step_records(), data, b"S" + data, b"R" + data, sample())
         self.assertEqual(len(steps.by_id["s1"].listed), 1)
 
@@ -88,29 +95,29 @@
     @given(st.permutations(["i0", "i1", "i2", "i0", "i2"]))
     def test_positions_follow_offsets(self, order):
         steps = folded(*step_records(items=3), *(sample(item) for item in order))
-        listed = [one.item_id for one in steps.by_id["s1"].listed]
+        listed = [sample.item_id for sample in steps.by_id["s1"].listed]
         self.assertEqual(listed, list(dict.fromkeys(order)))
 
     def test_old_open_steps_are_kept(self):
         steps = folded(
             *step_records("open"), *step_records("done"), encode(End("done"))
         )
-        steps.forget(float("inf"))
+        steps.discard_done(float("inf"))
         self.assertEqual(list(steps.by_id), ["open"])
 
 
 class RecordTest(unittest.TestCase):
-    def test_step_survives_its_encoding(self):
-        first = spec(items=3)
-        parts = [records.decode(one) for one in encode_step(first, 500)]
-        second = records.unpack_step([part.piece for part in parts])
-        self.assertEqual(second.step_id, first.step_id)
-        self.assertEqual(second.min_version, first.min_version)
+    def test_step_round_trip(self):
+        original = spec(items=3)
+        parts = [records.decode(data) for data in encode_step(original, 500)]
+        decoded = records.unpack_step([part.piece for part in parts])
+        self.assertEqual(decoded.step_id, original.step_id)
+        self.assertEqual(decoded.min_version, original.min_version)
         self.assertEqual(
-            [one.body for one in second.items], [b"body 0", b"body 1", b"body 2"]
+            [item.body for item in decoded.items], [b"body 0", b"body 1", b"body 2"]
         )
 
-    def test_sample_survives_its_encoding(self):
+    def test_sample_round_trip(self):
         data = encode(Sample("s", "i", COMPLETED, "ä\nb", [3, 4]))
-        found = records.decode(data)
-        self.assertEqual((found.text, found.versions), ("ä\nb", [3, 4]))
+        decoded = records.decode(data)
+        self.assertEqual((decoded.text, decoded.versions), ("ä\nb", [3, 4]))
--- a/sassafrasdoor/weights/named.py
+++ b/sassafrasdoor/weights/named.py
@@ -55,7 +55,7 @@
     """Orders loads while ``holder.fence`` is set and the handover has passed.
 
     ``handover()`` returns the seconds to wait for a former holder's orders. ``work``
-    tells of the steps that run here: ``waiting(model)`` is the number of queued items,
+    tells of the steps that run here: ``queued_items(model)`` is the number of queued items,
     ``oldest_allowed(model)`` the oldest version that serves all open steps.
     """
 
@@ -197,7 +197,7 @@
         return pace.should_defer(
             self._named_at[model],
             now(),
-            bool(self._work.waiting(model)),
+            bool(self._work.queued_items(model)),
             self._serves(replica, model),
         )
 
--- a/sassafrasdoor/weights/tests/test_named.py
+++ b/sassafrasdoor/weights/tests/test_named.py
@@ -26,7 +26,7 @@
         self.queue = 0
         self.oldest = 0
 
-    def waiting(self, model):
+    def queued_items(self, model):
         return self.queue
 
     def oldest_allowed(self, model):
