--- a/sassafrasdoor/steps/durable/runner.py
+++ b/sassafrasdoor/steps/durable/runner.py
@@ -1,8 +1,8 @@
-"""Running the items of the shards that this process owns.
+"""Runs the items of the shards that this process owns.
 
-An item waits in the queue until a replica with the right weights has room, then one
-attempt runs it. What an attempt received is kept: the next one goes on after the
-last whole event, at any replica.
+An item is queued until a replica with new enough weights has a free slot; then an
+attempt streams its sample. The events received are kept: the next attempt, at any
+replica, resumes after the last complete event.
 """
 
 import asyncio
@@ -30,41 +30,37 @@
 )
 from sassafrasdoor.steps.durable.rewards import RewardDispatcher
 
-DISPATCH_INTERVAL = 0.1
-"""Seconds between looks at the queue when nothing wakes the runner."""
+DISPATCH_INTERVAL = 0.1  # seconds between passes over the queue without a wake-up
+# Seconds; covers a load of weights (0.9 s) and some seconds in a replica's full queue.
 FIRST_EVENT_TIMEOUT = 4.0
-"""Seconds without a first event after which an item goes elsewhere: a load of
-weights takes 0.9 s, a full queue some seconds."""
-GAP_TIMEOUT = 1.5
-"""Seconds without a further event: ten times the usual pause of 150 ms."""
+GAP_TIMEOUT = 1.5  # seconds between events; ten times the usual 150 ms
 SILENT, MIGRATED, OUTDATED = "silent", "moved", "old version"
+# Log texts by ``Job.abort_reason``, which is set when this process cancels an attempt.
 ABORT_REASONS = {
-    SILENT: "stream went silent",
-    MIGRATED: "moved from a slow replica",
-    OUTDATED: "weights older than the step allows",
+    SILENT: "no events from the replica",
+    MIGRATED: "migrated from a slow replica",
+    OUTDATED: "weights older than the step's minimum version",
 }
-"""Why an attempt was given up here, and what is said of it."""
+# Seconds between progress records of a sample, and before its first: most samples end
+# sooner and need none. Long ones take 6 s; one that the next runner restarted from its
+# beginning would miss its step's deadline.
 PROGRESS_INTERVAL = 1.2
-"""Seconds between records of an unfinished sample, and before its first: most samples
-end sooner and need none. Long ones run for six seconds; one that began anew with the
-next runner would come after its step's deadline."""
+# Seconds between attempts at an item that crashes replicas; it must be retried all the
+# same. Below 5 s, after which an unplaced item counts as forgotten.
 CRASH_RETRY_DELAY = 4.0
-"""Seconds between attempts at an item that crashes the replicas that run it. It may not
-be given up, and one that is at no replica for five seconds counts as forgotten."""
-REFUSAL_DELAY = 0.15
-"""Seconds that a replica which refused an item gets no other one of that model."""
+REFUSAL_DELAY = 0.15  # seconds without items of a model for a replica that refused one
 
-SAMPLES = counter("steps_samples_total", "Samples made by this process, by result.")
-ATTEMPTS = counter("steps_attempts_total", "Attempts at items, by result.")
+SAMPLES = counter("steps_samples_total", "Samples finished by this process, by result.")
+ATTEMPTS = counter("steps_attempts_total", "Attempts to run items, by result.")
 SECONDS = histogram(
     "steps_item_seconds",
-    "Seconds from the step's acceptance to an item's sample.",
+    "Seconds from a step's acceptance to an item's completed sample.",
     buckets=[0.25, 0.5, 1, 2, 3, 4, 5, 7.5, 10, 15, 30],
 )
 
 
 class _ItemRequest:
-    """An item as the requests that crash replicas are known: by what is sent."""
+    """Presents an item to ``CrashWatch`` as a request, identified by what is sent."""
 
     __slots__ = ("_job",)
 
@@ -83,7 +79,7 @@
 
 
 class Runner:
-    """Runs the open items of owned shards; results go to the shards' outboxes."""
+    """Runs the open items of owned shards and puts their records into the outboxes."""
 
     __slots__ = (
         "_candidates",
@@ -125,7 +121,7 @@
         replicas.on_change(self._wake.set)
 
     async def run(self):
-        """Hand out items until cancelled."""
+        """Dispatch items until cancelled."""
         while True:
             try:
                 async with asyncio.timeout(
@@ -143,11 +139,11 @@
             self._migrate_slow_samples()
 
     def queued_items(self, model):
-        """Return how many items of a model wait here for a replica."""
+        """Return the number of queued items of a model."""
         return sum(job.step.spec.model == model for job in self._queue)
 
     def oldest_allowed(self, model):
-        """Return the newest version that an open step here asks for, 0 for none."""
+        """Return the highest ``min_version`` of a model's open steps, 0 for none."""
         versions = [
             job.step.spec.min_version
             for job in self._jobs.values()
@@ -156,14 +152,14 @@
         return max(versions, default=0)
 
     def start_shard(self, shard):
-        """Run the open steps of a shard from now on."""
+        """Start running the open steps of a shard."""
         self._owned_shards.add(shard)
         for step in self._steps.by_id.values():
             if step.shard == shard:
                 self._add_items(step)
 
     def stop_shard(self, shard):
-        """Run nothing of a shard any more; keep what was received for the next."""
+        """Stop the items of a shard; record their progress for the next runner."""
         self._owned_shards.discard(shard)
         for job in list(self._jobs.values()):
             if job.step.shard == shard:
@@ -205,10 +201,10 @@
         self._wake.set()
 
     def _start_scoring(self, job):
-        """Send the reward call of a text that the log keeps.
+        """Queue the reward call of a text that is in the log.
 
-        A former runner may have kept it while this one still makes its own: only the
-        first record of a text counts, so the other is made in vain.
+        A previous runner may have appended it while an attempt runs here. Only the
+        first record of a text counts, so that attempt is cancelled.
         """
         self._cancel(job)
         job.begin_scoring()
@@ -248,7 +244,7 @@
             )
             if candidate is None:
                 unplaceable.add(requirement)
-                # Whoever took the better place is gone with it: any will do now.
+                # A migrating item has lost its slot to another: any replica will do.
                 job.avoid = ""
                 self._queue.append(job)
                 continue
@@ -256,7 +252,7 @@
             self._start_attempt(job, candidate.replica)
 
     def _is_delayed_after_crash(self, job):
-        """Say whether an item that crashes replicas is to wait before its next try."""
+        """Say whether an item that crashes replicas must wait for its next attempt."""
         if job.broke_at is None or passed(job.broke_at + CRASH_RETRY_DELAY):
             return False
         return self._crashes.quarantines(_ItemRequest(job))
@@ -269,10 +265,12 @@
                 return False
             self._append_sample(job, ERRORED, "route removed")
             return True
-        # Counted from when this process learned of the step, so never too early,
-        # whatever the clocks of the instance that accepted it say.
+        # Measured from when this process learned of the step: never too early, whatever
+        # the clock of the instance that accepted it says.
         if passed(job.step.seen_at + route.keep_for):
-            self._append_sample(job, ERRORED, "kept long enough")
+            self._append_sample(
+                job, ERRORED, "not completed within the route's retention"
+            )
             return True
         return False
 
@@ -283,7 +281,7 @@
         return configuration.match(job.step.spec.host, job.item.path)
 
     def _select_candidate(self, job):
-        """Return the ``Candidate`` that gets an item now, or None."""
+        """Return the ``Candidate`` to send an item to, or None."""
         route = self._route(job)
         if route is None:
             return None
@@ -292,26 +290,27 @@
         return placement.place(self._candidates_for(route.pick_service()), required)
 
     def _candidates_for(self, service):
-        """Return the ``Candidate``s of a service, the same for one pass."""
+        """Return the ``Candidate``s of a service, cached for one pass."""
         if service not in self._candidates:
             replicas = self._replicas.of_service(service)
             self._candidates[service] = [replica.candidate() for replica in replicas]
         return self._candidates[service]
 
     def _migrate_slow_samples(self):
-        """Move samples away from replicas that are much slower than one with room.
+        """Migrate samples from replicas much slower than one with a free slot.
 
-        A step waits for its last samples. One that is left on a replica that turned
-        slow takes several times as long; going on elsewhere costs reading what it
-        has reached, some ten milliseconds.
+        A step waits for its last samples, and on a replica that became slow they take
+        several times as long. Resuming elsewhere costs reading the text so far, some
+        ten milliseconds.
         """
         queued_models = {job.step.spec.model for job in self._queue}
         self._candidates.clear()
         for job in list(self._jobs.values()):
             if job.task is None or job.scoring or job.abort_reason:
                 continue
-            # An attempt that has not begun yet would not see its cancellation, and the
-            # item would wait for ever with its replica counted as one fuller.
+            # An attempt without events may not have started. Cancelled then, it handles
+            # nothing: its item would never be queued again, and its replica would be
+            # counted as one fuller.
             if job.last_event_at is None:
                 continue
             if (
@@ -369,10 +368,10 @@
                     lambda event: self._handle_event(job, event, timeout),
                 )
         except TimeoutError:
-            result = Broken("no first event", began=True)
+            result = Broken("no first event within the timeout", began=True)
         except asyncio.CancelledError:
-            # Ended from here: the item is listed, its step ended, or the attempt is
-            # given up. Only in the last case is there something left to do.
+            # Cancelled by this process: its item is listed, its step ended, its shard
+            # lost, or the attempt aborted. Only an aborted attempt is repeated.
             if job.abort_reason not in ABORT_REASONS:
                 raise
             result = Broken(ABORT_REASONS[job.abort_reason], began=True)
@@ -385,7 +384,7 @@
         self._handle_result(job, replica, route, result)
 
     def _handle_event(self, job, event, timeout):
-        """Take one event; return whether the stream is to go on."""
+        """Handle one event; return whether to continue the stream."""
         if event.version and event.version < job.step.spec.min_version:
             job.abort_reason = OUTDATED
             job.replica.told_version(job.step.spec.model, event.version)
@@ -399,7 +398,7 @@
         return True
 
     def _handle_result(self, job, replica, route, result):
-        """Act on what became of an attempt."""
+        """Handle the result of an attempt."""
         ATTEMPTS.inc({"result": type(result).__name__})
         if job.abort_reason == OUTDATED:
             self._requeue(job, replica, ABORT_REASONS[OUTDATED])
@@ -422,7 +421,9 @@
     def _handle_completion(self, job, replica, route):
         if route is not None and route.one_version and len(set(job.versions)) > 1:
             job.restart()
-            self._requeue(job, replica, "several versions where one is asked for")
+            self._requeue(
+                job, replica, "several weight versions on a single-version route"
+            )
             return
         if job.item.reward is None:
             self._append_sample(job, COMPLETED, "")
@@ -477,7 +478,7 @@
         self._finish(job, COMPLETED, text.versions if text else [], "")
 
     def _finish(self, job, state, versions, reason):
-        """Forget a job whose sample is on its way into the log."""
+        """Remove a job whose sample or score is in the outbox."""
         self._jobs.pop(job.key, None)
         self._rewards.drop(job)
         SAMPLES.inc({"result": state})
--- a/sassafrasdoor/steps/durable/tests/test_runner.py
+++ b/sassafrasdoor/steps/durable/tests/test_runner.py
@@ -1,4 +1,4 @@
-"""Running items: where they go, what is resumed, when they are given up."""
+"""Tests of running items: placement, resumption, migration and failures."""
 
 import asyncio
 import unittest
@@ -46,7 +46,7 @@
 
 class RunnerTest(unittest.IsolatedAsyncioTestCase):
     def setUp(self):
-        # A stream that nobody ends must not end by itself while a test waits.
+        # Hanging streams must not time out while a test waits.
         for where, name in (
             (module, "FIRST_EVENT_TIMEOUT"),
             (placement, "UNRESPONSIVE_AFTER"),
@@ -75,7 +75,7 @@
     async def until(self, condition):
         limit = deadline_in(20)
         while not condition():
-            self.assertFalse(passed(limit), "condition never came true")
+            self.assertFalse(passed(limit), "condition not met within 20 s")
             await asyncio.sleep(0.005)
 
     async def samples(self, count):
@@ -173,7 +173,7 @@
         await self.samples(1)
 
     async def test_item_waits_for_a_configuration(self):
-        """Guards against a runner that ends for want of a configuration."""
+        """Guards against a runner that fails without a configuration."""
         routes = RoutesInForce()
         await self.start(ScriptedClient(), routes=routes, items=1)
         await asyncio.sleep(3 * module.DISPATCH_INTERVAL)
@@ -188,7 +188,7 @@
         self.assertEqual((sample.state, self.client.sent), (ERRORED, []))
 
     async def test_ending_a_step_cancels_its_streams(self):
-        """Guards against streams that go on after their step has ended."""
+        """Guards against streams that continue after their step has ended."""
         hang = ScriptedClient.HANG
         await self.start(ScriptedClient(([], hang), ([], hang)))
         await self.until(lambda: len(self.client.sent) == 2)
@@ -204,7 +204,7 @@
         await self.until(lambda: self.client.cancelled == 1)
 
     async def test_silent_stream_resumes_at_another_replica(self):
-        """Guards against a silent stream that holds its item."""
+        """Guards against a silent stream that blocks its item."""
         gap, module.GAP_TIMEOUT = module.GAP_TIMEOUT, 0.2
         self.addCleanup(setattr, module, "GAP_TIMEOUT", gap)
         silent = ([(0, "a", 1)], ScriptedClient.HANG)
@@ -259,13 +259,13 @@
         self.assertEqual(len(self.client.sent), 3)
 
     async def test_item_that_crashes_replicas_is_delayed_between_attempts(self):
-        """One item takes down replica after replica, as fast as they come."""
+        """Guards against an item that crashes one replica after another without delay."""
         client = ScriptedClient(*[BROKEN] * 6)
         client.reach = refuse_connection
         await self.start(client, replicas(8), items=1)
         await self.until(lambda: len(client.sent) >= 3)
         await asyncio.sleep(1.0)
-        # The crash that tells may be known only after the next attempt has begun.
+        # The decisive crash may be detected only after the next attempt has begun.
         self.assertLessEqual(len(client.sent), 4)
         with mock.patch.object(module, "CRASH_RETRY_DELAY", 0.0):
             await self.samples(1)
