--- a/sassafrasdoor/steps/durable/shards.py
+++ b/sassafrasdoor/steps/durable/shards.py
@@ -1,10 +1,10 @@
-"""Which process runs a shard: a lease kept in the shard's own records.
+"""Decides which process runs a shard: a lease kept in the shard's own records.
 
-The log's groups deal all partitions anew whenever a member comes or goes: while
-instances are restarted in turn, streams are cut again and again. A lease in the shard
-moves only when its holder leaves or dies. Claims are judged by offset
-alone; each names the claim that it replaces, so of several only the first counts,
-and whoever's claim is folded has folded every sample listed before it.
+Consumer groups of the log reassign all partitions whenever a member joins or leaves, so
+a rolling restart would cut streams again and again. A lease in the shard moves only
+when its holder leaves or dies. Claims are judged by offset alone: each names the claim
+that it replaces, so only the first of several counts, and a process that has folded its
+own claim has folded every sample listed before it.
 """
 
 import asyncio
@@ -15,38 +15,35 @@
 from sassafrasdoor.outcomes import Outcome
 from sassafrasdoor.steps.durable.records import Claim, encode
 
-CHECK_INTERVAL = 0.1
-RENEW_INTERVAL = 0.5
+CHECK_INTERVAL = 0.1  # seconds
+RENEW_INTERVAL = 0.5  # seconds
+# Seconds without renewal until others claim: three renewals may be lost, and an item
+# must be back at a replica well within five seconds of its runner's death.
 LEASE_TIMEOUT = 1.7
-"""Seconds without renewal until others claim: three renewals may be lost, and an item
-must be back at a replica well within five seconds of its runner's death."""
-FENCE_MARGIN = 0.3
-"""Seconds by which a holder stops before its claim lapses elsewhere."""
-RANK_DELAY = 0.3
-"""Seconds by which the next in rank waits longer, so that they do not claim at once."""
+FENCE_MARGIN = 0.3  # seconds by which a holder stops before its claim lapses elsewhere
+RANK_DELAY = 0.3  # seconds per rank, so that processes do not claim simultaneously
 SEPARATOR = "/"
 MAX_RANK = 5
-CLAIM_TIMEOUT = 1.5
-CONFIRM_TIMEOUT = 0.5
-"""Seconds for a look whether a claim was renewed; a slow log answers within 0.25 s."""
+CLAIM_TIMEOUT = 1.5  # seconds
+CONFIRM_TIMEOUT = 0.5  # seconds to check for a renewal; a slow log takes up to 0.25 s
 
-CLAIMS = counter("steps_shard_claims_total", "Claims of shards, by result.")
+CLAIMS = counter("steps_shard_claims_total", "Shard claims, by result.")
 ENDED_RUNNERS = counter(
     "steps_runners_ended_total",
-    "Shards claimed since their runner is known to be gone.",
+    "Shards claimed because their runner is known to have ended.",
 )
-HELD = gauge("steps_shards_held", "Shards that this process runs.")
+HELD = gauge("steps_shards_held", "Shards run by this process.")
 
 
 class Shards:
     """Claims, renews and releases shards for the process named ``runner``.
 
-    The name is the instance's address, a slash and what tells its processes apart.
+    The name is the instance's address, a slash and an identifier of the process.
 
-    ``ranking(shard)`` is this instance's place among those that could run a shard, 0
-    for the first; ``on_gain(shard)`` and ``on_loss(shard)`` are told of changes.
-    ``processes`` knows which have ended: ``has_ended(instance, name, since)``, and
-    whether this one ``is_listed`` there, before which it claims nothing.
+    ``ranking(shard)`` is this instance's rank among those that could run a shard, 0
+    for the first; ``on_gain(shard)`` and ``on_loss(shard)`` are called on changes.
+    ``processes`` says which have ended, ``has_ended(instance, name, since)``, and
+    whether this one ``is_listed``; until it is, it claims nothing.
     """
 
     __slots__ = (
@@ -97,9 +94,9 @@
         return bool(self._held)
 
     async def run(self):
-        """Claim and renew until cancelled."""
+        """Claim and renew shards until cancelled."""
         while True:
-            # A process reads all shards or none; what is not read is not claimed.
+            # A process reads all shards or none, and claims only shards that it reads.
             await self._tails[0].wanted.wait()
             for shard in list(self._steps.used_shards):
                 if self._is_due(shard):
@@ -120,8 +117,8 @@
     def fence(self, shard):
         """Return the fencing number if this process holds a shard now, else 0.
 
-        Counted from before the last renewal was sent, so that it ends here before
-        any other process takes the shard's claim for lapsed.
+        Measured from before the last renewal was sent, so that the lease ends here
+        before any other process considers the claim lapsed.
         """
         claim = self._steps.claims.get(shard)
         if self._leaving or shard not in self._held:
@@ -132,7 +129,7 @@
         return claim.epoch + 1
 
     def leave(self):
-        """Claim nothing more; return the records that release what is held."""
+        """Stop claiming; return the records that release the held shards."""
         self._leaving = True
         releases = {}
         for shard in sorted(self._held):
@@ -146,7 +143,7 @@
         if not passed(self._next_claim.get(shard, LONG_AGO)):
             return False
         if self._tails[shard].confirmed_at is None:
-            # Before the shard was read to its end an old claim looks like the last.
+            # Until the shard is read to its end, an old claim may look like the last.
             return False
         claim = self._steps.claims.get(shard)
         if shard in self._held:
@@ -158,12 +155,12 @@
         return self._has_lapsed(shard, claim)
 
     def _has_lapsed(self, shard, claim):
-        """Say whether a claim was not renewed, as the shard's records say.
+        """Say whether the shard's records show that a claim was not renewed.
 
-        Silence of the log says nothing: where it is away for all, the holder cannot
-        renew either. Claims made then would land at its return, one of them would
-        count, and steps and loads would stand still until all agree on it. So the end
-        of the shard must have been read after the lapse.
+        An unreachable log shows nothing: if it is down for all, the holder cannot renew
+        either. Claims sent meanwhile would be appended on its return, one of them would
+        count, and steps and loads would stall until all processes agree on it. So the
+        shard must have been read to its end after the lapse.
         """
         tail = self._tails[shard]
         if tail.confirmed_at >= claim.seen_at + LEASE_TIMEOUT:
@@ -188,21 +185,21 @@
             return claim.seen_at
         if claim.released or self._has_ended(claim):
             return claim.seen_at + rank_delay
-        # While the log was away nobody could renew, and nobody could see it.
+        # While the log was down, renewals could be neither sent nor seen.
         restored_at = self._tails[shard].restored_at or LONG_AGO
         return max(claim.seen_at, restored_at) + LEASE_TIMEOUT + rank_delay
 
     def _has_ended(self, claim):
-        """Say whether the claim is of a process that is known to have ended."""
+        """Say whether the process of a claim is known to have ended."""
         if self._is_of_this_instance(claim):
             return True
         instance = claim.runner.partition(SEPARATOR)[0]
         return self._processes.has_ended(instance, claim.runner, claim.seen_at)
 
     def _is_of_this_instance(self, claim):
-        """Say whether the claim is of a process of this instance that has ended.
+        """Say whether a claim is of this instance, thus of a process that has ended.
 
-        Where all processes end at once, nobody else need wait for its lapse.
+        After a restart of all processes, each reclaims its shards without waiting.
         """
         return claim.runner.partition(SEPARATOR)[0] == self._instance
 
@@ -219,7 +216,7 @@
         task.add_done_callback(self._tasks.discard)
 
     def _note_runner_ended(self, shard, claim):
-        """Say that a shard is claimed since its runner is known to be gone."""
+        """Log that a shard is claimed because its runner has ended."""
         if claim is None or claim.released or not self._has_ended(claim):
             return
         ENDED_RUNNERS.inc({})
@@ -235,7 +232,7 @@
     def _handle_claim(self, shard, claim):
         is_own = claim.runner == self._runner and not claim.released
         if is_own:
-            # The oldest send not yet seen back may be the one that was folded now.
+            # The claim folded now may be the oldest one sent but not yet seen.
             self._renewed_at[shard] = self._sent_at.pop(shard, LONG_AGO)
         if is_own and shard not in self._held and not self._leaving:
             self._held.add(shard)
@@ -250,10 +247,10 @@
 
 
 class ShardLease:
-    """A duty that one process has at a time: the lease of a shard without steps.
+    """The lease of a shard without steps, for a task of one process at a time.
 
-    ``fence`` is the fencing number while this process has it, else 0; ``identity``
-    names the instance towards those who check it.
+    ``fence`` is the fencing number while this process holds the lease, else 0;
+    ``identity`` names the instance to those that check the lease.
     """
 
     __slots__ = ("_shard", "_shards", "identity")
--- a/sassafrasdoor/steps/durable/tests/test_shards.py
+++ b/sassafrasdoor/steps/durable/tests/test_shards.py
@@ -1,4 +1,4 @@
-"""Who runs a shard, and how its work is handed on."""
+"""Tests of shard leases, and of resuming a shard's items at the next runner."""
 
 import asyncio
 import unittest
@@ -18,7 +18,7 @@
 
 
 class Processes:
-    """Which process each instance runs, as the list of instances says."""
+    """The process that each instance runs, as listed."""
 
     def __init__(self):
         self.by_instance = {}
@@ -87,7 +87,7 @@
     async def until(self, condition):
         limit = deadline_in(20)
         while not condition():
-            self.assertFalse(passed(limit), "condition never came true")
+            self.assertFalse(passed(limit), "condition not met within 20 s")
             await asyncio.sleep(0.01)
 
     async def test_first_ranked_process_claims_a_new_shard(self):
@@ -102,7 +102,7 @@
         await self.until(lambda: self.second.holds)
 
     async def test_resumed_process_loses_a_replaced_claim(self):
-        """Guards against a resumed process that renews a replaced claim."""
+        """Guards against a frozen process that resumes and renews a replaced claim."""
         await self.submit()
         await self.until(lambda: self.first.holds)
         self.first.stop()
@@ -112,7 +112,7 @@
         self.assertTrue(self.second.holds)
 
     async def test_restarted_process_reclaims_its_shards_immediately(self):
-        """Guards against a restarted process that waits for its own former claim."""
+        """Guards against a restarted process that waits for its previous claim to lapse."""
         module.LEASE_TIMEOUT = 1000.0
         await self.submit()
         await self.until(lambda: self.first.holds)
@@ -123,7 +123,7 @@
         await self.until(lambda: restarted.holds)
 
     async def test_shard_of_an_ended_process_is_claimed_immediately(self):
-        """Guards against waiting for the claim of a process that has ended."""
+        """Guards against waiting for the claim of an ended process to lapse."""
         module.LEASE_TIMEOUT = 1000.0
         await self.submit()
         await self.until(lambda: self.first.holds)
@@ -137,7 +137,7 @@
         self.assertEqual([call.kwargs["runner"] for call in ended], ["one/1"])
 
     async def test_shard_runs_elsewhere_while_its_claim_is_renewed(self):
-        """Guards against loads and items that end up at two processes."""
+        """Guards against loads and items handled by two processes."""
         await self.submit()
         await self.until(lambda: self.first.holds)
         await self.until(lambda: self.second.shards.runs_elsewhere(0))
@@ -146,7 +146,7 @@
         self.assertFalse(self.second.shards.runs_elsewhere(0))
 
     async def test_unlisted_process_claims_nothing(self):
-        """Guards against a claim that others take for that of an ended process."""
+        """Guards against a claim that others attribute to an ended process."""
         self.first.processes.is_listed = False
         await self.submit()
         await self.until(lambda: self.second.holds)
@@ -161,7 +161,7 @@
         await self.until(lambda: self.first.events == ["gained", "lost"])
 
     async def test_log_outage_moves_no_shard(self):
-        """Guards against claims that lapse by the time of an outage."""
+        """Guards against claims that lapse during an outage of the log."""
         await self.submit()
         await self.until(lambda: self.first.holds)
         self.log.down = True
@@ -173,7 +173,7 @@
 
 
 class SilentLog(MemoryPartitionedLog):
-    """Leaves every call without an answer while it is ``silent``; appends land."""
+    """Answers no call while ``silent``; ``held`` collects the appends of that time."""
 
     def __init__(self):
         super().__init__()
@@ -197,7 +197,7 @@
 
 class SilentLogTest(unittest.IsolatedAsyncioTestCase):
     async def test_no_claims_while_the_log_is_silent(self):
-        """Guards against claims made because a silent log shows no renewal."""
+        """Guards against claims sent because a silent log shows no renewal."""
         log = SilentLog()
         first, second = Instance(log, "one/1", 0), Instance(log, "two/1", 1)
         timeout, module.LEASE_TIMEOUT = module.LEASE_TIMEOUT, 1.0
@@ -220,7 +220,7 @@
     async def until(self, condition):
         limit = deadline_in(20)
         while not condition():
-            self.assertFalse(passed(limit), "condition never came true")
+            self.assertFalse(passed(limit), "condition not met within 20 s")
             await asyncio.sleep(0.01)
 
 
