--- a/sassafrasdoor/steps/durable/jobs.py
+++ b/sassafrasdoor/steps/durable/jobs.py
@@ -11,11 +11,11 @@
 
     ``sent_at`` is when the current attempt was sent, ``begun_at`` the first one, and
     ``whole_at`` when the text was complete; None before. ``broke_at`` is when the last
-    attempt's connection broke, None where none did. ``avoid`` is the identity of
-    the slow replica that it migrates from, until its next attempt. ``kept`` counts its
-    events in the log, under the name ``run``. Once ``scoring``, ``task`` is the reward
-    call, not sent before ``reward_from``; ``text_kept_at`` is when the log kept the
-    text, and ``unanswered`` counts the calls since then without an answer.
+    attempt's connection broke, None if none did. ``avoid`` is the identity of the slow
+    replica that it migrates from, until its next attempt. ``appended`` counts its events
+    in the log, under the name ``run``; more are due at ``keep_at``. Once ``scoring``,
+    ``task`` is the reward call, not sent before ``reward_from``; ``text_kept_at`` is when
+    the text was found in the log, and ``unanswered`` counts the calls without an answer.
     """
 
     __slots__ = (
@@ -85,10 +85,10 @@
         return self.numbers[-1] if self.numbers else None
 
     def _resume(self, step):
-        """Resume from a former runner's progress, if its weights are new enough.
+        """Resume from a previous runner's progress, if its weights are new enough.
 
-        The events are logged again under this run's name, as the former runner may
-        still append to its own.
+        The events are logged again under this run's name, as the previous runner
+        may still append to its own.
         """
         partial = step.longest_partial_sample(self.item.item_id)
         if partial is None or min(partial.versions) < step.spec.min_version:
--- a/sassafrasdoor/steps/durable/order.py
+++ b/sassafrasdoor/steps/durable/order.py
@@ -1,6 +1,6 @@
-"""In which order the items of a step are dispatched.
+"""Decides the order in which the items of a step are dispatched.
 
-A trainer goes on once ``wanted`` groups are complete, and a group is complete with its
+A trainer proceeds once ``wanted`` groups are complete, and a group is complete with its
 last sample. Long samples are dispatched first; the groups that the trainer does not
 wait for, the longest ones, are dispatched last.
 """
@@ -21,6 +21,6 @@
 
 
 def _longest(names, groups, count):
-    """Return the ``count`` names of the groups with the longest longest sample."""
+    """Return the names of the ``count`` groups whose longest sample is longest."""
     longest = {name: max(item.expected for item in groups[name]) for name in names}
     return sorted(names, key=lambda name: -longest[name])[:count]
--- a/sassafrasdoor/steps/durable/service.py
+++ b/sassafrasdoor/steps/durable/service.py
@@ -1,4 +1,4 @@
-"""What trainers ask of durable steps, at any instance: submit, read, body, end."""
+"""Serves trainers' calls on durable steps at any instance: submit, read, body, end."""
 
 import asyncio
 import zlib
@@ -10,34 +10,24 @@
 from sassafrasdoor.steps.durable import records
 
 TOPIC = "steps"
-SHARD_COUNT = 6
-"""Partitions of the steps' topic: each model's steps share one, and one runner."""
-APPEND_TIMEOUT = 0.8
-"""Seconds that one append may take; a slow log answers within 60 times 4 ms."""
-MIN_APPEND_TIMEOUT = 0.4
-"""Seconds that an append is given at least; a slow log answers within 0.25 s."""
-SUBMIT_TIMEOUT = 3.0
-"""Seconds that a submission is tried for: a caller has 12 s and one more try."""
+SHARD_COUNT = 6  # partitions of the topic; a model's steps share one, and its runner
+APPEND_TIMEOUT = 0.8  # seconds for one append; a slow log answers within 60 times 4 ms
+MIN_APPEND_TIMEOUT = 0.4  # seconds; a slow log answers within 0.25 s
+SUBMIT_TIMEOUT = 3.0  # seconds for all appends; a caller has 12 s and one more try
+# Seconds for all appends; until the end is acknowledged its trainer retries at another
+# instance and announces no new weights.
 END_TIMEOUT = 1.3
-"""Seconds that an end is tried for: its trainer asks again, at another instance, and
-names no version before."""
-RETRY_DELAY = 0.2
-RETRY_AFTER = 1.5
-"""Seconds a trainer should wait with a step that was refused: outages take seconds."""
-STARTUP_RETRY_AFTER = 1.0
-"""Seconds a caller should wait for an instance that still reads what the log keeps."""
-CONFIRM_TIMEOUT = 0.9
-"""Seconds to find out whether an unknown step exists."""
+RETRY_DELAY = 0.2  # seconds
+RETRY_AFTER = 1.5  # seconds until a refused step is sent again; outages last seconds
+STARTUP_RETRY_AFTER = 1.0  # seconds to wait for an instance that still reads the log
+CONFIRM_TIMEOUT = 0.9  # seconds to find out whether an unknown step exists
+# Seconds since the last read to a shard's end up to which an empty page may be returned;
+# all instances must show within a second what one has shown.
 EMPTY_PAGE_MAX_AGE = 0.7
-"""Seconds since the last read to a shard's end within which "nothing further" is
-believed; all instances must show within a second what one has shown."""
-PAGE_MAX_AGE = 0.1
-"""Seconds since the last read to a shard's end within which a reader gets what is known
-of its step without another look."""
+PAGE_MAX_AGE = 0.1  # seconds since that read up to which a page needs no refresh
+# Seconds for a refresh; if the log does not answer, the page shows what is known.
 REFRESH_TIMEOUT = 0.15
-"""Seconds for that look; a reader gets what is known if the log does not answer."""
-MAX_PAGE_BYTES = 900_000
-"""Text in one page of samples; readers are promised at most 1 MB."""
+MAX_PAGE_BYTES = 900_000  # text in one page; readers are promised at most 1 MB
 
 CALLS = counter("steps_calls_total", "Trainers' calls, by call and outcome.")
 ACCEPT_SECONDS = histogram(
@@ -48,13 +38,13 @@
 
 
 class NotFound(Outcome):
-    """No such step or item exists; certain."""
+    """The step or item certainly does not exist."""
 
     __slots__ = ()
 
 
 class Page:
-    """Samples of a step from ``first`` on; ``total`` items belong to the step."""
+    """Samples of a step from position ``first`` on; the step has ``total`` items."""
 
     __slots__ = ("first", "samples", "total")
 
@@ -70,7 +60,7 @@
 
 
 class StepService:
-    """Answers trainers from the fold; writes only by appends to the log."""
+    """Answers trainers from the folded steps; writes only by appends to the log."""
 
     __slots__ = ("_log", "_record_limit", "_steps", "_tails")
 
@@ -81,11 +71,10 @@
         self._record_limit = record_limit
 
     async def submit(self, spec, deadline, forward=None):
-        """Return True once the step is kept, ``NotRun``, or ``Unknown``.
+        """Return True once the step is in the log, ``NotRun`` or ``Unknown``.
 
-        ``forward()`` hands the step to another instance: True if that has kept it,
-        False if that has surely not, None if nobody knows. Without it one append is
-        tried only.
+        ``forward()`` submits the step through another instance: True if accepted there,
+        False if certainly not, None if unknown. Without it only one append is tried.
         """
         started_at = now()
         result = await self._submit(spec, deadline, forward)
@@ -119,20 +108,20 @@
             )
             if not isinstance(result, Outcome):
                 return True
-            # An append whose reply was lost may land seconds later. Appending the
-            # step again is harmless, its first record counts; but from here on
-            # nobody may say that it will not run.
+            # An append whose reply was lost may land seconds later. Appending the step
+            # again is harmless, as its first record counts, but from here on it must
+            # not be reported as not run.
             is_unknown = is_unknown or isinstance(result, ReplyLost)
             if forward is None:
                 break
-            # The log may be away for this instance only. Then a step that waited
+            # The log may be unreachable from this instance only. A step that waited
             # here would be late by seconds, and its trainer behind for the day.
             accepted = await forward()
             if accepted:
                 return True
             is_unknown = is_unknown or accepted is None
-            # One that has hardly any time left would end without a reply, and turn
-            # a true refusal into an unknown fate.
+            # An append with hardly any time left would end without a reply, and turn
+            # a certain refusal into an unknown outcome.
             if remaining(submit_deadline) < RETRY_DELAY + MIN_APPEND_TIMEOUT:
                 break
             await asyncio.sleep(RETRY_DELAY)
@@ -158,8 +147,8 @@
                 if passed(wait_deadline):
                     break
                 await self._wait_for_sample(step, wait_deadline)
-        # Another instance may have shown more already: one that has just started, or
-        # was cut off, is still reading what the log lists.
+        # Another instance may have shown more already, while this one still reads the
+        # log after a start or a disconnection.
         has_answer = len(step.listed) > first or step.is_done
         if not has_answer and not await tail.fresh(
             EMPTY_PAGE_MAX_AGE, deadline_in(CONFIRM_TIMEOUT)
@@ -168,7 +157,7 @@
         return Page(first, self._fit_page(step.listed[first:]), len(step.items))
 
     def _refuse_page(self, step, first):
-        """Return the refusal of a page of which this instance may lack samples."""
+        """Refuse a page of which this instance may lack samples."""
         note(
             "step.read_unsure",
             step=step.spec.step_id,
@@ -191,9 +180,9 @@
         return NotFound("no such item") if item is None else item.body
 
     async def end(self, step_id, deadline, forward=None):
-        """End a step; return True once that is kept, ``NotFound``, or ``Unknown``.
+        """End a step; return True once that is logged, or an ``Outcome``.
 
-        ``forward()`` asks another instance to; True if that has kept the end.
+        ``forward()`` ends it through another instance: True if that logged the end.
         """
         step = await self._find(step_id)
         if isinstance(step, Outcome):
@@ -221,9 +210,9 @@
         step = self._steps.by_id.get(step_id)
         if step is not None:
             return step
-        # A step may have been accepted elsewhere a moment ago. Only a read that
-        # finds the end of every shard makes "no such step" true. While megabytes are
-        # still to be read, another instance can tell sooner.
+        # A step may just have been accepted elsewhere. "No such step" is certain only
+        # after a read to the end of every shard. While this instance starts, with
+        # megabytes still to be read, another one can answer sooner.
         is_starting = any(tail.is_starting for tail in self._tails)
         deadline = now() if is_starting else deadline_in(CONFIRM_TIMEOUT)
         confirmed = await asyncio.gather(
@@ -249,15 +238,18 @@
         """Return why this instance does not know a step."""
         reasons = (
             (step_id in self._steps.discarded, "forgotten"),
-            (any(tail.skipped for tail in self._tails), "records expired unread"),
-            (not self._tails[0].wanted.is_set(), "steps are not followed here"),
-            (not is_confirmed, "not read to the end"),
-            (True, "not kept"),
+            (
+                any(tail.skipped for tail in self._tails),
+                "records expired before they were read",
+            ),
+            (not self._tails[0].wanted.is_set(), "shards not read by this instance"),
+            (not is_confirmed, "shards not read to their end"),
+            (True, "not in the log"),
         )
         return next(reason for applies, reason in reasons if applies)
 
     def _unconfirmed_progress(self, confirmed):
-        """Return the progress of the followed shards whose end is not known."""
+        """Return the progress of the shards read here that were not confirmed."""
         return [
             tail.progress()
             for tail, is_confirmed in zip(self._tails, confirmed, strict=True)
--- a/sassafrasdoor/steps/durable/state.py
+++ b/sassafrasdoor/steps/durable/state.py
@@ -1,8 +1,8 @@
-"""Folding a shard's records into steps: the same on every instance.
+"""Folds a shard's records into steps, identically on every instance.
 
-Offsets decide everything. The first record of a step counts, so does the first
-record of a sample: two runners of one shard, an append that lands late or a step
-submitted twice change nothing that a trainer has read.
+Offsets decide: the first record of a step counts, and so does the first record of a
+sample. Two runners of one shard, an append that lands late or a step submitted twice
+change nothing that a trainer has read.
 """
 
 from collections import Counter
@@ -12,17 +12,16 @@
 from sassafrasdoor.steps.durable import records
 
 MAX_PARTIAL_STEPS = 64
-MAX_DISCARDED_IDS = 4096
-"""Names of dropped steps that are kept, so that a line can say why one is unknown."""
+MAX_DISCARDED_IDS = 4096  # so that a log line can say why a step is unknown
 
 
 class Step:
     """One accepted step and what the log lists of it.
 
-    ``listed`` are the samples by position; ``failed`` and ``reward_failed`` name
-    the tries that replicas failed by item, ``progress`` the beginnings kept of
-    unfinished samples by item and run, ``texts`` the whole texts that still need their
-    score; ``seen_at`` is when this process learned of the step.
+    ``listed`` are the samples by position. By item, ``failed`` and ``reward_failed``
+    are the ids of attempts and reward calls that replicas failed, ``progress`` the
+    partial samples by run, ``texts`` the complete texts that still need their score.
+    ``seen_at`` is when this process learned of the step.
     """
 
     __slots__ = (
@@ -60,12 +59,12 @@
 
     @property
     def is_done(self):
-        """Whether nothing of it is to be run any more."""
+        """Whether none of its items is to be run any more."""
         return self.ended or len(self.listed_ids) == len(self.items)
 
     @property
     def is_new(self):
-        """Whether nothing is known of it but that it was accepted."""
+        """Whether nothing is known of it except its acceptance."""
         return not (self.ended or self.listed_ids or self.progress or self.texts)
 
     def is_open(self, item_id):
@@ -75,7 +74,7 @@
         )
 
     def missing_samples(self, group):
-        """Return how many samples a group still lacks."""
+        """Return how many samples of a group are missing."""
         return self._group_sizes[group] - self._listed_by_group.get(group, 0)
 
     def add_sample(self, sample):
@@ -88,12 +87,12 @@
         self._listed_by_group[group] = self._listed_by_group.get(group, 0) + 1
 
     def longest_partial_sample(self, item_id):
-        """Return the longest ``Beginning`` kept of an item, or None."""
+        """Return the longest ``PartialSample`` of an item, or None."""
         runs = self.progress.get(item_id, {}).values()
         return max(runs, key=lambda run: len(run.numbers), default=None)
 
     def wake(self):
-        """Wake those who wait for a further sample."""
+        """Wake the readers that wait for a further sample."""
         waiters, self.waiters = self.waiters, set()
         for waiter in waiters:
             if not waiter.done():
@@ -101,9 +100,9 @@
 
 
 class ObservedClaim:
-    """The last claim of a shard that counted, and when this process saw it.
+    """The last valid claim of a shard, and when this process saw it.
 
-    ``epoch`` is the offset of its holder's first claim: it grows with each change.
+    ``epoch`` is the offset of its holder's first claim: it grows with each new holder.
     """
 
     __slots__ = ("epoch", "offset", "released", "runner", "seen_at")
@@ -120,7 +119,7 @@
 
 
 class PartialSample:
-    """The events kept of one run of an unfinished sample."""
+    """The logged events of one run of an unfinished sample."""
 
     __slots__ = ("numbers", "run", "texts", "versions")
 
@@ -131,18 +130,18 @@
         self.versions = []
 
     def extend(self, progress):
-        """Take the events of a record that continues this run."""
+        """Append the events of a record that continues this run."""
         self.numbers += progress.numbers
         self.texts += progress.texts
         self.versions += progress.versions
 
 
 class Steps:
-    """All steps by id, over all shards; ``on_change(step)`` is told of each change.
+    """All steps by id, over all shards.
 
-    ``claims`` are the claims that count, by shard; ``used_shards`` maps each shard
-    that ever had a step to when this process learned of that; ``forgotten`` holds the
-    last steps that were dropped, by id.
+    ``claims`` are the valid claims by shard; ``used_shards`` maps each shard that ever
+    had a step to when this process learned of that; ``discarded`` maps the ids of the
+    last discarded steps to when that was.
     """
 
     __slots__ = (
@@ -165,7 +164,7 @@
         self._claim_callbacks = []
 
     def on_claim(self, callback):
-        """Call ``callback(shard, claim)`` for each claim that counts."""
+        """Call ``callback(shard, claim)`` for each valid claim."""
         self._claim_callbacks.append(callback)
 
     def on_change(self, callback):
@@ -173,7 +172,7 @@
         self._callbacks.append(callback)
 
     def fold(self, shard, offset, data):
-        """Fold one record in; total for all bytes."""
+        """Fold one record; any bytes are accepted."""
         record = records.decode(data)
         fold = _FOLDS.get(type(record))
         if fold is None:
@@ -187,11 +186,11 @@
         fold(self, shard, offset, record)
 
     def mark_used(self, shard):
-        """Count a shard as used from now on, also without steps."""
+        """Count a shard as used from now on, even without steps."""
         self.used_shards.setdefault(shard, now())
 
     def discard_done(self, before):
-        """Drop steps that this process learned of before a point in time."""
+        """Discard done steps that this process learned of before a point in time."""
         for step_id, step in list(self.by_id.items()):
             if step.seen_at < before and step.is_done:
                 del self.by_id[step_id]
--- a/sassafrasdoor/steps/durable/tests/test_order.py
+++ b/sassafrasdoor/steps/durable/tests/test_order.py
@@ -1,4 +1,4 @@
-"""The order in which a step's items begin."""
+"""Tests of the order in which a step's items are dispatched."""
 
 import unittest
 
--- a/sassafrasdoor/steps/durable/tests/test_service.py
+++ b/sassafrasdoor/steps/durable/tests/test_service.py
@@ -1,4 +1,4 @@
-"""What trainers are answered, with each fault of the log."""
+"""Tests of the answers to trainers, with each fault of the log."""
 
 import asyncio
 import unittest
@@ -177,7 +177,7 @@
         self.assertIsInstance(result, NotRun)
 
     async def test_starting_instance_refuses_immediately(self):
-        """Guards against readers held back by a start while others could answer."""
+        """Guards against readers delayed by a starting instance while others could answer."""
         await self.submit()
         await self.instance.service.read("s1", 0, deadline_in(0))
         for tail in self.instance.tails:
--- a/sassafrasdoor/steps/durable/tests/test_state.py
+++ b/sassafrasdoor/steps/durable/tests/test_state.py
@@ -1,4 +1,4 @@
-"""The fold of a shard's records: what every instance agrees on."""
+"""Tests of the fold of a shard's records, and of their encoding."""
 
 import unittest
 
