--- a/sassafrasdoor/steps/durable/__init__.py
+++ b/sassafrasdoor/steps/durable/__init__.py
@@ -1,1 +1,1 @@
-"""Durable steps: accepted, run and listed through records of the platform's log."""
+"""Durable steps, accepted, run and listed through records in the platform's log."""
--- a/sassafrasdoor/steps/durable/outbox.py
+++ b/sassafrasdoor/steps/durable/outbox.py
@@ -1,4 +1,4 @@
-"""Appending a shard's records in batches until the log acknowledges them."""
+"""Appends a shard's records in batches until the log acknowledges them."""
 
 import asyncio
 
@@ -7,21 +7,22 @@
 from sassafrasdoor.metrics import counter
 from sassafrasdoor.outcomes import Outcome
 
+# Seconds to gather records for one append: short against the half second between a
+# trainer's reads, long against the 4 ms of an append.
 BATCH_DELAY = 0.05
-"""Seconds in which records are gathered for one append: short against the half
-second between a trainer's reads, long against the 4 ms of an append."""
-RETRY_DELAY = 0.25
-APPEND_TIMEOUT = 1.0
-"""Seconds; a slow log answers within 60 times 4 ms."""
+RETRY_DELAY = 0.25  # seconds
+APPEND_TIMEOUT = 1.0  # seconds; a slow log answers within 60 times 4 ms
 MAX_BATCH_BYTES = 1_000_000
 
-APPENDED = counter("steps_records_appended_total", "Step records, by append's result.")
+APPENDED = counter(
+    "steps_records_appended_total", "Step records appended, by result of the append."
+)
 
 
 class Outbox:
-    """Records of one shard on their way into the log.
+    """Queues the records of one shard for the log.
 
-    A record may be appended twice when a reply was lost: the fold takes the first.
+    A record may be appended twice after a lost reply: the fold takes the first.
     """
 
     __slots__ = ("_log", "_shard", "_topic", "_pending", "_wake", "_acknowledged")
@@ -43,15 +44,15 @@
 
     @property
     def is_empty(self):
-        """Whether everything was acknowledged."""
+        """Whether all records were acknowledged."""
         return not self._pending
 
     async def flush(self):
-        """Wait until everything was acknowledged."""
+        """Wait until all records are acknowledged."""
         await self._acknowledged.wait()
 
     async def run(self):
-        """Append until cancelled."""
+        """Append records until cancelled."""
         while True:
             await self._wake.wait()
             await asyncio.sleep(BATCH_DELAY)
--- a/sassafrasdoor/steps/durable/reward_order.py
+++ b/sassafrasdoor/steps/durable/reward_order.py
@@ -1,4 +1,4 @@
-"""Which reward calls are sent, when, and with which timeout.
+"""Decides which reward calls are sent, when, and with which timeout.
 
 The texts of a step end close together and each needs a call to a service that live
 callers use too. Concurrency is bounded to a share of the service's slots, calls of
--- a/sassafrasdoor/steps/durable/rewards.py
+++ b/sassafrasdoor/steps/durable/rewards.py
@@ -1,8 +1,7 @@
-"""Dispatches the reward calls of complete texts that the log keeps.
+"""Dispatches the reward calls of complete texts that are in the log.
 
 A reward call is idempotent: it keeps its id, path and body over all tries. Only a
-replica's own failures count, and they are kept in the log, so that they add up over
-runners.
+replica's own failures count, and they are logged, so that they add up over runners.
 """
 
 import asyncio
@@ -28,9 +27,9 @@
 
 
 class RewardDispatcher:
-    """Scores texts: ``add`` a job whose text the log keeps, ``drop`` one that ended.
+    """Scores texts: ``add`` a job whose text is in the log, ``drop`` one that ended.
 
-    Calls ``scored(job)`` or ``give_up(job, reason)`` when a job ends.
+    Calls ``on_scored(job)`` or ``on_failed(job, reason)`` when a job ends.
     """
 
     __slots__ = (
@@ -63,7 +62,7 @@
         self._wake()
 
     def drop(self, job):
-        """Forget a job; the caller cancels its task."""
+        """Remove a job; the caller cancels its task."""
         self._jobs.pop(job.key, None)
 
     @property
@@ -167,6 +166,6 @@
         )
         if job.reward_failures >= allowed:
             self.drop(job)
-            self._on_failed(job, f"reward call failed with {SERVER_ERROR}")
+            self._on_failed(job, f"reward calls failed with status {SERVER_ERROR}")
         else:
             job.reward_from = deadline_in(reward_order.FAILED_RETRY_DELAY)
--- a/sassafrasdoor/steps/durable/tests/fixtures.py
+++ b/sassafrasdoor/steps/durable/tests/fixtures.py
@@ -1,4 +1,4 @@
-"""Steps, routes and a scripted replica client for the tests of this slice."""
+"""Steps, routes and a scripted replica client for tests."""
 
 import asyncio
 
@@ -97,7 +97,7 @@
 
     A script is a list of outcomes, one for each send: a list of ``(number, text,
     version)`` events ends well, an ``Outcome`` is returned, and a pair
-    ``(events, outcome)`` hands the events on first. ``HANG`` waits for ever.
+    ``(events, outcome)`` delivers the events first. ``HANG`` never returns.
     """
 
     HANG = "hang"
@@ -110,7 +110,7 @@
         self.cancelled = 0
 
     async def reach(self, replica):
-        """Every replica lives."""
+        """Report every replica as reachable."""
         return True
 
     async def call(self, replica, call):
--- a/sassafrasdoor/steps/durable/tests/test_hedging.py
+++ b/sassafrasdoor/steps/durable/tests/test_hedging.py
@@ -1,4 +1,4 @@
-"""Calls that are handed on to several instances."""
+"""Tests of hedged calls to several instances."""
 
 import asyncio
 import unittest
@@ -11,14 +11,14 @@
 
 class FirstAnswerTest(unittest.IsolatedAsyncioTestCase):
     def setUp(self):
-        self.called = []
+        self.asked = []
         self.cancelled = 0
 
-    async def first_answer_of(self, seconds, *script, hedge_after=0.1):
-        """Hand a call on to peers that answer by the script."""
+    async def play(self, seconds, *script, hedge_after=0.1):
+        """Return the first answer of peers that answer by the script."""
 
-        async def call(peer, deadline):
-            self.called.append(peer)
+        async def ask(peer, deadline):
+            self.asked.append(peer)
             if script[peer] != HANG:
                 return script[peer]
             try:
@@ -28,37 +28,35 @@
                 raise
 
         return await first_answer(
-            range(len(script)), call, bool, hedge_after, deadline_in(seconds)
+            range(len(script)), ask, bool, hedge_after, deadline_in(seconds)
         )
 
-    async def test_next_peer_is_called_immediately_after_a_failure(self):
-        self.assertEqual(
-            await self.first_answer_of(10, "", "", "yes", hedge_after=10), "yes"
-        )
-        self.assertEqual(self.called, [0, 1, 2])
+    async def test_next_peer_is_asked_immediately_after_a_failure(self):
+        self.assertEqual(await self.play(10, "", "", "yes", hedge_after=10), "yes")
+        self.assertEqual(self.asked, [0, 1, 2])
 
-    async def test_no_further_peer_is_called_after_an_answer(self):
-        self.assertEqual(await self.first_answer_of(10, "yes", "no"), "yes")
-        self.assertEqual(self.called, [0])
+    async def test_no_further_peer_is_asked_after_an_answer(self):
+        self.assertEqual(await self.play(10, "yes", "no"), "yes")
+        self.assertEqual(self.asked, [0])
 
     async def test_hanging_peer_is_hedged(self):
-        """Guards against readers who leave before a frozen instance is given up."""
-        self.assertEqual(await self.first_answer_of(10, HANG, HANG, "yes"), "yes")
+        """Guards against readers that time out while a frozen instance is awaited."""
+        self.assertEqual(await self.play(10, HANG, HANG, "yes"), "yes")
         await asyncio.sleep(0)
         self.assertEqual(self.cancelled, 2)
 
     async def test_failure_of_all_returns_immediately(self):
         started_at = now()
-        self.assertIsNone(await self.first_answer_of(10, "", ""))
+        self.assertIsNone(await self.play(10, "", ""))
         self.assertLess(now() - started_at, 5)
 
     async def test_deadline_cancels_all_calls(self):
-        self.assertIsNone(await self.first_answer_of(0.3, HANG, HANG))
+        self.assertIsNone(await self.play(0.3, HANG, HANG))
         await asyncio.sleep(0)
         self.assertEqual(self.cancelled, 2)
 
     async def test_no_peers_return_none(self):
-        self.assertIsNone(await self.first_answer_of(1))
+        self.assertIsNone(await self.play(1))
 
 
 if __name__ == "__main__":
--- a/sassafrasdoor/steps/durable/tests/test_reward_order.py
+++ b/sassafrasdoor/steps/durable/tests/test_reward_order.py
@@ -1,4 +1,4 @@
-"""Which reward calls go first, and how many at once."""
+"""Tests of the order, concurrency and timeouts of reward calls."""
 
 import unittest
 
--- a/sassafrasdoor/steps/durable/tests/test_rewards.py
+++ b/sassafrasdoor/steps/durable/tests/test_rewards.py
@@ -1,4 +1,4 @@
-"""Reward calls: when they are sent, repeated, counted and given up."""
+"""Tests of reward calls: sending, repetition, counted failures and errored items."""
 
 import asyncio
 import unittest
@@ -74,7 +74,7 @@
     async def until(self, condition):
         limit = deadline_in(20)
         while not condition():
-            self.assertFalse(passed(limit), "condition never came true")
+            self.assertFalse(passed(limit), "condition not met within 20 s")
             await asyncio.sleep(0.005)
 
     @property
@@ -109,7 +109,7 @@
         )
 
     async def test_text_is_not_scored_before_it_is_logged(self):
-        """Guards against a score of a text that the log does not keep."""
+        """Guards against a score of a text that is not in the log."""
         self.outbox.held = True
         await self.submit()
         await self.run_shard()
@@ -148,7 +148,7 @@
         self.assertEqual((sample.state, sample.text, sample.score), (ERRORED, "", ""))
         failures = self.record_types().count(RewardFailure)
         self.assertEqual(failures, len(self.client.calls))
-        # The last round of tries may end one try beyond: two replicas are asked.
+        # The last round of tries may exceed the limit by one: two replicas are called.
         self.assertIn(failures, (3, 4))
 
     async def test_failures_of_a_previous_runner_count(self):
