--- a/sassafrasdoor/steps/durable/records.py
+++ b/sassafrasdoor/steps/durable/records.py
@@ -1,7 +1,7 @@
 """The records of a shard: steps, samples, their texts and scores, ends, claims.
 
-Each record is one kind byte and a payload. Decoding is total: a record that is none
-of ours is reported as ``Unreadable`` and changes nothing.
+Each record is one kind byte and a payload. Decoding is total: all other bytes are
+reported as ``Unreadable`` and change nothing.
 """
 
 import base64
@@ -14,10 +14,10 @@
 STEP, SAMPLE, FAILURE, END, CLAIM, PROGRESS = b"S", b"R", b"A", b"E", b"C", b"P"
 TEXT, SCORE, REWARD_FAILURE = b"T", b"G", b"F"
 PACKED = b"Z"
-MIN_PACKED_BYTES = 1024
-"""Bytes; shorter records gain less than the packing costs."""
+MIN_PACKED_BYTES = 1024  # shorter records gain less than the compression costs
 COMPRESSION_LEVEL = 1
 COMPLETED, ERRORED = "completed", "errored"
+# Exceptions raised by decoding bytes that another writer may have written.
 DECODE_ERRORS = (
     ValueError,
     KeyError,
@@ -26,19 +26,17 @@
     RecursionError,
     zlib.error,
 )
-"""What reading bytes raises that another writer may have written."""
-MAX_REASON_LENGTH = 200
-"""Characters of a reason that quotes such bytes."""
+MAX_REASON_LENGTH = 200  # characters of a reason that quotes such bytes
 
 
 class Unreadable(Outcome):
-    """A record that is none of ours."""
+    """A record that cannot be decoded."""
 
     __slots__ = ()
 
 
 class RewardCall:
-    """The request that scores a whole text: sent as it is, under its own id.
+    """The request that scores a complete text, sent unchanged under its own id.
 
     ``host`` and ``path`` select its route; ``body`` are bytes.
     """
@@ -53,9 +51,9 @@
 
 
 class Item:
-    """One sample that a step asks for.
+    """One sample that a step requests.
 
-    ``tokens`` is the most it may take, ``expected`` the caller's guess of its length
+    ``tokens`` is its maximum length, ``expected`` the caller's estimate of its length
     in tokens (0: none): right at the median, often far off. ``reward`` is the
     ``RewardCall`` that its text needs before it is listed, None for none.
     """
@@ -96,7 +94,7 @@
 
 
 class StepSpec:
-    """A step as it was submitted; ``min_version`` is the oldest weights allowed."""
+    """A step as submitted; ``min_version`` is the oldest weight version allowed."""
 
     __slots__ = (
         "host",
@@ -133,9 +131,9 @@
 
 
 class Sample:
-    """A listed sample: its final state, text and the versions that made it.
+    """A listed sample: its final state, its text and the weight versions used.
 
-    ``score`` is what its reward call was answered with, empty where it has none.
+    ``score`` is the answer to its reward call, empty if it has none.
     """
 
     __slots__ = ("item_id", "score", "state", "step_id", "text", "versions")
@@ -150,10 +148,10 @@
 
 
 class Text:
-    """A whole text that still needs its score; of several only the first counts.
+    """A complete text that still needs its score; only the first of an item counts.
 
-    It is in the log before its reward call is sent: a runner that dies in between
-    would otherwise make the text again, and the score would belong to another one.
+    It is in the log before its reward call is sent. Otherwise, after a crash of its
+    runner, the text would be generated again and the score belong to another one.
     """
 
     __slots__ = ("item_id", "step_id", "text", "versions")
@@ -166,7 +164,7 @@
 
 
 class Score:
-    """The answer to an item's reward call: it lists the text that is kept."""
+    """The answer to an item's reward call: it lists the text that is in the log."""
 
     __slots__ = ("item_id", "score", "step_id")
 
@@ -177,10 +175,10 @@
 
 
 class Failure:
-    """A replica's own failure of an item: it counts across runners.
+    """A replica's own failure of an item, counted across runners.
 
-    ``attempt`` names the try that failed. An append whose reply was lost is repeated;
-    counted twice, one failure would give an item up before its attempts are used.
+    ``attempt`` is the id of the failed attempt. An append whose reply was lost is
+    repeated; counted twice, one failure would end an item before its attempts are used.
     """
 
     __slots__ = ("attempt", "item_id", "step_id")
@@ -192,7 +190,7 @@
 
 
 class RewardFailure(Failure):
-    """A replica's own failure of an item's reward call: it counts likewise."""
+    """A replica's own failure of an item's reward call, counted likewise."""
 
     __slots__ = ()
 
@@ -207,10 +205,10 @@
 
 
 class Claim:
-    """A process's claim of the shard that the record stands in.
+    """A process's claim of the shard whose records contain it.
 
-    It counts only if the last claim that counted stands at offset ``replaces`` (-1:
-    there is none); ``released`` gives the shard up.
+    It is valid only if the last valid claim is at offset ``replaces`` (-1: there is
+    none); ``released`` releases the shard.
     """
 
     __slots__ = ("released", "replaces", "runner")
@@ -222,10 +220,10 @@
 
 
 class Progress:
-    """Events of an unfinished sample, from number ``first`` of one run on.
+    """Events of an unfinished sample, from index ``first`` of one run on.
 
-    Events of different ``run`` names never join: two runners may have made them.
-    ``numbers``, ``texts`` and ``versions`` are equally long.
+    Events of different ``run`` names are never joined: two runners may have received
+    them. ``numbers``, ``texts`` and ``versions`` are equally long.
     """
 
     __slots__ = ("first", "item_id", "numbers", "run", "step_id", "texts", "versions")
@@ -241,7 +239,7 @@
 
 
 def validation_error(spec):
-    """Return what would make a step's record unreadable, empty for nothing."""
+    """Return why a step's record would be unreadable, empty if it is valid."""
     document = _step_document(spec)
     try:
         for row in document.pop("items"):
@@ -267,10 +265,10 @@
 
 
 def encode(record):
-    """Return the bytes of any record but a step.
+    """Return the bytes of any record except a step.
 
-    Long ones are packed: after a power failure all instances read all records at
-    once, and share what the log can send.
+    Long ones are compressed: after a power failure all instances read all records at
+    once, and share the log's bandwidth.
     """
     kind = _KINDS[type(record)]
     fields = {name: getattr(record, name) for name in _fields(type(record))}
@@ -281,16 +279,16 @@
 
 
 def decode(data):
-    """Return the record in the bytes (a step's ``StepPart``), or ``Unreadable``."""
+    """Return the decoded record (for a step a ``StepPart``), or ``Unreadable``."""
     is_packed = data[:1] == PACKED
     data = data[is_packed:]
     decoder = _DECODERS.get(data[:1])
     if decoder is None:
-        return Unreadable("unknown kind of record")
+        return Unreadable("unknown record kind")
     try:
         return decoder(zlib.decompress(data[1:]) if is_packed else data[1:])
     except DECODE_ERRORS as error:
-        return Unreadable(f"record not understood: {error}"[:MAX_REASON_LENGTH])
+        return Unreadable(f"malformed record: {error}"[:MAX_REASON_LENGTH])
 
 
 def unpack_step(pieces):
@@ -301,7 +299,7 @@
         _check_types(document)
         return StepSpec(items=items, **document)
     except DECODE_ERRORS as error:
-        return Unreadable(f"step not understood: {error}"[:MAX_REASON_LENGTH])
+        return Unreadable(f"malformed step: {error}"[:MAX_REASON_LENGTH])
 
 
 def _fields(record_type):
@@ -338,7 +336,7 @@
 
 
 def _decode_item(row, model):
-    # Rows of an earlier program end before the reward call.
+    # Rows of earlier versions of this program have no reward call.
     item_id, path, headers, body, tokens, expected, group, *rest = row
     reward = _decode_reward(rest[0]) if rest and rest[0] is not None else None
     _check_types(
@@ -372,6 +370,8 @@
     Claim: CLAIM,
     Progress: PROGRESS,
 }
+# The type of each field. A record with another one would stop its readers for good: every
+# instance would read it again after each start and fail on it again.
 _TYPES = {
     "attempt": str,
     "call_id": str,
@@ -401,10 +401,8 @@
     "versions": list,
     "wanted": int,
 }
-"""The type of each field. A record with another one would stop its reader for good:
-every instance would read it again after each start and fail on it again."""
+# The type of the elements of each list, except ``numbers``: an event may have none.
 _ELEMENTS = {"texts": str, "versions": int}
-"""The type of the elements of each list; an event may have no number."""
 
 
 def _check_types(fields):
