--- a/sassafrasdoor/steps/durable/service.py
+++ b/sassafrasdoor/steps/durable/service.py
@@ -13,9 +13,9 @@
 SHARD_COUNT = 6  # partitions of the topic; a model's steps share one, and its runner
 APPEND_TIMEOUT = 0.8  # seconds for one append; a slow log answers within 60 times 4 ms
 MIN_APPEND_TIMEOUT = 0.4  # seconds; a slow log answers within 0.25 s
-SUBMIT_TIMEOUT = 3.0  # seconds for all appends; a caller has 12 s and one more try
-# Seconds for all appends; until the end is acknowledged its trainer retries at another
-# instance and announces no new weights.
+SUBMIT_TIMEOUT = 3.0  # seconds to try a submission; a caller has 12 s and one more try
+# Seconds to try an end; its trainer retries at another instance, and announces no new
+# weights before.
 END_TIMEOUT = 1.3
 RETRY_DELAY = 0.2  # seconds
 RETRY_AFTER = 1.5  # seconds until a refused step is sent again; outages last seconds
