--- a/sassafrasdoor/steps/durable/rewards.py
+++ b/sassafrasdoor/steps/durable/rewards.py
@@ -86,8 +86,8 @@
             request = self._request(job, route, configuration)
             attempts = Attempts(request)
             if self._free_slots(attempts.service):
-                call = self._call(job, attempts)
-                job.task = asyncio.ensure_future(call)
+                coroutine = self._call(job, attempts)
+                job.task = asyncio.ensure_future(coroutine)
 
     def _free_slots(self, service):
         slots = sum(
