--- a/sassafrasdoor/steps/durable/tests/test_runner.py
+++ b/sassafrasdoor/steps/durable/tests/test_runner.py
@@ -47,12 +47,12 @@
 class RunnerTest(unittest.IsolatedAsyncioTestCase):
     def setUp(self):
         # Hanging streams must not time out while a test waits.
-        for where, name in (
+        for target, name in (
             (module, "FIRST_EVENT_TIMEOUT"),
             (placement, "UNRESPONSIVE_AFTER"),
         ):
-            self.addCleanup(setattr, where, name, getattr(where, name))
-            setattr(where, name, 1000.0)
+            self.addCleanup(setattr, target, name, getattr(target, name))
+            setattr(target, name, 1000.0)
 
     async def start(self, client, replica_set=None, routes=None, **step):
         self.client = client
