--- a/sassafrasdoor/steps/durable/jobs.py
+++ b/sassafrasdoor/steps/durable/jobs.py
@@ -12,10 +12,11 @@
     ``sent_at`` is when the current attempt was sent, ``begun_at`` the first one, and
     ``whole_at`` when the text was complete; None before. ``broke_at`` is when the last
     attempt's connection broke, None if none did. ``avoid`` is the identity of the slow
-    replica that it migrates from, until its next attempt. ``appended`` counts its events
-    in the log, under the name ``run``; more are due at ``keep_at``. Once ``scoring``,
-    ``task`` is the reward call, not sent before ``reward_from``; ``text_kept_at`` is when
-    the text was found in the log, and ``unanswered`` counts the calls without an answer.
+    replica that it migrates from, until its next attempt. ``appended`` counts its
+    events in the log, under the name ``run``; more are due at ``keep_at``. Once
+    ``scoring``, ``task`` is the reward call, not sent before ``reward_from``;
+    ``text_kept_at`` is when the text was found in the log, and ``unanswered`` counts
+    the calls without an answer.
     """
 
     __slots__ = (
--- a/sassafrasdoor/steps/durable/records.py
+++ b/sassafrasdoor/steps/durable/records.py
@@ -370,8 +370,8 @@
     Claim: CLAIM,
     Progress: PROGRESS,
 }
-# The type of each field. A record with another one would stop its readers for good: every
-# instance would read it again after each start and fail on it again.
+# The type of each field. A record with another one would stop its readers for good:
+# every instance would read it again after each start and fail on it again.
 _TYPES = {
     "attempt": str,
     "call_id": str,
--- a/sassafrasdoor/steps/durable/runner.py
+++ b/sassafrasdoor/steps/durable/runner.py
@@ -143,7 +143,7 @@
         return sum(job.step.spec.model == model for job in self._queue)
 
     def oldest_allowed(self, model):
-        """Return the oldest version that serves all open steps of a model, 0 for none."""
+        """Return the oldest version that serves a model's open steps, 0 for none."""
         versions = [
             job.step.spec.min_version
             for job in self._jobs.values()
--- a/sassafrasdoor/steps/durable/service.py
+++ b/sassafrasdoor/steps/durable/service.py
@@ -21,8 +21,8 @@
 RETRY_AFTER = 1.5  # seconds until a refused step is sent again; outages last seconds
 STARTUP_RETRY_AFTER = 1.0  # seconds to wait for an instance that still reads the log
 CONFIRM_TIMEOUT = 0.9  # seconds to find out whether an unknown step exists
-# Seconds since the last read to a shard's end up to which an empty page may be returned;
-# all instances must show within a second what one has shown.
+# Seconds since the last read to a shard's end up to which an empty page is returned; all
+# instances must show within a second what one has shown.
 EMPTY_PAGE_MAX_AGE = 0.7
 PAGE_MAX_AGE = 0.1  # seconds since that read up to which a page needs no refresh
 # Seconds for a refresh; if the log does not answer, the page shows what is known.
--- a/sassafrasdoor/steps/durable/tests/test_runner.py
+++ b/sassafrasdoor/steps/durable/tests/test_runner.py
@@ -259,7 +259,7 @@
         self.assertEqual(len(self.client.sent), 3)
 
     async def test_item_that_crashes_replicas_is_delayed_between_attempts(self):
-        """Guards against an item that crashes one replica after another without delay."""
+        """Guards against an item that crashes one replica after another."""
         client = ScriptedClient(*[BROKEN] * 6)
         client.reach = refuse_connection
         await self.start(client, replicas(8), items=1)
--- a/sassafrasdoor/steps/durable/tests/test_service.py
+++ b/sassafrasdoor/steps/durable/tests/test_service.py
@@ -177,7 +177,7 @@
         self.assertIsInstance(result, NotRun)
 
     async def test_starting_instance_refuses_immediately(self):
-        """Guards against readers delayed by a starting instance while others could answer."""
+        """Guards against readers delayed by an instance that still starts."""
         await self.submit()
         await self.instance.service.read("s1", 0, deadline_in(0))
         for tail in self.instance.tails:
--- a/sassafrasdoor/steps/durable/tests/test_shards.py
+++ b/sassafrasdoor/steps/durable/tests/test_shards.py
@@ -112,7 +112,7 @@
         self.assertTrue(self.second.holds)
 
     async def test_restarted_process_reclaims_its_shards_immediately(self):
-        """Guards against a restarted process that waits for its previous claim to lapse."""
+        """Guards against a restarted process that awaits the lapse of its old claim."""
         module.LEASE_TIMEOUT = 1000.0
         await self.submit()
         await self.until(lambda: self.first.holds)
