--- /dev/null
+++ b/sassafrasdoor/steps/durable/hedging.py
@@ -0,0 +1,31 @@
+"""Hedged calls to other instances until one of them answers."""
+
+import asyncio
+
+from sassafrasdoor.clock import passed, remaining
+
+
+async def first_answer(peers, ask, is_answer, hedge_after, deadline):
+    """Return the first result of ``ask(peer, deadline)`` that is an answer, or None.
+
+    ``is_answer(result)`` decides. The next peer is asked once one has failed, or beside
+    it after ``hedge_after`` seconds: one without power or frozen does not reply.
+    """
+    unasked, tasks = list(peers), set()
+    try:
+        while (unasked or tasks) and not passed(deadline):
+            if unasked:
+                tasks.add(asyncio.ensure_future(ask(unasked.pop(0), deadline)))
+            timeout = remaining(deadline)
+            done, tasks = await asyncio.wait(
+                tasks,
+                timeout=min(timeout, hedge_after) if unasked else timeout,
+                return_when=asyncio.FIRST_COMPLETED,
+            )
+            for task in done:
+                if is_answer(task.result()):
+                    return task.result()
+        return None
+    finally:
+        for task in tasks:
+            task.cancel()
--- a/sassafrasdoor/steps/durable/order.py
+++ b/sassafrasdoor/steps/durable/order.py
@@ -1,6 +1,6 @@
-"""In which order the items of a step are dispatched.
+"""Decides the order in which the items of a step are dispatched.
 
-A trainer goes on once ``wanted`` groups are complete, and a group is complete with its
+A trainer proceeds once ``wanted`` groups are complete, and a group is complete with its
 last sample. Long samples are dispatched first; the groups that the trainer does not
 wait for, the longest ones, are dispatched last.
 """
@@ -15,12 +15,12 @@
     groups = {}
     for item in spec.items:
         groups.setdefault(item.group, []).append(item)
-    spare = max(0, len(groups) - spec.wanted) if spec.wanted else 0
-    later = set(_longest(list(groups)[spec.wanted // 2 :], groups, spare))
-    return sorted(spec.items, key=lambda item: (item.group in later, -item.expected))
+    spare_count = max(0, len(groups) - spec.wanted) if spec.wanted else 0
+    deferred = set(_longest(list(groups)[spec.wanted // 2 :], groups, spare_count))
+    return sorted(spec.items, key=lambda item: (item.group in deferred, -item.expected))
 
 
 def _longest(names, groups, count):
-    """Return the ``count`` names of the groups with the longest longest sample."""
+    """Return the names of the ``count`` groups whose longest sample is longest."""
     longest = {name: max(item.expected for item in groups[name]) for name in names}
     return sorted(names, key=lambda name: -longest[name])[:count]
--- a/sassafrasdoor/steps/durable/records.py
+++ b/sassafrasdoor/steps/durable/records.py
@@ -1,7 +1,7 @@
 """The records of a shard: steps, samples, their texts and scores, ends, claims.
 
-Each record is one kind byte and a payload. Decoding is total: a record that is none
-of ours is reported as ``Unreadable`` and changes nothing.
+Each record is one kind byte and a payload. Decoding is total: all other bytes are
+reported as ``Unreadable`` and change nothing.
 """
 
 import base64
@@ -14,11 +14,11 @@
 STEP, SAMPLE, FAILURE, END, CLAIM, PROGRESS = b"S", b"R", b"A", b"E", b"C", b"P"
 TEXT, SCORE, REWARD_FAILURE = b"T", b"G", b"F"
 PACKED = b"Z"
-PACK_FROM = 1024
-"""Bytes; shorter records gain less than the packing costs."""
-PACK_LEVEL = 1
+MIN_PACKED_BYTES = 1024  # shorter records gain less than the compression costs
+COMPRESSION_LEVEL = 1
 COMPLETED, ERRORED = "completed", "errored"
-MALFORMED = (
+# Exceptions raised by decoding bytes that another writer may have written.
+DECODE_ERRORS = (
     ValueError,
     KeyError,
     TypeError,
@@ -26,19 +26,17 @@
     RecursionError,
     zlib.error,
 )
-"""What reading bytes raises that another writer may have written."""
-MOST_REASON = 200
-"""Characters of a reason that quotes such bytes."""
+MAX_REASON_LENGTH = 200  # characters of a reason that quotes such bytes
 
 
 class Unreadable(Outcome):
-    """A record that is none of ours."""
+    """A record that cannot be decoded."""
 
     __slots__ = ()
 
 
 class RewardCall:
-    """The request that scores a whole text: sent as it is, under its own id.
+    """The request that scores a complete text, sent unchanged under its own id.
 
     ``host`` and ``path`` select its route; ``body`` are bytes.
     """
@@ -53,9 +51,9 @@
 
 
 class Item:
-    """One sample that a step asks for.
+    """One sample that a step requests.
 
-    ``tokens`` is the most it may take, ``expected`` the caller's guess of its length
+    ``tokens`` is its maximum length, ``expected`` the caller's estimate of its length
     in tokens (0: none): right at the median, often far off. ``reward`` is the
     ``RewardCall`` that its text needs before it is listed, None for none.
     """
@@ -96,7 +94,7 @@
 
 
 class StepSpec:
-    """A step as it was submitted; ``min_version`` is the oldest weights allowed."""
+    """A step as submitted; ``min_version`` is the oldest weight version allowed."""
 
     __slots__ = (
         "host",
@@ -133,9 +131,9 @@
 
 
 class Sample:
-    """A listed sample: its final state, text and the versions that made it.
+    """A listed sample: its final state, its text and the weight versions used.
 
-    ``score`` is what its reward call was answered with, empty where it has none.
+    ``score`` is the answer to its reward call, empty if it has none.
     """
 
     __slots__ = ("item_id", "score", "state", "step_id", "text", "versions")
@@ -150,10 +148,10 @@
 
 
 class Text:
-    """A whole text that still needs its score; of several only the first counts.
+    """A complete text that still needs its score; only the first of an item counts.
 
-    It is in the log before its reward call is sent: a runner that dies in between
-    would otherwise make the text again, and the score would belong to another one.
+    It is in the log before its reward call is sent. Otherwise, after a crash of its
+    runner, the text would be generated again and the score belong to another one.
     """
 
     __slots__ = ("item_id", "step_id", "text", "versions")
@@ -166,7 +164,7 @@
 
 
 class Score:
-    """The answer to an item's reward call: it lists the text that is kept."""
+    """The answer to an item's reward call: it lists the text that is in the log."""
 
     __slots__ = ("item_id", "score", "step_id")
 
@@ -177,10 +175,10 @@
 
 
 class Failure:
-    """A replica's own failure of an item: it counts across runners.
+    """A replica's own failure of an item, counted across runners.
 
-    ``attempt`` names the try that failed. An append whose reply was lost is repeated;
-    counted twice, one failure would give an item up before its attempts are used.
+    ``attempt`` is the id of the failed attempt. An append whose reply was lost is
+    repeated; counted twice, one failure would end an item before its attempts are used.
     """
 
     __slots__ = ("attempt", "item_id", "step_id")
@@ -192,7 +190,7 @@
 
 
 class RewardFailure(Failure):
-    """A replica's own failure of an item's reward call: it counts likewise."""
+    """A replica's own failure of an item's reward call, counted likewise."""
 
     __slots__ = ()
 
@@ -207,10 +205,10 @@
 
 
 class Claim:
-    """A process's claim of the shard that the record stands in.
+    """A process's claim of the shard whose records contain it.
 
-    It counts only if the last claim that counted stands at offset ``replaces`` (-1:
-    there is none); ``released`` gives the shard up.
+    It is valid only if the last valid claim is at offset ``replaces`` (-1: there is
+    none); ``released`` releases the shard.
     """
 
     __slots__ = ("released", "replaces", "runner")
@@ -222,10 +220,10 @@
 
 
 class Progress:
-    """Events of an unfinished sample, from number ``first`` of one run on.
+    """Events of an unfinished sample, from index ``first`` of one run on.
 
-    Events of different ``run`` names never join: two runners may have made them.
-    ``numbers``, ``texts`` and ``versions`` are equally long.
+    Events of different ``run`` names are never joined: two runners may have received
+    them. ``numbers``, ``texts`` and ``versions`` are equally long.
     """
 
     __slots__ = ("first", "item_id", "numbers", "run", "step_id", "texts", "versions")
@@ -240,72 +238,75 @@
         self.versions = versions
 
 
-def fault_of(spec):
-    """Return what would make a step's record unreadable, empty for nothing."""
+def validation_error(spec):
+    """Return why a step's record would be unreadable, empty if it is valid."""
     document = _step_document(spec)
     try:
         for row in document.pop("items"):
-            _item(row, spec.model)
-        _check(document)
-    except MALFORMED as error:
-        return str(error)[:MOST_REASON]
+            _decode_item(row, spec.model)
+        _check_types(document)
+    except DECODE_ERRORS as error:
+        return str(error)[:MAX_REASON_LENGTH]
     return ""
 
 
 def encode_step(spec, record_limit):
     """Return the records of a step, each at most ``record_limit`` bytes."""
-    packed = zlib.compress(json.dumps(_step_document(spec)).encode(), PACK_LEVEL)
-    room = record_limit - 256
-    pieces = [packed[at : at + room] for at in range(0, len(packed), room)]
+    packed = zlib.compress(json.dumps(_step_document(spec)).encode(), COMPRESSION_LEVEL)
+    piece_size = record_limit - 256
+    pieces = [
+        packed[start : start + piece_size]
+        for start in range(0, len(packed), piece_size)
+    ]
     return [
-        STEP + _line(spec.step_id, part, len(pieces)) + piece
+        STEP + _part_header(spec.step_id, part, len(pieces)) + piece
         for part, piece in enumerate(pieces)
     ]
 
 
 def encode(record):
-    """Return the bytes of any record but a step.
+    """Return the bytes of any record except a step.
 
-    Long ones are packed: after a power failure all instances read all records at
-    once, and share what the log can send.
+    Long ones are compressed: after a power failure all instances read all records at
+    once, and share the log's bandwidth.
     """
     kind = _KINDS[type(record)]
     fields = {name: getattr(record, name) for name in _fields(type(record))}
     payload = json.dumps(fields).encode()
-    if len(payload) < PACK_FROM:
+    if len(payload) < MIN_PACKED_BYTES:
         return kind + payload
-    return PACKED + kind + zlib.compress(payload, PACK_LEVEL)
+    return PACKED + kind + zlib.compress(payload, COMPRESSION_LEVEL)
 
 
 def decode(data):
-    """Return the record in the bytes (a step's ``StepPart``), or ``Unreadable``."""
-    packed = data[:1] == PACKED
-    data = data[packed:]
-    read = _DECODERS.get(data[:1])
-    if read is None:
-        return Unreadable("unknown kind of record")
+    """Return the decoded record (for a step a ``StepPart``), or ``Unreadable``."""
+    is_packed = data[:1] == PACKED
+    data = data[is_packed:]
+    decoder = _DECODERS.get(data[:1])
+    if decoder is None:
+        return Unreadable("unknown record kind")
     try:
-        return read(zlib.decompress(data[1:]) if packed else data[1:])
-    except MALFORMED as error:
-        return Unreadable(f"record not understood: {error}"[:MOST_REASON])
+        return decoder(zlib.decompress(data[1:]) if is_packed else data[1:])
+    except DECODE_ERRORS as error:
+        return Unreadable(f"malformed record: {error}"[:MAX_REASON_LENGTH])
 
 
 def unpack_step(pieces):
     """Return the ``StepSpec`` in the joined pieces, or ``Unreadable``."""
     try:
         document = json.loads(zlib.decompress(b"".join(pieces)))
-        items = [_item(one, document["model"]) for one in document.pop("items")]
-        _check(document)
+        items = [_decode_item(row, document["model"]) for row in document.pop("items")]
+        _check_types(document)
         return StepSpec(items=items, **document)
-    except MALFORMED as error:
-        return Unreadable(f"step not understood: {error}"[:MOST_REASON])
+    except DECODE_ERRORS as error:
+        return Unreadable(f"malformed step: {error}"[:MAX_REASON_LENGTH])
 
 
-def _fields(kind):
-    return kind.__slots__ or kind.__base__.__slots__
+def _fields(record_type):
+    return record_type.__slots__ or record_type.__base__.__slots__
 
 
-def _line(step_id, part, parts):
+def _part_header(step_id, part, parts):
     return json.dumps([step_id, part, parts]).encode() + b"\n"
 
 
@@ -320,40 +321,42 @@
             item.tokens,
             item.expected,
             item.group,
-            _reward_row(item.reward),
+            _encode_reward(item.reward),
         ]
         for item in spec.items
     ]
     return document
 
 
-def _reward_row(reward):
+def _encode_reward(reward):
     if reward is None:
         return None
     body = base64.b64encode(reward.body).decode()
     return [reward.call_id, reward.host, reward.path, body]
 
 
-def _item(row, model):
-    # Rows of an earlier program end before the reward call.
+def _decode_item(row, model):
+    # Rows of earlier versions of this program have no reward call.
     item_id, path, headers, body, tokens, expected, group, *rest = row
-    reward = _reward(rest[0]) if rest and rest[0] is not None else None
-    _check({"item_id": item_id, "path": path, "headers": headers, "tokens": tokens})
-    _check({"expected": expected, "group": group, "model": model})
+    reward = _decode_reward(rest[0]) if rest and rest[0] is not None else None
+    _check_types(
+        {"item_id": item_id, "path": path, "headers": headers, "tokens": tokens}
+    )
+    _check_types({"expected": expected, "group": group, "model": model})
     body = base64.b64decode(body)
     return Item(item_id, path, headers, body, tokens, expected, group, model, reward)
 
 
-def _reward(row):
+def _decode_reward(row):
     call_id, host, path, body = row
-    _check({"call_id": call_id, "host": host, "path": path})
+    _check_types({"call_id": call_id, "host": host, "path": path})
     return RewardCall(call_id, host, path, base64.b64decode(body))
 
 
 def _decode_part(data):
-    line, _, piece = data.partition(b"\n")
-    step_id, part, parts = json.loads(line)
-    _check({"step_id": step_id, "part": part, "parts": parts})
+    header, _, piece = data.partition(b"\n")
+    step_id, part, parts = json.loads(header)
+    _check_types({"step_id": step_id, "part": part, "parts": parts})
     return StepPart(step_id, part, parts, piece)
 
 
@@ -367,6 +370,8 @@
     Claim: CLAIM,
     Progress: PROGRESS,
 }
+# The type of each field. A record with another one would stop its readers for good:
+# every instance would read it again after each start and fail on it again.
 _TYPES = {
     "attempt": str,
     "call_id": str,
@@ -396,37 +401,37 @@
     "versions": list,
     "wanted": int,
 }
-"""The type of each field. A record with another one would stop its reader for good:
-every instance would read it again after each start and fail on it again."""
+# The type of the elements of each list, except ``numbers``: an event may have none.
 _ELEMENTS = {"texts": str, "versions": int}
-"""The type of the elements of each list; an event may have no number."""
 
 
-def _check(fields):
+def _check_types(fields):
     for name, value in fields.items():
         if name in _TYPES and type(value) is not _TYPES[name]:
             raise TypeError(f"{name} is {type(value).__name__}")
-        if name in _ELEMENTS and any(type(one) is not _ELEMENTS[name] for one in value):
+        if name in _ELEMENTS and any(
+            type(element) is not _ELEMENTS[name] for element in value
+        ):
             raise TypeError(f"{name} holds other elements")
 
 
-def _reader(kind):
-    def read(data):
+def _decoder(record_type):
+    def decode_record(data):
         fields = json.loads(data)
-        _check(fields)
-        return kind(**fields)
+        _check_types(fields)
+        return record_type(**fields)
 
-    return read
+    return decode_record
 
 
 _DECODERS = {
     STEP: _decode_part,
-    SAMPLE: _reader(Sample),
-    TEXT: _reader(Text),
-    SCORE: _reader(Score),
-    FAILURE: _reader(Failure),
-    REWARD_FAILURE: _reader(RewardFailure),
-    END: _reader(End),
-    CLAIM: _reader(Claim),
-    PROGRESS: _reader(Progress),
+    SAMPLE: _decoder(Sample),
+    TEXT: _decoder(Text),
+    SCORE: _decoder(Score),
+    FAILURE: _decoder(Failure),
+    REWARD_FAILURE: _decoder(RewardFailure),
+    END: _decoder(End),
+    CLAIM: _decoder(Claim),
+    PROGRESS: _decoder(Progress),
 }
--- a/sassafrasdoor/steps/durable/tests/test_handing_on.py
+++ b/sassafrasdoor/steps/durable/tests/test_hedging.py
@@ -1,10 +1,10 @@
-"""Calls that are handed on to several instances."""
+"""Tests of hedged calls to several instances."""
 
 import asyncio
 import unittest
 
 from sassafrasdoor.clock import deadline_in, now
-from sassafrasdoor.steps.durable.handing_on import first_answer
+from sassafrasdoor.steps.durable.hedging import first_answer
 
 HANG = "hang"
 
@@ -15,7 +15,7 @@
         self.cancelled = 0
 
     async def play(self, seconds, *script, hedge_after=0.1):
-        """Hand a call on to peers that answer by the script."""
+        """Return the first answer of peers that answer by the script."""
 
         async def ask(peer, deadline):
             self.asked.append(peer)
@@ -31,31 +31,31 @@
             range(len(script)), ask, bool, hedge_after, deadline_in(seconds)
         )
 
-    async def test_next_one_is_asked_at_once_after_a_failure(self):
+    async def test_next_peer_is_asked_immediately_after_a_failure(self):
         self.assertEqual(await self.play(10, "", "", "yes", hedge_after=10), "yes")
         self.assertEqual(self.asked, [0, 1, 2])
 
-    async def test_nobody_else_is_asked_after_an_answer(self):
+    async def test_no_further_peer_is_asked_after_an_answer(self):
         self.assertEqual(await self.play(10, "yes", "no"), "yes")
         self.assertEqual(self.asked, [0])
 
-    async def test_peer_that_stands_still_is_not_waited_for(self):
-        """Guards against readers who leave before a frozen instance is given up."""
+    async def test_hanging_peer_is_hedged(self):
+        """Guards against readers that time out while a frozen instance is awaited."""
         self.assertEqual(await self.play(10, HANG, HANG, "yes"), "yes")
         await asyncio.sleep(0)
         self.assertEqual(self.cancelled, 2)
 
-    async def test_failure_of_all_is_known_at_once(self):
-        began = now()
+    async def test_failure_of_all_returns_immediately(self):
+        started_at = now()
         self.assertIsNone(await self.play(10, "", ""))
-        self.assertLess(now() - began, 5)
+        self.assertLess(now() - started_at, 5)
 
-    async def test_deadline_ends_all(self):
+    async def test_deadline_cancels_all_calls(self):
         self.assertIsNone(await self.play(0.3, HANG, HANG))
         await asyncio.sleep(0)
         self.assertEqual(self.cancelled, 2)
 
-    async def test_no_peer_is_no_answer(self):
+    async def test_no_peers_return_none(self):
         self.assertIsNone(await self.play(1))
 
 
