--- a/sassafrasdoor/steps/durable/outbox.py
+++ b/sassafrasdoor/steps/durable/outbox.py
@@ -14,9 +14,7 @@
 APPEND_TIMEOUT = 1.0  # seconds; a slow log answers within 60 times 4 ms
 MAX_BATCH_BYTES = 1_000_000
 
-APPENDED = counter(
-    "steps_records_appended_total", "Step records appended, by result of the append."
-)
+APPENDED = counter("steps_records_appended_total", "Step records, by append's result.")
 
 
 class Outbox:
--- a/sassafrasdoor/steps/durable/runner.py
+++ b/sassafrasdoor/steps/durable/runner.py
@@ -50,11 +50,11 @@
 CRASH_RETRY_DELAY = 4.0
 REFUSAL_DELAY = 0.15  # seconds without items of a model for a replica that refused one
 
-SAMPLES = counter("steps_samples_total", "Samples finished by this process, by result.")
-ATTEMPTS = counter("steps_attempts_total", "Attempts to run items, by result.")
+SAMPLES = counter("steps_samples_total", "Samples made by this process, by result.")
+ATTEMPTS = counter("steps_attempts_total", "Attempts at items, by result.")
 SECONDS = histogram(
     "steps_item_seconds",
-    "Seconds from a step's acceptance to an item's completed sample.",
+    "Seconds from the step's acceptance to an item's sample.",
     buckets=[0.25, 0.5, 1, 2, 3, 4, 5, 7.5, 10, 15, 30],
 )
 
--- a/sassafrasdoor/steps/durable/shards.py
+++ b/sassafrasdoor/steps/durable/shards.py
@@ -27,12 +27,12 @@
 CLAIM_TIMEOUT = 1.5  # seconds
 CONFIRM_TIMEOUT = 0.5  # seconds to check for a renewal; a slow log takes up to 0.25 s
 
-CLAIMS = counter("steps_shard_claims_total", "Shard claims, by result.")
+CLAIMS = counter("steps_shard_claims_total", "Claims of shards, by result.")
 ENDED_RUNNERS = counter(
     "steps_runners_ended_total",
-    "Shards claimed because their runner is known to have ended.",
+    "Shards claimed since their runner is known to be gone.",
 )
-HELD = gauge("steps_shards_held", "Shards run by this process.")
+HELD = gauge("steps_shards_held", "Shards that this process runs.")
 
 
 class Shards:
