--- a/samples/measure_quota.py
+++ b/samples/measure_quota.py
@@ -318,7 +318,7 @@
     async def admit(self, view, one, deadline):
         """Admit, forgetting how long calls take."""
         for queue in self._queues.values():
-            queue._hold = 0.0
+            queue._mean_service_time = 0.0
         return await super().admit(view, one, deadline)
 
 
--- a/samples/membership_fakes.py
+++ b/samples/membership_fakes.py
@@ -17,7 +17,7 @@
 
 from sassafrasdoor import settings as settings_module
 from sassafrasdoor.control.process import ControlProcess
-from sassafrasdoor.control.spread import MAX_HOPS
+from sassafrasdoor.control.state_sync import MAX_HOPS
 from sassafrasdoor.membership.broadcasts import Broadcasts
 from sassafrasdoor.membership.delegate import Delegate, News
 from sassafrasdoor.membership.messages import decode_update, encode_update
@@ -43,7 +43,7 @@
         self._hops = 0
 
     def news(self):
-        spread, follower = self._process.spread, self._process.follower
+        spread, follower = self._process.state_sync, self._process.follower
         as_of, changed = follower.as_of, spread.changed_as_of
         if self._poller:
             return News(as_of, changed, follower.confirmed_at)
@@ -101,7 +101,7 @@
         """Have all members spread each change, as control processes do."""
         told = 0
         while True:
-            changed = self.process.spread.changed_as_of
+            changed = self.process.state_sync.changed_as_of
             if changed > told:
                 told = changed
                 for node in self.nodes:
--- a/sassafrasdoor/admission/allocator.py
+++ b/sassafrasdoor/admission/allocator.py
@@ -22,7 +22,7 @@
     InstanceRecord,
     SlotTotals,
 )
-from sassafrasdoor.admission.shares import hard_limit, shares, split, within
+from sassafrasdoor.admission.shares import distribute, hard_limit, shares, split_evenly
 from sassafrasdoor.clock import deadline_in, passed
 
 REBALANCES_PER_GRANT = 15
@@ -41,9 +41,9 @@
         "_committed",
         "_expected",
         "_fallback",
-        "_grants_from",
+        "_first_grant_at",
         "_reported_fallback",
-        "_inherited_until",
+        "_inherited_deadline",
         "_limits",
         "_number",
         "_records",
@@ -52,7 +52,7 @@
         "_rows",
         "_settings",
         "_targets",
-        "_turn",
+        "_rotation",
     )
 
     def __init__(self, settings):
@@ -60,7 +60,7 @@
         self._rows = []
         self._limits = {}
         self._capacity = 0
-        self._turn = 0
+        self._rotation = 0
         self.take_over(0, ())
 
     def take_over(self, fence, expected):
@@ -72,8 +72,8 @@
         """
         lifetime = self._lifetime(len(set(expected)))
         fallback_duration = self._settings.admission.fallback_duration
-        self._grants_from = deadline_in(lifetime)
-        self._inherited_until = deadline_in(lifetime + fallback_duration)
+        self._first_grant_at = deadline_in(lifetime)
+        self._inherited_deadline = deadline_in(lifetime + fallback_duration)
         self._number = fence * GRANT_NUMBERS_PER_FENCE
         self._expected = set(expected)
         self._reported_fallback = Counter()
@@ -90,10 +90,10 @@
         self._capacity = capacity
         self._limits = {row.name: hard_limit(row, capacity) for row in self._rows}
 
-    def left(self, instance):
+    def remove_instance(self, instance):
         """Remove an instance that has shut down gracefully and uses no slots."""
         self._expected.discard(instance)
-        self._count(self._records.pop(instance, None), -1)
+        self._add_to_totals(self._records.pop(instance, None), -1)
 
     def report(self, report, lease_deadline=None):
         """Take a ``Report``; return the instance's ``GrantSet``, or None at first.
@@ -102,14 +102,14 @@
         The instance computes its own deadline from when it *sent* the report, so that
         it stops before its slots are granted again.
         """
-        self._note_fallback(report)
-        record = self._record(report.instance)
+        self._record_fallback(report)
+        record = self._record_of(report.instance)
         is_late = passed(record.report_deadline)
-        self._count(record, -1)
+        self._add_to_totals(record, -1)
         lifetime = self._lifetime(len(self._records))
-        record.take(report, lifetime, self._settings.admission.overhang)
-        self._count(record, +1)
-        if not passed(self._grants_from):
+        record.apply_report(report, lifetime, self._settings.admission.overhang)
+        self._add_to_totals(record, +1)
+        if not passed(self._first_grant_at):
             return None
         if passed(self._rebalance_at):
             self._rebalance()
@@ -126,18 +126,18 @@
         longest = REPORTS_PER_GRANT * instances / REPORTS_PER_SECOND
         return max(self._settings.admission.grant_duration, longest)
 
-    def _note_fallback(self, report):
+    def _record_fallback(self, report):
         if report.instance in self._expected:
             self._expected.discard(report.instance)
             for name, usage in report.rows.items():
                 self._reported_fallback[name] += usage.fallback
 
-    def _record(self, instance):
+    def _record_of(self, instance):
         if instance not in self._records:
-            self._records[instance] = InstanceRecord(self._inherited_until)
+            self._records[instance] = InstanceRecord(self._inherited_deadline)
         return self._records[instance]
 
-    def _count(self, record, sign):
+    def _add_to_totals(self, record, sign):
         if record is not None:
             self._committed.add(record.committed, sign)
             self._active.add(record.active, sign)
@@ -151,7 +151,7 @@
             # A slot that moves between instances is unused until its grant lapses,
             # so remainders rotate no more often.
             self._rotate_at = deadline_in(lifetime)
-            self._turn += 1
+            self._rotation += 1
         self._recount()
         wanted = {row.name: {} for row in self._rows}
         for name, record in self._records.items():
@@ -160,25 +160,30 @@
                     wanted.get(row, {})[name] = slots
         self._targets = {name: {} for name in self._records}
         demand = {row: sum(parts.values()) for row, parts in wanted.items()}
-        given = shares(self._rows, demand, self._capacity, self._turn)
-        for row, slots in given.items():
-            self._add_targets(row, split(slots, wanted[row], self._turn))
-        self._allocate_unused(given, wanted)
+        allocated = shares(self._rows, demand, self._capacity, self._rotation)
+        for row, slots in allocated.items():
+            self._add_targets(row, split_evenly(slots, wanted[row], self._rotation))
+        self._allocate_unused(allocated, wanted)
 
-    def _allocate_unused(self, given, wanted):
+    def _allocate_unused(self, allocated, wanted):
         """Allocate unused slots, so that new calls need not wait for a grant."""
-        room = {name: self._limits[name] - given[name] for name in given}
-        rest = self._capacity - sum(given.values())
-        for row, slots in within(self._rows, room, rest, self._turn).items():
+        headroom = {name: self._limits[name] - allocated[name] for name in allocated}
+        available = self._capacity - sum(allocated.values())
+        for row, slots in distribute(
+            self._rows, headroom, available, self._rotation
+        ).items():
             # One slot for every instance first: a caller's first call at an instance
             # must not wait for a report's round trip.
             ready = min(slots, len(self._targets))
             self._add_targets(
-                row, split(ready, dict.fromkeys(self._targets, 1), self._turn)
+                row,
+                split_evenly(ready, dict.fromkeys(self._targets, 1), self._rotation),
             )
-            takers = wanted[row] or self._targets
+            recipients = wanted[row] or self._targets
             more = slots - ready
-            self._add_targets(row, split(more, dict.fromkeys(takers, more), self._turn))
+            self._add_targets(
+                row, split_evenly(more, dict.fromkeys(recipients, more), self._rotation)
+            )
 
     def _add_targets(self, row, parts):
         for instance, slots in parts.items():
@@ -192,10 +197,10 @@
         self._fallback = SlotTotals()
         for name, record in list(self._records.items()):
             record.recount()
-            if record.empty:
+            if record.is_empty:
                 del self._records[name]
             else:
-                self._count(record, +1)
+                self._add_to_totals(record, +1)
 
     def _grant(self, instance, record, lease_deadline):
         slots = self._grantable(self._targets.get(instance, {}), record)
@@ -208,58 +213,58 @@
             deadline,
             deadline + self._settings.admission.fallback_duration,
             slots,
-            self._fallbacks(slots, record),
+            self._fallback_slots(slots, record),
         )
-        self._count(record, -1)
+        self._add_to_totals(record, -1)
         record.add(grants)
-        self._count(record, +1)
+        self._add_to_totals(record, +1)
         GRANTED.inc({})
         return grants
 
     def _grantable(self, target, record):
         """Return as much of ``target`` as no other instance may be using."""
         reserved = self._reserved_by_row() if self._has_reserve else {}
-        rest = self._capacity - self._in_capacity.total
-        rest += sum(self._in_capacity_of(record).values())
-        if reserved and not self._reclaims:
+        available = self._capacity - self._capacity_in_use.total
+        available += sum(self._capacity_in_use_by(record).values())
+        if reserved and not self._reclaims_capacity:
             reserved_in_all = self._reserved(
                 self._capacity // 2, *self._reported_fallback
             )
-            rest -= min(sum(reserved.values()), reserved_in_all)
+            available -= min(sum(reserved.values()), reserved_in_all)
         free = {
-            name: max(0, min(slots, self._limit_left(name, record, reserved)))
+            name: max(0, min(slots, self._remaining_limit(name, record, reserved)))
             for name, slots in target.items()
             if name in self._limits
         }
-        if sum(free.values()) > rest:
+        if sum(free.values()) > available:
             rows = [row for row in self._rows if row.name in free]
-            free = within(rows, free, max(0, rest), self._turn)
+            free = distribute(rows, free, max(0, available), self._rotation)
         # A row without slots is granted zero if it may hold some: only grants in use
         # carry the number that confirms the end of earlier ones.
         held = dict.fromkeys([*record.committed, *record.wanted], 0)
         return {**held, **free}
 
     @property
-    def _reclaims(self):
+    def _reclaims_capacity(self):
         return not self._settings.admission.strict_capacity
 
     @property
-    def _in_capacity(self):
-        return self._active if self._reclaims else self._committed
+    def _capacity_in_use(self):
+        return self._active if self._reclaims_capacity else self._committed
 
-    def _in_capacity_of(self, record):
-        return record.active if self._reclaims else record.committed
+    def _capacity_in_use_by(self, record):
+        return record.active if self._reclaims_capacity else record.committed
 
-    def _limit_left(self, name, record, reserved):
+    def _remaining_limit(self, name, record, reserved):
         """Return the slots that the row's hard limit leaves to this instance."""
         limit = self._limits[name]
-        if self._reclaims and limit >= self._capacity:
-            others = self._active.of(name) - record.active.get(name, 0)
+        if self._reclaims_capacity and limit >= self._capacity:
+            others = self._active.of_row(name) - record.active.get(name, 0)
             return limit - others
-        others = self._committed.of(name) - record.committed.get(name, 0)
+        others = self._committed.of_row(name) - record.committed.get(name, 0)
         return limit - reserved.get(name, 0) - others
 
-    def _fallbacks(self, slots, record):
+    def _fallback_slots(self, slots, record):
         """Return the slots that may still be used once ``slots`` have lapsed.
 
         While the log is down the lease has no holder and all grants lapse. The fallback
@@ -267,33 +272,33 @@
         limit, so that a later holder can bound the use of instances it can't reach.
         """
         reserved = self._reserved_by_row() if self._has_reserve else {}
-        rest = self._fallback_rest(record)
+        available = self._remaining_fallback(record)
         fallback = {}
         for name, granted in slots.items():
-            others = self._fallback.of(name) - record.fallback.get(name, 0)
-            room = self._limits.get(name, 0) // 2 - others - reserved.get(name, 0)
-            part = max(0, min((granted + 1) // 2, room, rest))
+            others = self._fallback.of_row(name) - record.fallback.get(name, 0)
+            headroom = self._limits.get(name, 0) // 2 - others - reserved.get(name, 0)
+            part = max(0, min((granted + 1) // 2, headroom, available))
             if part:
                 fallback[name] = part
-                rest -= part
+                available -= part
         return fallback
 
-    def _fallback_rest(self, record):
+    def _remaining_fallback(self, record):
         """Return the slots that half of the capacity leaves to this fallback.
 
         Bounded only under ``strict_capacity``: else trainers would take all of it, and
         applications would be refused while the log is down.
         """
-        if self._reclaims:
+        if self._reclaims_capacity:
             return sum(self._limits.values())
         half = self._capacity // 2
-        rest = half - self._fallback.total + sum(record.fallback.values())
-        return rest - self._reserved(half, *self._reported_fallback)
+        available = half - self._fallback.total + sum(record.fallback.values())
+        return available - self._reserved(half, *self._reported_fallback)
 
     @property
     def _has_reserve(self):
         """Whether slots are reserved for instances that have not reported yet."""
-        return bool(self._expected) and not passed(self._inherited_until)
+        return bool(self._expected) and not passed(self._inherited_deadline)
 
     def _reserved_by_row(self):
         limits = self._limits.items()
--- a/sassafrasdoor/admission/grants.py
+++ b/sassafrasdoor/admission/grants.py
@@ -62,11 +62,11 @@
     """The holder's record of one instance, and the slots that it may use at most."""
 
     __slots__ = (
-        "_in_use_until",
-        "_inherited",
-        "_inherited_until",
+        "_in_use_deadline",
+        "_inherited_fallback",
+        "_inherited_deadline",
         "_life",
-        "_sets",
+        "_grant_sets",
         "committed",
         "fallback",
         "report_deadline",
@@ -74,12 +74,12 @@
         "wanted",
     )
 
-    def __init__(self, inherited_until):
+    def __init__(self, inherited_deadline):
         self._life = None
-        self._sets = []
-        self._inherited = {}
-        self._inherited_until = inherited_until
-        self._in_use_until = now()
+        self._grant_sets = []
+        self._inherited_fallback = {}
+        self._inherited_deadline = inherited_deadline
+        self._in_use_deadline = now()
         self.report_deadline = now()
         self.wanted = {}
         self.in_use = {}
@@ -87,7 +87,7 @@
         self.fallback = {}
 
     @property
-    def empty(self):
+    def is_empty(self):
         """Whether it has not reported recently and holds no slots."""
         return passed(self.report_deadline) and not any(self.committed.values())
 
@@ -96,7 +96,7 @@
         """Slots that it may be using if it has reported recently, else none."""
         return {} if passed(self.report_deadline) else self.committed
 
-    def take(self, report, lifetime, overhang):
+    def apply_report(self, report, lifetime, overhang):
         """Take a report; grants older than the one in use are dropped.
 
         Later grants may be in flight or lost with a reply: they count until a report
@@ -104,32 +104,42 @@
         in progress count as ended.
         """
         self.report_deadline = deadline_in(lifetime)
-        self._in_use_until = deadline_in(overhang)
+        self._in_use_deadline = deadline_in(overhang)
         rows = report.rows.items()
         self.wanted = {name: usage.wanted for name, usage in rows if usage.wanted}
         self.in_use = {name: usage.in_use for name, usage in rows if usage.in_use}
         if self._life != report.life:
             self._life = report.life
-            self._sets = []
-            self._inherited = {name: usage.fallback for name, usage in rows}
-        if any(one.number == report.number for one in self._sets):
-            self._sets = [one for one in self._sets if one.number >= report.number]
-            self._inherited = {}
+            self._grant_sets = []
+            self._inherited_fallback = {name: usage.fallback for name, usage in rows}
+        if any(grant_set.number == report.number for grant_set in self._grant_sets):
+            self._grant_sets = [
+                grant_set
+                for grant_set in self._grant_sets
+                if grant_set.number >= report.number
+            ]
+            self._inherited_fallback = {}
         self.recount()
 
     def add(self, grants):
         """Add a new ``GrantSet``."""
-        self._sets.append(grants)
+        self._grant_sets.append(grants)
         self.recount()
 
     def recount(self):
         """Compute the slots that it may use now, and its fallback."""
-        self._sets = [one for one in self._sets if not passed(one.fallback_deadline)]
-        inherited = {} if passed(self._inherited_until) else self._inherited
-        in_use = {} if passed(self._in_use_until) else self.in_use
-        used = [one.usable() for one in self._sets]
+        self._grant_sets = [
+            grant_set
+            for grant_set in self._grant_sets
+            if not passed(grant_set.fallback_deadline)
+        ]
+        inherited = {} if passed(self._inherited_deadline) else self._inherited_fallback
+        in_use = {} if passed(self._in_use_deadline) else self.in_use
+        used = [grant_set.usable() for grant_set in self._grant_sets]
         self.committed = _maximum(inherited, in_use, *used)
-        self.fallback = _maximum(inherited, *[one.fallback for one in self._sets])
+        self.fallback = _maximum(
+            inherited, *[grant_set.fallback for grant_set in self._grant_sets]
+        )
 
 
 def _maximum(*parts):
@@ -151,7 +161,7 @@
         self._by_row = Counter()
         self.total = 0
 
-    def of(self, name):
+    def of_row(self, name):
         """Return the sum of a row."""
         return self._by_row[name]
 
--- a/sassafrasdoor/admission/queues.py
+++ b/sassafrasdoor/admission/queues.py
@@ -20,7 +20,7 @@
 MIN_DEMAND = 0.25  # slots; below it a decayed peak counts as none
 MIN_RETRY_AFTER = 0.5
 MAX_RETRY_AFTER = 30.0
-HOLD_WEIGHT = 0.1  # of the last call in the smoothed service time
+SERVICE_TIME_WEIGHT = 0.1  # of the last call in the smoothed service time
 DISPATCH_INTERVAL = 0.05  # grants lapse without an event
 
 ADMITTED = metrics.counter("sassafrasdoor_admitted_total", "Calls given a slot.")
@@ -30,17 +30,17 @@
 class Permit:
     """A slot in use; ``release`` is idempotent."""
 
-    __slots__ = ("_queue", "_since")
+    __slots__ = ("_queue", "_acquired_at")
 
     def __init__(self, queue):
         self._queue = queue
-        self._since = now()
+        self._acquired_at = now()
 
     def release(self):
         """Release the slot."""
         queue, self._queue = self._queue, None
         if queue is not None:
-            queue.released(now() - self._since)
+            queue.release_slot(now() - self._acquired_at)
 
     def __enter__(self):
         return self
@@ -52,7 +52,14 @@
 class RowQueue:
     """The calls of one row, in progress and queued."""
 
-    __slots__ = ("_hold", "_peak", "_peak_at", "_settings", "_view", "_waiting")
+    __slots__ = (
+        "_mean_service_time",
+        "_peak",
+        "_peak_at",
+        "_settings",
+        "_view",
+        "_waiting",
+    )
     __slots__ += ("in_use", "row")
 
     def __init__(self, settings, row, view):
@@ -61,7 +68,7 @@
         self._settings = settings
         self._view = view
         self._waiting = deque()
-        self._hold = 0.0
+        self._mean_service_time = 0.0
         self._peak = 0.0
         self._peak_at = now()
 
@@ -71,15 +78,15 @@
         return len(self._waiting)
 
     @property
-    def idle(self):
+    def is_idle(self):
         """Whether it has no calls and no demand."""
-        return not self.in_use and not self._waiting and self.wanted() == 0
+        return not self.in_use and not self._waiting and self.demand() == 0
 
     def allowed(self):
         """Return the number of slots that may be in use now."""
         return allowance(self._settings, self._view, self.row)
 
-    def wanted(self):
+    def demand(self):
         """Return the demand in slots: the current one, or a decaying recent peak."""
         decayed = self._peak * 0.5 ** ((now() - self._peak_at) / DEMAND_HALF_LIFE)
         current = self.in_use + self.waiting
@@ -88,52 +95,54 @@
             return current
         return max(current, -int(-decayed // 1)) if decayed >= MIN_DEMAND else current
 
-    def renew(self, view, row):
+    def update_view(self, view, row):
         """Use a newer view and the row of its table."""
         self._view = view
         self.row = row
-        self.pump()
+        self.dispatch()
 
     async def admit(self, deadline):
         """Return a ``Permit``, or ``NotRun``."""
-        self.pump()
+        self.dispatch()
         if not self._waiting and self.in_use < self.allowed():
-            return self._permit()
+            return self._new_permit()
         refusal = self._refusal(deadline)
         if refusal is not None:
             return refusal
         future = asyncio.get_running_loop().create_future()
         self._waiting.append((future, deadline))
-        self.wanted()
-        return await self._wait(future, deadline)
+        self.demand()
+        return await self._wait_for_slot(future, deadline)
 
-    async def _wait(self, future, deadline):
+    async def _wait_for_slot(self, future, deadline):
         try:
             async with asyncio.timeout(remaining(deadline)):
                 return await future
         except TimeoutError:
-            return self._granted_or(future, self._too_late())
+            return self._result_or(future, self._refuse_expired())
         except asyncio.CancelledError:
             # The slot may have been granted just before the cancellation, and nobody
             # else would release it.
-            permit = self._granted_or(future, None)
+            permit = self._result_or(future, None)
             if permit:
                 permit.release()
             raise
 
-    def _granted_or(self, future, otherwise):
+    def _result_or(self, future, default):
         if future.done() and not future.cancelled():
             return future.result()
-        self._waiting = deque(one for one in self._waiting if one[0] is not future)
-        return otherwise
+        self._waiting = deque(call for call in self._waiting if call[0] is not future)
+        return default
 
-    def released(self, held):
+    def release_slot(self, held):
         """Take back a slot that was held for ``held`` seconds."""
         self.in_use -= 1
-        self._hold += HOLD_WEIGHT * (held - self._hold)
-        self.pump()
+        self._mean_service_time += SERVICE_TIME_WEIGHT * (
+            held - self._mean_service_time
+        )
+        self.dispatch()
 
-    def pump(self):
+    def dispatch(self):
         """Grant free slots in queue order to calls that can still meet their deadline.
 
         A call whose remaining time is below the mean service time is refused, so that
@@ -143,10 +152,12 @@
             future, deadline = self._waiting.popleft()
             if future.done():
                 continue
-            late = remaining(deadline) < self._hold
-            future.set_result(self._too_late() if late else self._permit())
+            is_too_late = remaining(deadline) < self._mean_service_time
+            future.set_result(
+                self._refuse_expired() if is_too_late else self._new_permit()
+            )
 
-    def _too_late(self):
+    def _refuse_expired(self):
         REFUSED.inc({"row": self.row.name, "reason": "no time left"})
         return NotRun("no slot in time", self.retry_after())
 
@@ -155,7 +166,7 @@
         likely = min(MAX_RETRY_AFTER, max(MIN_RETRY_AFTER, self._expected_wait()))
         return likely * random.uniform(1.0, 1.5)
 
-    def _permit(self):
+    def _new_permit(self):
         self.in_use += 1
         ADMITTED.inc({"row": self.row.name})
         return Permit(self)
@@ -164,7 +175,8 @@
         reasons = {
             "deadline passed": passed(deadline),
             "queue full": self.waiting >= self._settings.admission.queue_size,
-            "queue too long for the deadline": self._expected_wait() + self._hold
+            "queue too long for the deadline": self._expected_wait()
+            + self._mean_service_time
             > remaining(deadline),
         }
         for reason, holds in reasons.items():
@@ -175,7 +187,7 @@
 
     def _expected_wait(self):
         """Return the expected queueing time in seconds of a new call."""
-        return self._hold * (self.waiting + 1) / max(1, self.allowed())
+        return self._mean_service_time * (self.waiting + 1) / max(1, self.allowed())
 
 
 class Admission:
@@ -191,14 +203,14 @@
 
     async def admit(self, view, row, deadline):
         """Return a ``Permit`` for one call of ``row``, or ``NotRun``."""
-        self.renew(view)
+        self.update_view(view)
         queue = self._queues.get(row.name)
         if queue is None:
             queue = RowQueue(self._settings, row, view)
             self._queues[row.name] = queue
         return await queue.admit(deadline)
 
-    def renew(self, view):
+    def update_view(self, view):
         """Use a newer view and its grants."""
         if view is self._view:
             return
@@ -206,21 +218,21 @@
         for name, queue in list(self._queues.items()):
             row = view.row(name)
             if row is not None:
-                queue.renew(view, row)
-            elif queue.idle:
+                queue.update_view(view, row)
+            elif queue.is_idle:
                 del self._queues[name]
 
     async def run(self, view_getter):
         """Dispatch queued calls as grants come and lapse, until cancelled."""
         while True:
             await asyncio.sleep(DISPATCH_INTERVAL)
-            self.renew(view_getter())
+            self.update_view(view_getter())
             for queue in self._queues.values():
-                queue.pump()
+                queue.dispatch()
 
     def demand(self):
         """Return ``{row: slots wanted}``."""
-        wanted = {name: queue.wanted() for name, queue in self._queues.items()}
+        wanted = {name: queue.demand() for name, queue in self._queues.items()}
         return {name: slots for name, slots in wanted.items() if slots}
 
     def in_use(self):
@@ -274,5 +286,5 @@
     return {
         "in_use": queue.in_use if queue else 0,
         "waiting": queue.waiting if queue else 0,
-        "wanted": queue.wanted() if queue else 0,
+        "wanted": queue.demand() if queue else 0,
     }
--- a/sassafrasdoor/admission/quota.py
+++ b/sassafrasdoor/admission/quota.py
@@ -21,17 +21,19 @@
     if view.grants is None:
         return equal_slice(view, row)
     if not view.grants:
-        return ungranted(settings, view, row)
+        return slots_without_grants(settings, view, row)
     grant = view.grants.get(row.name)
     if grant is None:
         return 0
     if not passed(grant.deadline):
         return grant.slots
     lapses = grant.deadline + settings.admission.fallback_duration
-    return ungranted(settings, view, row) if passed(lapses) else grant.fallback
+    return (
+        slots_without_grants(settings, view, row) if passed(lapses) else grant.fallback
+    )
 
 
-def ungranted(settings, view, row):
+def slots_without_grants(settings, view, row):
     """Return the slots of a row at an instance that holds no grants.
 
     While the log is down the quota's lease has no holder, and an instance that starts
--- a/sassafrasdoor/admission/retries.py
+++ b/sassafrasdoor/admission/retries.py
@@ -15,11 +15,11 @@
         self._ratio = settings.admission.retry_budget
         self._balance = MAX_BALANCE if self._ratio else 0.0
 
-    def earned(self):
+    def deposit(self):
         """Add the tokens of a first try."""
         self._balance = min(MAX_BALANCE, self._balance + self._ratio)
 
-    def spend(self):
+    def try_withdraw(self):
         """Take the token of one retry; return whether there was one."""
         if self._balance < 1.0:
             return False
--- a/sassafrasdoor/admission/shares.py
+++ b/sassafrasdoor/admission/shares.py
@@ -17,7 +17,7 @@
     return max(1, floor(row.limit * capacity + EPSILON))
 
 
-def shares(rows, demand, capacity, turn=0):
+def shares(rows, demand, capacity, rotation=0):
     """Return ``{row name: slots}`` of ``capacity`` (whole slots).
 
     ``rows`` are table rows, ``demand`` maps names to wanted slots. ``turn`` decides
@@ -27,63 +27,71 @@
         row.name: min(demand.get(row.name, 0), hard_limit(row, capacity))
         for row in rows
     }
-    return within(rows, wanted, capacity, turn)
+    return distribute(rows, wanted, capacity, rotation)
 
 
-def within(rows, wanted, amount, turn=0):
+def distribute(rows, wanted, amount, rotation=0):
     """Return ``{row name: slots}`` of ``amount`` as ``shares``, limits applied."""
-    return whole_slots(fractions(rows, wanted, amount), turn)
+    return round_to_slots(fractional_shares(rows, wanted, amount), rotation)
 
 
-def fractions(rows, wanted, capacity):
+def fractional_shares(rows, wanted, capacity):
     """Return ``{row name: share}``, not yet in whole slots."""
-    given = {row.name: 0.0 for row in rows}
-    _fill(rows, wanted, given, capacity * FLOOR_SHARE)
+    allocated = {row.name: 0.0 for row in rows}
+    _fill_by_weight(rows, wanted, allocated, capacity * FLOOR_SHARE)
     for priority in sorted({row.priority for row in rows}, reverse=True):
         level = [row for row in rows if row.priority == priority]
-        _fill(level, wanted, given, capacity - sum(given.values()))
-    return given
+        _fill_by_weight(level, wanted, allocated, capacity - sum(allocated.values()))
+    return allocated
 
 
-def whole_slots(given, turn):
+def round_to_slots(allocated, rotation):
     """Return the shares as whole slots of the same sum (rounded down).
 
     Systematic sampling: a row with a remainder of 0.3 gets a further slot in three of
     ten turns.
     """
     whole = {}
-    offset = (turn * GOLDEN_STEP) % 1.0
+    offset = (rotation * GOLDEN_STEP) % 1.0
     total = 0.0
-    spare = floor(sum(given.values()) + EPSILON)
-    spare -= sum(floor(share + EPSILON) for share in given.values())
-    for name in sorted(given):
-        slots = floor(given[name] + EPSILON)
+    spare = floor(sum(allocated.values()) + EPSILON)
+    spare -= sum(floor(share + EPSILON) for share in allocated.values())
+    for name in sorted(allocated):
+        slots = floor(allocated[name] + EPSILON)
         before = floor(total + offset + EPSILON)
-        total += max(0.0, given[name] - slots)
-        odd = floor(total + offset + EPSILON) > before and spare > 0
-        whole[name] = slots + odd
-        spare -= odd
+        total += max(0.0, allocated[name] - slots)
+        extra = floor(total + offset + EPSILON) > before and spare > 0
+        whole[name] = slots + extra
+        spare -= extra
     return whole
 
 
-def split(amount, wanted, turn=0):
+def split_evenly(amount, wanted, rotation=0):
     """Return ``{name: slots}`` of ``amount``, split evenly up to ``wanted``."""
-    given, rest, left = {}, min(amount, sum(wanted.values())), len(wanted)
-    for name in sorted(wanted, key=lambda each: (wanted[each], each)):
-        given[name] = min(wanted[name], rest / left)
-        rest -= given[name]
-        left -= 1
-    return whole_slots(given, turn)
-
-
-def _fill(rows, wanted, given, amount):
+    allocated, available, names_left = (
+        {},
+        min(amount, sum(wanted.values())),
+        len(wanted),
+    )
+    for name in sorted(wanted, key=lambda name: (wanted[name], name)):
+        allocated[name] = min(wanted[name], available / names_left)
+        available -= allocated[name]
+        names_left -= 1
+    return round_to_slots(allocated, rotation)
+
+
+def _fill_by_weight(rows, wanted, allocated, amount):
     """Add ``amount`` to ``given`` in proportion to weight, up to ``wanted``."""
     weight = sum(row.weight for row in rows)
-    room = {row.name: max(0.0, wanted[row.name] - given[row.name]) for row in rows}
-    for row in sorted(rows, key=lambda one: (room[one.name] / one.weight, one.name)):
+    headroom = {
+        row.name: max(0.0, wanted[row.name] - allocated[row.name]) for row in rows
+    }
+    for row in sorted(
+        rows, key=lambda row: (headroom[row.name] / row.weight, row.name)
+    ):
         if amount <= EPSILON:
             return
-        part = min(room[row.name], amount * row.weight / weight)
-        given[row.name] += part
+        part = min(headroom[row.name], amount * row.weight / weight)
+        allocated[row.name] += part
         amount -= part
         weight -= row.weight
--- a/sassafrasdoor/admission/tests/test_allocator.py
+++ b/sassafrasdoor/admission/tests/test_allocator.py
@@ -40,7 +40,7 @@
         return self.time
 
 
-class Site:
+class FakeInstance:
     """An instance: what it has adopted, wants and uses, as its own clock says."""
 
     def __init__(self, name):
@@ -69,14 +69,16 @@
         numbers = [grant.number for grant in self.grants.values()]
         return Report(self.name, self.life, max(numbers, default=0), rows)
 
-    def adopt(self, made, sent_at, held_until):
+    def adopt(self, grant_set, sent_at, held_until):
         """Adopt a set; its lifetime counts from the sending of the report."""
-        if made is None:
+        if grant_set is None:
             return
-        deadline = sent_at + (made.deadline - held_until)
+        deadline = sent_at + (grant_set.deadline - held_until)
         self.grants = {
-            name: Grant(slots, deadline, made.fallback.get(name, 0), made.number)
-            for name, slots in made.slots.items()
+            name: Grant(
+                slots, deadline, grant_set.fallback.get(name, 0), grant_set.number
+            )
+            for name, slots in grant_set.slots.items()
         }
 
 
@@ -90,270 +92,276 @@
         self.addCleanup(patch.stop)
         self.fence = 0
 
-    def holder(self, sites=()):
+    def holder(self, instances=()):
         """Return an allocator that has just become the holder."""
         self.fence += 1
         allocator = Allocator(self.settings)
-        allocator.take_over(self.fence, [site.name for site in sites])
+        allocator.take_over(self.fence, [instance.name for instance in instances])
         allocator.plan(ROWS.rows, CAPACITY)
         return allocator
 
-    def exchange(self, allocator, site, lost=False):
+    def exchange(self, allocator, instance, lost=False):
         """Report and adopt the answer, unless the reply is lost."""
-        made = allocator.report(site.report())
+        grant_set = allocator.report(instance.report())
         if not lost:
-            site.adopt(made, self.clock.time, self.clock.time)
-        return made
+            instance.adopt(grant_set, self.clock.time, self.clock.time)
+        return grant_set
 
-    def settle(self, allocator, sites, rounds=4, step=0.3):
+    def exchange_rounds(self, allocator, instances, rounds=4, step=0.3):
         """Exchange for a while with everybody."""
         for _ in range(rounds):
             self.clock.time += step
-            for site in sites:
-                self.exchange(allocator, site)
-
-    def started(self, count=3, **wanted):
-        """Return a holder that grants, and sites that want."""
-        sites = [Site(f"e{number}") for number in range(count)]
-        for site in sites:
-            site.wanted.update(wanted)
-        allocator = self.holder(sites)
-        self.settle(allocator, sites)
+            for instance in instances:
+                self.exchange(allocator, instance)
+
+    def start_instances(self, count=3, **wanted):
+        """Return a holder that grants, and instances that want."""
+        instances = [FakeInstance(f"e{number}") for number in range(count)]
+        for instance in instances:
+            instance.wanted.update(wanted)
+        allocator = self.holder(instances)
+        self.exchange_rounds(allocator, instances)
         self.clock.time += SETTINGS.admission.grant_duration
-        self.settle(allocator, sites)
-        return allocator, sites
+        self.exchange_rounds(allocator, instances)
+        return allocator, instances
 
-    def total(self, sites, row):
-        """Return what the row may use at all sites together."""
-        return sum(site.allowed(row) for site in sites)
+    def total(self, instances, row):
+        """Return what the row may use at all instances together."""
+        return sum(instance.allowed(row) for instance in instances)
 
-    def check(self, sites):
+    def check(self, instances):
         """Assert that no limit and not the capacity can be overshot."""
         total = 0
         for row in ROWS.rows:
-            used = sum(max(s.allowed(row.name), s.in_use[row.name]) for s in sites)
+            used = sum(max(s.allowed(row.name), s.in_use[row.name]) for s in instances)
             self.assertLessEqual(used, hard_limit(row, CAPACITY), row.name)
             total += used
         self.assertLessEqual(total, CAPACITY)
 
-    def any_sequence(self, seed):
+    def run_random_faults(self, seed):
         """Run a seeded mix of losses, cuts, restarts and holders; check throughout."""
-        chance = random.Random(seed)
+        rng = random.Random(seed)
         self.clock.time = 1000.0
-        sites = [Site(f"e{number}") for number in range(4)]
-        allocator = self.holder(sites)
-        cut = set()
+        instances = [FakeInstance(f"e{number}") for number in range(4)]
+        allocator = self.holder(instances)
+        partitioned = set()
         for _ in range(80):
-            self.clock.time += chance.choice([0.1, 0.3, 0.3, 1.0, 4.0])
-            if chance.random() < 0.05:
-                allocator = self.holder(sites)
-            if chance.random() < 0.1:
-                cut ^= {chance.choice(sites)}
-            if chance.random() < 0.04:
-                self.restart(chance.choice(sites))
-            for site in chance.sample(sites, len(sites)):
+            self.clock.time += rng.choice([0.1, 0.3, 0.3, 1.0, 4.0])
+            if rng.random() < 0.05:
+                allocator = self.holder(instances)
+            if rng.random() < 0.1:
+                partitioned ^= {rng.choice(instances)}
+            if rng.random() < 0.04:
+                self.restart(rng.choice(instances))
+            for instance in rng.sample(instances, len(instances)):
                 for row in ROWS.rows:
-                    if chance.random() < 0.2:
-                        site.wanted[row.name] = chance.choice([0, 1, 5, 40])
-                if site not in cut:
-                    self.exchange(allocator, site, lost=chance.random() < 0.2)
-                self.check(sites)
+                    if rng.random() < 0.2:
+                        instance.wanted[row.name] = rng.choice([0, 1, 5, 40])
+                if instance not in partitioned:
+                    self.exchange(allocator, instance, lost=rng.random() < 0.2)
+                self.check(instances)
 
-    def restart(self, site):
+    def restart(self, instance):
         """Have the instance's process die and come back with nothing."""
-        site.life += "1"
-        site.grants = {}
+        instance.life += "1"
+        instance.grants = {}
 
 
 class AllocatorTest(AllocatorCase):
     def test_full_use_by_shares(self):
-        _, sites = self.started(trainer=40, app=40)
-        self.assertEqual(self.total(sites, "app"), 20)
-        self.assertEqual(self.total(sites, "trainer"), 20)
+        _, instances = self.start_instances(trainer=40, app=40)
+        self.assertEqual(self.total(instances, "app"), 20)
+        self.assertEqual(self.total(instances, "trainer"), 20)
 
-    def test_idle_share_is_lent_and_comes_back(self):
+    def test_lent_share_is_returned_on_demand(self):
         """Guards against lent slots that return only when leases end."""
-        allocator, sites = self.started(trainer=40)
-        for site in sites:
-            site.in_use["trainer"] = site.allowed("trainer")
-        self.assertEqual(self.total(sites, "trainer"), CAPACITY)
-        sites[0].wanted["app"] = 10
+        allocator, instances = self.start_instances(trainer=40)
+        for instance in instances:
+            instance.in_use["trainer"] = instance.allowed("trainer")
+        self.assertEqual(self.total(instances, "trainer"), CAPACITY)
+        instances[0].wanted["app"] = 10
         for _ in range(4):
-            self.settle(allocator, sites, rounds=1)
-            for site in sites:
-                site.in_use["trainer"] = min(
-                    site.in_use["trainer"], site.allowed("trainer")
+            self.exchange_rounds(allocator, instances, rounds=1)
+            for instance in instances:
+                instance.in_use["trainer"] = min(
+                    instance.in_use["trainer"], instance.allowed("trainer")
                 )
-            self.check(sites)
-        self.assertEqual(sites[0].allowed("app"), 10)
+            self.check(instances)
+        self.assertEqual(instances[0].allowed("app"), 10)
 
-    def test_without_any_demand_new_work_finds_a_slot(self):
-        _, sites = self.started()
-        for site in sites:
+    def test_slots_are_granted_without_demand(self):
+        _, instances = self.start_instances()
+        for instance in instances:
             for row in ROWS.rows:
-                self.assertGreater(site.allowed(row.name), 0, (site.name, row.name))
+                self.assertGreater(
+                    instance.allowed(row.name), 0, (instance.name, row.name)
+                )
 
-    def test_instance_that_wants_nothing_yet_has_a_slot_ready(self):
+    def test_idle_instance_has_a_slot_ready(self):
         """Guards against a first call at an instance that has to wait for a grant."""
-        allocator, sites = self.started()
-        sites[0].wanted["app"] = 5
-        self.settle(allocator, sites)
-        for site in sites:
-            self.assertGreaterEqual(site.allowed("app"), 1, site.name)
-        self.check(sites)
-
-    def test_new_holder_waits_out_the_grants_of_the_old(self):
+        allocator, instances = self.start_instances()
+        instances[0].wanted["app"] = 5
+        self.exchange_rounds(allocator, instances)
+        for instance in instances:
+            self.assertGreaterEqual(instance.allowed("app"), 1, instance.name)
+        self.check(instances)
+
+    def test_new_holder_waits_until_old_grants_lapse(self):
         """Guards against a new holder that grants slots covered by old grants."""
-        _, sites = self.started(app=40)
-        before = self.total(sites, "app")
-        fresh = Site("fresh")
+        _, instances = self.start_instances(app=40)
+        before = self.total(instances, "app")
+        fresh = FakeInstance("fresh")
         fresh.wanted["app"] = 40
-        successor = self.holder(sites)
+        successor = self.holder(instances)
         self.assertIsNone(self.exchange(successor, fresh))
         self.assertEqual(before, 20)
         for _ in range(30):
-            self.settle(successor, [*sites, fresh], rounds=1)
-            self.check([*sites, fresh])
+            self.exchange_rounds(successor, [*instances, fresh], rounds=1)
+            self.check([*instances, fresh])
         # An odd slot may just be on its way from one instance to another.
-        self.assertGreaterEqual(self.total([*sites, fresh], "app"), 19)
+        self.assertGreaterEqual(self.total([*instances, fresh], "app"), 19)
 
-    def test_silent_instance_keeps_its_fallback_and_no_more(self):
+    def test_silent_instance_keeps_only_its_fallback(self):
         """Guards against granting slots that a partitioned instance may still use."""
-        allocator, sites = self.started(app=40)
-        cut, *others = sites
-        held = cut.allowed("app")
+        allocator, instances = self.start_instances(app=40)
+        partitioned, *others = instances
+        held = partitioned.allowed("app")
         for _ in range(20):
-            self.settle(allocator, others, rounds=1)
-            self.check(sites)
-        self.assertEqual(cut.allowed("app"), (held + 1) // 2)
+            self.exchange_rounds(allocator, others, rounds=1)
+            self.check(instances)
+        self.assertEqual(partitioned.allowed("app"), (held + 1) // 2)
         self.assertEqual(self.total(others, "app"), 20 - (held + 1) // 2)
         self.clock.time += SETTINGS.admission.fallback_duration
-        self.settle(allocator, others)
-        self.assertEqual(cut.allowed("app"), 0)
+        self.exchange_rounds(allocator, others)
+        self.assertEqual(partitioned.allowed("app"), 0)
         self.assertEqual(self.total(others, "app"), 20)
 
-    def test_no_holder_at_all_leaves_half_to_everybody(self):
-        _, sites = self.started(app=40, trainer=40)
-        before = self.total(sites, "app")
+    def test_half_of_the_grants_remain_without_holder(self):
+        _, instances = self.start_instances(app=40, trainer=40)
+        before = self.total(instances, "app")
         self.clock.time += 2 * SETTINGS.admission.grant_duration
-        self.check(sites)
-        self.assertGreaterEqual(self.total(sites, "app"), before // 2 - len(sites))
+        self.check(instances)
+        self.assertGreaterEqual(
+            self.total(instances, "app"), before // 2 - len(instances)
+        )
 
-    def test_holder_changes_while_an_instance_is_cut_off(self):
-        allocator, sites = self.started(app=40)
-        cut, *others = sites
-        self.settle(allocator, others, rounds=20)
+    def test_holder_changes_while_an_instance_is_partitioned(self):
+        allocator, instances = self.start_instances(app=40)
+        partitioned, *others = instances
+        self.exchange_rounds(allocator, others, rounds=20)
         for _ in range(3):
-            successor = self.holder(sites)
+            successor = self.holder(instances)
             self.clock.time += SETTINGS.admission.grant_duration
             for _ in range(20):
-                self.settle(successor, others, rounds=1)
-                self.check(sites)
+                self.exchange_rounds(successor, others, rounds=1)
+                self.check(instances)
         self.assertGreater(self.total(others, "app"), 8)
 
-    def test_planned_leave_and_restart_give_back_at_once(self):
-        allocator, sites = self.started(app=40)
-        leaving, *others = sites
-        allocator.left(leaving.name)
-        self.settle(allocator, others, rounds=2)
+    def test_shutdown_and_restart_release_slots_at_once(self):
+        allocator, instances = self.start_instances(app=40)
+        leaving, *others = instances
+        allocator.remove_instance(leaving.name)
+        self.exchange_rounds(allocator, others, rounds=2)
         self.assertEqual(self.total(others, "app"), 20)
-        restarted = Site(others[0].name)
+        restarted = FakeInstance(others[0].name)
         restarted.life = "2"
-        self.settle(allocator, [others[1], restarted], rounds=5)
+        self.exchange_rounds(allocator, [others[1], restarted], rounds=5)
         self.assertEqual(self.total([others[1]], "app"), 20)
 
     def test_calls_in_progress_count_beyond_the_grant(self):
-        allocator, sites = self.started(app=40)
-        first, *others = sites
+        allocator, instances = self.start_instances(app=40)
+        first, *others = instances
         first.in_use["app"] = held = first.allowed("app")
         first.wanted["app"] = 0
         for _ in range(10):
             first.wanted["app"] = 1
-            self.settle(allocator, sites, rounds=1)
-            self.check(sites)
+            self.exchange_rounds(allocator, instances, rounds=1)
+            self.check(instances)
         self.assertLessEqual(self.total(others, "app"), 20 - held)
 
     def test_no_grant_outlives_the_lease(self):
-        allocator, sites = self.started(app=40)
+        allocator, instances = self.start_instances(app=40)
         limit = self.clock.time + 0.5
-        made = allocator.report(sites[0].report(), lease_deadline=limit)
-        self.assertEqual(made.deadline, limit)
+        grant_set = allocator.report(instances[0].report(), lease_deadline=limit)
+        self.assertEqual(grant_set.deadline, limit)
 
     @hypothesis_settings(derandomize=True, deadline=None, max_examples=30)
     @given(strategies.integers(0, 10_000))
-    def test_any_sequence_of_losses_cuts_and_holders(self, seed):
+    def test_limits_hold_under_random_faults(self, seed):
         """Guards against grants beyond the limits after any mix of faults."""
-        self.any_sequence(seed)
+        self.run_random_faults(seed)
 
 
 class ReclaimTest(AllocatorCase):
     settings = RECLAIMING
 
-    def check(self, sites):
+    def check(self, instances):
         """Assert that no hard limit can be overshot; engines guard the capacity."""
         for row in ROWS.rows:
             if row.limit < 1:
-                used = sum(max(s.allowed(row.name), s.in_use[row.name]) for s in sites)
+                used = sum(
+                    max(s.allowed(row.name), s.in_use[row.name]) for s in instances
+                )
                 self.assertLessEqual(used, hard_limit(row, CAPACITY), row.name)
 
     @hypothesis_settings(derandomize=True, deadline=None, max_examples=30)
     @given(strategies.integers(0, 10_000))
-    def test_hard_limits_hold_in_any_sequence(self, seed):
-        self.any_sequence(seed)
+    def test_hard_limits_hold_under_random_faults(self, seed):
+        self.run_random_faults(seed)
 
-    def test_death_of_the_busy_instance_does_not_idle_the_rest(self):
+    def test_slots_of_a_dead_instance_are_reclaimed(self):
         """Guards against calls of a dead instance that count against the capacity."""
-        allocator, sites = self.started()
-        dead, heir, *_ = sites
+        allocator, instances = self.start_instances()
+        dead, survivor, *_ = instances
         dead.wanted["trainer"] = 40
-        self.settle(allocator, sites, rounds=20)
+        self.exchange_rounds(allocator, instances, rounds=20)
         dead.in_use["trainer"] = dead.allowed("trainer")
         self.assertEqual(dead.in_use["trainer"], CAPACITY)
         self.exchange(allocator, dead)
         self.clock.time += self.settings.admission.grant_duration + 0.1
-        heir.wanted["trainer"] = 40
-        self.settle(allocator, sites[1:], rounds=4)
-        self.assertEqual(heir.allowed("trainer"), CAPACITY)
+        survivor.wanted["trainer"] = 40
+        self.exchange_rounds(allocator, instances[1:], rounds=4)
+        self.assertEqual(survivor.allowed("trainer"), CAPACITY)
 
-    def test_an_application_keeps_a_fallback_beside_busy_trainers(self):
+    def test_application_keeps_a_fallback_when_trainers_are_busy(self):
         """Guards against a trainer that takes all of the fallback."""
-        allocator, sites = self.started(trainer=40)
-        self.settle(allocator, sites, rounds=20)
-        for site in sites:
-            site.wanted["small"] = 1
-        self.settle(allocator, sites, rounds=20)
-        self.assertEqual(self.total(sites, "small"), 3)
+        allocator, instances = self.start_instances(trainer=40)
+        self.exchange_rounds(allocator, instances, rounds=20)
+        for instance in instances:
+            instance.wanted["small"] = 1
+        self.exchange_rounds(allocator, instances, rounds=20)
+        self.assertEqual(self.total(instances, "small"), 3)
         self.clock.time += self.settings.admission.grant_duration + 0.1
         half = hard_limit(ROWS.row("small"), CAPACITY) // 2
-        self.assertEqual(self.total(sites, "small"), half)
-        self.assertGreaterEqual(self.total(sites, "trainer"), 1)
-        self.check(sites)
+        self.assertEqual(self.total(instances, "small"), half)
+        self.assertGreaterEqual(self.total(instances, "trainer"), 1)
+        self.check(instances)
 
-    def test_instance_that_reports_late_is_not_granted_nothing(self):
+    def test_late_report_keeps_its_grant(self):
         """Guards against a late report answered by a grant without a fallback."""
-        allocator, sites = self.started(app=12)
-        late, *others = sites
-        lapse = SETTINGS.admission.grant_duration
-        self.settle(allocator, others, rounds=int(lapse / 0.3) + 2)
-        had = late.allowed("app")
-        self.assertGreater(had, 0)
+        allocator, instances = self.start_instances(app=12)
+        late, *others = instances
+        lifetime = SETTINGS.admission.grant_duration
+        self.exchange_rounds(allocator, others, rounds=int(lifetime / 0.3) + 2)
+        allowed_before = late.allowed("app")
+        self.assertGreater(allowed_before, 0)
         self.exchange(allocator, late)
-        self.check(sites)
-        self.assertGreaterEqual(late.allowed("app"), had)
+        self.check(instances)
+        self.assertGreaterEqual(late.allowed("app"), allowed_before)
         self.assertGreater(late.grants["app"].fallback, 0)
 
-    def test_limited_rows_wait_for_the_silent(self):
-        allocator, sites = self.started(app=40)
-        cut, *others = sites
-        cut.in_use["app"] = held = cut.allowed("app")
-        self.exchange(allocator, cut)
-        self.settle(allocator, others, rounds=20)
-        self.check(sites)
+    def test_rows_with_hard_limit_wait_for_silent_instances(self):
+        allocator, instances = self.start_instances(app=40)
+        partitioned, *others = instances
+        partitioned.in_use["app"] = held = partitioned.allowed("app")
+        self.exchange(allocator, partitioned)
+        self.exchange_rounds(allocator, others, rounds=20)
+        self.check(instances)
         self.assertEqual(self.total(others, "app"), 20 - held)
 
 
 class ReportTest(unittest.IsolatedAsyncioTestCase):
-    async def test_admission_reports_wants_use_and_grants(self):
+    async def test_report_has_demand_use_and_grants(self):
         admission = Admission(SETTINGS)
         grants = {
             "app": Grant(1, clock.deadline_in(60), 1, 7),
--- a/sassafrasdoor/admission/tests/test_shares.py
+++ b/sassafrasdoor/admission/tests/test_shares.py
@@ -5,7 +5,7 @@
 
 from hypothesis import given, settings as hypothesis_settings, strategies
 
-from sassafrasdoor.admission.shares import fractions, hard_limit, shares
+from sassafrasdoor.admission.shares import fractional_shares, hard_limit, shares
 from sassafrasdoor.requests.tests.fakes import row_document, table
 
 ROWS = strategies.lists(
@@ -21,7 +21,7 @@
 CASES = hypothesis_settings(derandomize=True, deadline=None, max_examples=200)
 
 
-def arranged(specs):
+def rows_and_demand(specs):
     """Return rows and their demand from drawn specifications."""
     documents = [
         row_document(f"r{number}", weight=weight, priority=priority, limit=limit)
@@ -34,9 +34,9 @@
 class SharesTest(unittest.TestCase):
     @CASES
     @given(ROWS, strategies.integers(0, 100), strategies.integers(0, 50))
-    def test_sum_caps_and_work_conservation(self, specs, capacity, turn):
-        rows, demand = arranged(specs)
-        given_slots = shares(rows, demand, capacity, turn)
+    def test_sum_caps_and_work_conservation(self, specs, capacity, rotation):
+        rows, demand = rows_and_demand(specs)
+        given_slots = shares(rows, demand, capacity, rotation)
         wanted = 0
         for row in rows:
             bound = min(demand[row.name], hard_limit(row, capacity))
@@ -46,19 +46,21 @@
 
     @CASES
     @given(ROWS, strategies.integers(1, 100), strategies.integers(0, 7))
-    def test_wanting_more_never_gets_less_and_takes_nothing_from_above(
+    def test_more_demand_never_lowers_the_own_or_raises_another_share(
         self, specs, capacity, chosen
     ):
-        rows, demand = arranged(specs)
+        rows, demand = rows_and_demand(specs)
         row = rows[chosen % len(rows)]
         more = {**demand, row.name: demand[row.name] + 5}
-        before, after = (fractions(rows, wants, capacity) for wants in (demand, more))
+        before, after = (
+            fractional_shares(rows, wants, capacity) for wants in (demand, more)
+        )
         self.assertGreaterEqual(after[row.name], before[row.name] - 1e-6)
         for other in rows:
             if other is not row:
                 self.assertLessEqual(after[other.name], before[other.name] + 1e-6)
 
-    def test_table(self):
+    def test_allocation_cases(self):
         heavy = row_document("a", weight=3)
         light = row_document("b")
         urgent = row_document("c", priority=5)
@@ -75,19 +77,19 @@
             with self.subTest(name):
                 self.assertEqual(shares(table(*rows).rows, demand, 40), expected)
 
-    def test_low_priority_is_served_in_turn(self):
+    def test_low_priority_row_is_not_starved(self):
         """Guards against starvation of a row whose share rounds down to zero."""
         rows = table(row_document("app", priority=9), row_document("trainer")).rows
         total = Counter()
-        for turn in range(200):
-            total.update(shares(rows, {"app": 99, "trainer": 99}, 8, turn))
+        for rotation in range(200):
+            total.update(shares(rows, {"app": 99, "trainer": 99}, 8, rotation))
         self.assertGreater(total["trainer"], 30)
 
-    def test_more_rows_than_slots_all_get_their_turn(self):
+    def test_all_rows_are_served_when_rows_exceed_slots(self):
         rows = table(*[row_document(f"r{number}") for number in range(30)]).rows
         total = Counter()
-        for turn in range(300):
-            total.update(shares(rows, {row.name: 1 for row in rows}, 10, turn))
+        for rotation in range(300):
+            total.update(shares(rows, {row.name: 1 for row in rows}, 10, rotation))
         self.assertGreater(min(total.values()), 60)
 
 
--- a/sassafrasdoor/control/instances.py
+++ b/sassafrasdoor/control/instances.py
@@ -13,7 +13,7 @@
     "instances_unreadable_total", "Entries of the instance list that made no sense."
 )
 ENTRY = "entry"
-MAX_TEXT = 256
+MAX_TEXT_BYTES = 256
 MAX_MODELS = 64
 MAX_CAPACITY = 1_000_000
 STATES = {"alive": State.ALIVE, "leaving": State.LEAVING}
@@ -37,12 +37,12 @@
     ``changed_bytes`` is what the last read cost, 0 if nothing had changed.
     """
 
-    __slots__ = ("_client", "_listing", "_settings", "_tag", "changed_bytes")
+    __slots__ = ("_client", "_listing", "_settings", "_etag", "changed_bytes")
 
     def __init__(self, settings):
         self._settings = settings
         self._client = CurlAsyncHTTPClient(force_instance=True)
-        self._tag = None
+        self._etag = None
         self._listing = None
         self.changed_bytes = 0
 
@@ -51,7 +51,7 @@
 
     async def fetch(self):
         """Return the newest ``Listing`` (the same object if unchanged)."""
-        headers = {"If-None-Match": self._tag} if self._tag else {}
+        headers = {"If-None-Match": self._etag} if self._etag else {}
         response = await self._call("GET", "/instances", headers=headers)
         if not response:
             return response
@@ -65,7 +65,7 @@
             listing = listing_from(document["instances"])
         except (ValueError, KeyError, TypeError) as error:
             return Unavailable(f"instance list unreadable: {type(error).__name__}")
-        self._tag = response.headers.get("Etag")
+        self._etag = response.headers.get("Etag")
         self._listing = listing
         return listing
 
@@ -122,7 +122,7 @@
     One entry that cannot be encoded would keep the whole view from the entry.
     """
     value = document.get(name, default)
-    if not isinstance(value, str) or len(value.encode()) > MAX_TEXT:
+    if not isinstance(value, str) or len(value.encode()) > MAX_TEXT_BYTES:
         raise ValueError(name)
     return value
 
--- a/sassafrasdoor/control/link.py
+++ b/sassafrasdoor/control/link.py
@@ -14,14 +14,14 @@
 
 # How long control may hold an exchange open, in seconds: an entry that has work
 # reports what it wants more often than one that has none.
-WAIT_IDLE = 1.0
-WAIT_BUSY = 0.3
-CALL_SLACK = 2.0
+IDLE_WAIT = 1.0
+BUSY_WAIT = 0.3
+CALL_TIMEOUT_MARGIN = 2.0
 RETRY_DELAY = 0.1
 RETRY_DELAY_MAX = 1.0
 
 UPDATES = metrics.counter("control_updates_total", "Updates from control.")
-LOST = metrics.counter("control_link_losses_total", "Times control went away.")
+LINK_LOSSES = metrics.counter("control_link_losses_total", "Times control went away.")
 
 
 class ControlLink:
@@ -35,10 +35,10 @@
     __slots__ = (
         "_addresses",
         "_callbacks",
-        "_inherited",
+        "_inherited_grants",
         "_known",
         "_link",
-        "_lost",
+        "_is_lost",
         "_report",
         "_view",
     )
@@ -49,8 +49,8 @@
         self._report = Report("")
         self._known = {"session": 0, "number": 0}
         self._callbacks = []
-        self._inherited = {}
-        self._lost = True
+        self._inherited_grants = {}
+        self._is_lost = True
         self._view = View(confirmed_at=float("-inf"), grants={})
 
     @property
@@ -61,7 +61,7 @@
     @property
     def connected(self):
         """Whether control answered the last exchange."""
-        return not self._lost
+        return not self._is_lost
 
     def on_change(self, callback):
         """Call ``callback(view)`` with each new view."""
@@ -92,7 +92,7 @@
                 if await self._exchange():
                     delay = RETRY_DELAY
                     continue
-                self._note_lost()
+                self._record_loss()
                 await asyncio.sleep(delay * random.uniform(0.5, 1.0))
                 delay = min(RETRY_DELAY_MAX, delay * 2)
         finally:
@@ -101,10 +101,10 @@
     async def _exchange(self):
         if not self._link.connected and await self._link.open() is not None:
             return False
-        wait = WAIT_BUSY if self._wants_slots() else WAIT_IDLE
+        wait = BUSY_WAIT if self._wants_slots() else IDLE_WAIT
         answer = await self._link.call(
             "exchange",
-            timeout=WAIT_IDLE + CALL_SLACK,
+            timeout=IDLE_WAIT + CALL_TIMEOUT_MARGIN,
             known=self._known,
             waitMs=int(wait * 1000),
             stamp=EVENTS.clock.stamp(),
@@ -114,48 +114,48 @@
         if not answer:
             return False
         EVENTS.clock.observe(answer.stamp)
-        self._take(answer.update)
+        self._apply(answer.update)
         return True
 
     def _wants_slots(self):
         return any(usage.wanted for usage in self._report.rows.values())
 
-    def _take(self, update):
-        if self._lost:
-            self._lost = False
+    def _apply(self, update):
+        if self._is_lost:
+            self._is_lost = False
             logs.changed("control:connected", address=self._link.address)
         UPDATES.inc({})
         new = update.session != self._known["session"]
         if not new and update.number == self._known["number"]:
-            self._confirm(update)
+            self._refresh_confirmation(update)
             return
         if new:
-            self._inherited = self._view.grants
+            self._inherited_grants = self._view.grants
         self._known = {"session": update.session, "number": update.number}
-        self._view = self._merged(update)
+        self._view = self._merge(update)
         for callback in self._callbacks:
             callback(self._view)
 
-    def _confirm(self, update):
+    def _refresh_confirmation(self, update):
         # The number stays and only the confirmation is younger. A view is
         # immutable but for this one hint, which every reader wants newest.
         confirmed_at = messages.confirmed_at_from(update)
         if confirmed_at is not None:
             self._view.confirmed_at = max(self._view.confirmed_at, confirmed_at)
 
-    def _merged(self, update):
+    def _merge(self, update):
         old = self._view
         table, revision = self._table(update)
         confirmed_at = messages.confirmed_at_from(update)
         if confirmed_at is None or update.revision < old.revision:
             confirmed_at = old.confirmed_at
         weights = messages.weights_from(update.weights) if update.hasWeights else {}
-        members = _changed(
+        members = _apply_changes(
             {} if update.allMembers else {m.name: m for m in old.members},
             map(messages.member_from, update.members),
             update.goneMembers,
         )
-        backends = _changed(
+        backends = _apply_changes(
             {} if update.allBackends else {b.name: b for b in old.backends},
             map(messages.backend_from, update.backends),
             update.goneBackends,
@@ -164,29 +164,29 @@
             number=old.number + 1,
             table=table,
             revision=revision,
-            weights=_newest(old.weights, weights),
+            weights=_newest_versions(old.weights, weights),
             members=members,
             backends=backends,
             confirmed_at=confirmed_at,
-            grants=self._grants(update),
+            grants=self._merged_grants(update),
         )
 
-    def _grants(self, update):
+    def _merged_grants(self, update):
         # A restarted control process knows no grants yet. Those of before hold
         # until they lapse: without them every call would be refused until the
         # holder answers, and for long while the log is down.
         if not update.hasGrants:
             return self._view.grants
         grants = messages.grants_from(update.grants)
-        served = {self._service(row) for row in grants}
+        served = {self._service_of(row) for row in grants}
         kept = {
             row: grant
-            for row, grant in self._inherited.items()
-            if self._service(row) not in served
+            for row, grant in self._inherited_grants.items()
+            if self._service_of(row) not in served
         }
         return {**kept, **grants}
 
-    def _service(self, row_name):
+    def _service_of(self, row_name):
         row = self._view.row(row_name)
         return row.service if row else ""
 
@@ -204,21 +204,21 @@
         EVENTS.add("table-in-force", revision=update.revision)
         return table, update.revision
 
-    def _note_lost(self):
-        if not self._lost:
-            self._lost = True
-            LOST.inc({})
+    def _record_loss(self):
+        if not self._is_lost:
+            self._is_lost = True
+            LINK_LOSSES.inc({})
             logs.changed("control:lost", address=self._link.address)
 
 
-def _changed(known, changed, gone):
+def _apply_changes(known, changed, gone):
     for name in gone:
         known.pop(name, None)
     known |= {item.name: item for item in changed}
     return known.values()
 
 
-def _newest(old, new):
+def _newest_versions(old, new):
     return {
         model: max(old.get(model, 0), new.get(model, 0)) for model in {**old, **new}
     }
--- a/sassafrasdoor/control/process.py
+++ b/sassafrasdoor/control/process.py
@@ -12,7 +12,7 @@
 from sassafrasdoor.control.quota import Quota
 from sassafrasdoor.control.service import ControlService
 from sassafrasdoor.control.source import ViewSource
-from sassafrasdoor.control.spread import Spread
+from sassafrasdoor.control.state_sync import StateSync
 from sassafrasdoor.control.weights import WeightsRollout
 from sassafrasdoor.events import EVENTS
 from sassafrasdoor.log.agreed import Agreed, fold
@@ -29,15 +29,15 @@
 # Members change in bursts, and each change sends them all to the entry.
 PUBLISH_DELAY = 0.05
 # How many instances that only the platform's list knows are greeted a read.
-GREETED = 3
-LIST_INTERVAL = 2.0
+MAX_JOINS_PER_READ = 3
+MIN_LIST_INTERVAL = 2.0
 # After a changed list the next read waits until its size is spread out to this
 # many bytes a second: the list of 1,000 instances has 200 KB, and the whole
 # process is to stay under 11 KB/s.
-LIST_BYTES_PER_SECOND = 4000
-REGISTER_AGAIN = 5.0
+MAX_LIST_BYTES_PER_SECOND = 4000
+MIN_REGISTER_INTERVAL = 5.0
 # An entry speaks at least once a second; one that pauses for less is not withdrawn.
-ENTRY_SILENCE = 4.0
+ENTRY_TIMEOUT = 4.0
 
 
 class ControlProcess(Delegate):
@@ -50,7 +50,7 @@
         self.follower = Follower(settings, self.log, fold, Agreed())
         self.instances = InstanceList(settings)
         self.membership = None
-        self.spread = Spread(settings, self.follower, self.members)
+        self.state_sync = StateSync(settings, self.follower, self.members)
         self.quota = Quota(settings, self)
         self.weights = WeightsRollout(settings, self)
         self._server = PeerServer(
@@ -65,16 +65,16 @@
         self._listing = None
         self._members = []
         self._members_stale = True
-        self._told_as_of = 0
+        self._published_as_of = 0
         self._members_changed = asyncio.Event()
         self._register_after = deadline_in(0)
         self._registered = None
         self._registering = asyncio.Lock()
         self._departing = False
         self._entry_deadline = None
-        self.follower.may_poll = self.spread.may_poll
+        self.follower.may_poll = self.state_sync.may_poll
         self.follower.may_checkpoint = self._may_checkpoint
-        self.follower.on_change(self._agreed_changed)
+        self.follower.on_change(self._on_agreed_state)
 
     @property
     def address(self):
@@ -88,7 +88,7 @@
             self._members_stale = False
         return self._members
 
-    def may_hold_grants(self):
+    def possible_grant_holders(self):
         """Return the names of all instances that may use slots, heard or not."""
         return self.membership.maybe_living
 
@@ -106,7 +106,7 @@
         await self.membership.start(instance.host, instance.gossip_port)
         jobs = [
             self.follower.run(),
-            self.spread.run(),
+            self.state_sync.run(),
             self._publish_members(),
             self._watch_confirmation(),
             self._read_list(),
@@ -142,9 +142,9 @@
     # Agreed state
 
     def _may_checkpoint(self):
-        return self.spread.is_chosen("checkpoint")
+        return self.state_sync.is_chosen("checkpoint")
 
-    def _agreed_changed(self, state):
+    def _on_agreed_state(self, state):
         if state.accepted is not self._accepted:
             known = self._accepted.revision if self._accepted else 0
             if state.revision != known:
@@ -152,7 +152,7 @@
             self._accepted = state.accepted
             table = state.table.model_dump_json() if state.table else ""
             self.source.set_table(table, state.revision)
-            self.quota.agreed(state.table)
+            self.quota.update_services(state.table)
         for model, version in state.weights.items():
             if self._announced.get(model) != version:
                 EVENTS.add("weights-announced", model=model, version=version)
@@ -162,16 +162,16 @@
     async def _watch_confirmation(self):
         while True:
             self.source.confirmed_at = self.follower.confirmed_at
-            if self.spread.changed_as_of > self._told_as_of:
-                self._told_as_of = self.spread.changed_as_of
+            if self.state_sync.changed_as_of > self._published_as_of:
+                self._published_as_of = self.state_sync.changed_as_of
                 self.membership.spread_news()
             await asyncio.sleep(PUBLISH_DELAY)
 
     def news(self):
-        return self.spread.news()
+        return self.state_sync.news()
 
     def heard(self, name, news):
-        self.spread.heard(name, news)
+        self.state_sync.heard(name, news)
 
     # Members
 
@@ -179,7 +179,7 @@
         self._members_stale = True
         self._members_changed.set()
         if order.departed(member):
-            self.quota.left(member.name)
+            self.quota.remove_instance(member.name)
 
     def region_changed(self, region, silent):
         self._members_stale = True
@@ -201,13 +201,13 @@
         while True:
             listing = await self.instances.fetch()
             if listing:
-                self._take_list(listing)
+                self._apply_list(listing)
             elif self._listing is None:
-                await self._borrow_list()
+                await self._fetch_list_from_peer()
             await self._register()
-            await asyncio.sleep(self._list_pause() * random.uniform(0.8, 1.2))
+            await asyncio.sleep(self._list_interval() * random.uniform(0.8, 1.2))
 
-    async def _borrow_list(self):
+    async def _fetch_list_from_peer(self):
         """Take the backend servers that a peer knows.
 
         An instance started while the platform is down cannot read the list. It
@@ -229,11 +229,11 @@
                 [messages.backend_from(backend) for backend in answer.backends]
             )
 
-    def _list_pause(self):
-        spread_out = self.instances.changed_bytes / LIST_BYTES_PER_SECOND
-        return max(LIST_INTERVAL, self._settings.platform.poll_interval, spread_out)
+    def _list_interval(self):
+        spread_out = self.instances.changed_bytes / MAX_LIST_BYTES_PER_SECOND
+        return max(MIN_LIST_INTERVAL, self._settings.platform.poll_interval, spread_out)
 
-    def _take_list(self, listing):
+    def _apply_list(self, listing):
         if listing is not self._listing:
             self._listing = listing
             self.source.set_backends(listing.backends)
@@ -243,7 +243,9 @@
             for member in listing.members
             if member.name not in known and member.gossip_address
         ]
-        self.membership.join(random.sample(unknown, min(GREETED, len(unknown))))
+        self.membership.join(
+            random.sample(unknown, min(MAX_JOINS_PER_READ, len(unknown)))
+        )
         if self._settings.instance.name not in {m.name for m in listing.members}:
             # The list lags, or the platform lost the entry.
             self._registered = None
@@ -258,7 +260,7 @@
     async def _put(self, document):
         if not self._departing and await self.instances.register(document):
             self._registered = document
-            self._register_after = deadline_in(REGISTER_AGAIN)
+            self._register_after = deadline_in(MIN_REGISTER_INTERVAL)
 
     def _own_document(self):
         own = self.membership.own
@@ -280,11 +282,11 @@
 
     # What the entry says
 
-    def entry_said(self, entry_address, peer_address, report, number):
+    def handle_entry_report(self, entry_address, peer_address, report, number):
         """Take the entry's addresses and report; its view has come to ``number``."""
-        self._entry_deadline = deadline_in(ENTRY_SILENCE)
+        self._entry_deadline = deadline_in(ENTRY_TIMEOUT)
         self.membership.update(entry_address=entry_address, peer_address=peer_address)
-        self.quota.entry_said(report, number)
+        self.quota.handle_entry_report(report, number)
 
     async def _watch_entry(self):
         """Withdraw the addresses of an entry that says nothing any more.
@@ -294,7 +296,7 @@
         notice callers whose first connection is refused every time.
         """
         while True:
-            await asyncio.sleep(ENTRY_SILENCE / 4)
+            await asyncio.sleep(ENTRY_TIMEOUT / 4)
             if self._entry_deadline is not None and passed(self._entry_deadline):
                 self._entry_deadline = None
                 logs.changed("control:entry-silent")
--- a/sassafrasdoor/control/quota.py
+++ b/sassafrasdoor/control/quota.py
@@ -21,9 +21,9 @@
 
 # A third of a grant's life, so that one lost report does not let it lapse. The holder
 # gives longer lives when many report to it, and with them fewer reports.
-REPORTS_IN_GRANT = 3
+IDLE_REPORTS_PER_GRANT = 3
 # The least time between two reports of which the second wants more, as such a part.
-HASTY_REPORTS_IN_GRANT = 10
+MAX_REPORTS_PER_GRANT = 10
 
 REPORTS = metrics.counter("quota_reports_total", "Reports sent, by result.")
 
@@ -43,13 +43,13 @@
     __slots__ = (
         "_allocator",
         "_fence",
-        "_life",
+        "_grant_lifetime",
         "_link",
-        "_planned",
+        "_plan_inputs",
         "_process",
         "_service",
         "_settings",
-        "_woken",
+        "_report_requested",
         "grants",
         "holder",
         "offers",
@@ -62,10 +62,10 @@
         self._service = service
         self._allocator = Allocator(settings)
         self._fence = 0
-        self._planned = None
+        self._plan_inputs = None
         self._link = None
-        self._life = settings.admission.grant_duration
-        self._woken = asyncio.Event()
+        self._grant_lifetime = settings.admission.grant_duration
+        self._report_requested = asyncio.Event()
         self.grants = None
         self.offers = []
         self.used_number = 0
@@ -74,13 +74,13 @@
             process.log,
             process.follower,
             lease_name(service),
-            may_claim=lambda: process.spread.is_chosen(lease_name(service)),
+            may_claim=lambda: process.state_sync.is_chosen(lease_name(service)),
             # No grant outlives the lease under which it was made, so nothing of
             # a lapsed holder is under way; the allocator waits for the rest.
-            settle=0.0,
+            max_order_duration=0.0,
         )
 
-    def entry_knows(self, number):
+    def confirm_offers(self, number):
         """The entry's view has come to ``number``: it uses what was offered then."""
         while self.offers and self.offers[0][0] <= number:
             self.used_number = self.offers.pop(0)[1]
@@ -92,9 +92,9 @@
             usage.wanted > slots.get(row, 0) for row, usage in report.rows.items()
         )
 
-    def wake(self):
+    def request_report(self):
         """Report soon."""
-        self._woken.set()
+        self._report_requested.set()
 
     async def run(self):
         """Report to the holder until cancelled."""
@@ -102,36 +102,39 @@
         try:
             while True:
                 await self._report()
-                haste = self._life / HASTY_REPORTS_IN_GRANT
-                await asyncio.sleep(haste)
-                await _set_within(self._woken, self._life / REPORTS_IN_GRANT - haste)
-                self._woken.clear()
+                min_interval = self._grant_lifetime / MAX_REPORTS_PER_GRANT
+                await asyncio.sleep(min_interval)
+                await _wait_until_set(
+                    self._report_requested,
+                    self._grant_lifetime / IDLE_REPORTS_PER_GRANT - min_interval,
+                )
+                self._report_requested.clear()
         finally:
             claiming.cancel()
-            self._drop_link()
+            self._close_link()
 
     async def _report(self):
-        report = self._process.quota.report_on(self._service)
+        report = self._process.quota.report_for(self._service)
         if not report.life:
             return
         sent_at = now()
-        grants = await self._ask(report, sent_at)
+        grants = await self._request_grants(report, sent_at)
         REPORTS.inc({"result": type(grants).__name__})
         if grants:
             self.grants = grants
             # A lease about to end cuts a grant short; reports need not hurry then.
             shortest = self._settings.admission.grant_duration
-            self._life = max(shortest, grants.deadline - sent_at)
+            self._grant_lifetime = max(shortest, grants.deadline - sent_at)
             self._process.quota.offer(self)
 
-    async def _ask(self, report, sent_at):
+    async def _request_grants(self, report, sent_at):
         if self.holder.fence:
-            return self.granted(report)
-        address = self._address_of_holder()
+            return self.handle_report(report)
+        address = self._holder_address()
         if not address:
             return Unavailable("nobody holds the quota")
         if self._link is None or self._link.address != address:
-            self._drop_link()
+            self._close_link()
             self._link = PeerLink(self._settings, address, messages.SCHEMA.Control)
         if not self._link.connected:
             failed = await self._link.open()
@@ -150,7 +153,7 @@
             return None
         return messages.grant_set_from(answer.grants, sent_at)
 
-    def _address_of_holder(self):
+    def _holder_address(self):
         leases = self._process.follower.state.leases
         lease = leases.get(lease_name(self._service))
         if lease is None or lease.released:
@@ -161,36 +164,40 @@
         own = self._settings.instance.name
         return "" if name == own else next(found, "")
 
-    def _drop_link(self):
+    def _close_link(self):
         if self._link is not None:
             self._link.close()
         self._link = None
 
-    def granted(self, report):
+    def handle_report(self, report):
         """As the holder: take a report, return a ``GrantSet`` or None."""
         fence = self.holder.fence
         if not fence:
             return None
         if fence != self._fence:
             self._fence = fence
-            self._planned = None
-            self._allocator.take_over(fence, self._process.may_hold_grants())
-        self._plan()
+            self._plan_inputs = None
+            self._allocator.take_over(fence, self._process.possible_grant_holders())
+        self._update_plan()
         return self._allocator.report(report, self.holder.deadline)
 
-    def _plan(self):
+    def _update_plan(self):
         table = self._process.follower.state.table
         backends = self._process.source.backends
-        if self._planned and self._planned[0] is table and self._planned[1] is backends:
+        if (
+            self._plan_inputs
+            and self._plan_inputs[0] is table
+            and self._plan_inputs[1] is backends
+        ):
             return
-        self._planned = (table, backends)
+        self._plan_inputs = (table, backends)
         rows = [row for row in table.rows if row.service == self._service]
         view = View(backends=backends)
         self._allocator.plan(rows, capacity_of(view, self._service))
 
-    def left(self, name):
+    def remove_instance(self, name):
         """An instance has ended as planned."""
-        self._allocator.left(name)
+        self._allocator.remove_instance(name)
 
 
 class Quota:
@@ -205,7 +212,7 @@
         self._tasks = {}
         self._report = Report(settings.instance.name)
 
-    def agreed(self, table):
+    def update_services(self, table):
         """Begin with services that are new in the table, end with those gone."""
         wanted = {row.service for row in table.rows} if table else set()
         for service in wanted - set(self._services):
@@ -216,15 +223,15 @@
             del self._services[service]
             self._tasks.pop(service).cancel()
 
-    def entry_said(self, report, number):
+    def handle_entry_report(self, report, number):
         """Take the entry's report; its view has come to ``number``."""
         self._report = report
         for service, quota in self._services.items():
-            quota.entry_knows(number)
-            if quota.wants_more(self.report_on(service)):
-                quota.wake()
+            quota.confirm_offers(number)
+            if quota.wants_more(self.report_for(service)):
+                quota.request_report()
 
-    def report_on(self, service):
+    def report_for(self, service):
         """Return the entry's report, of the rows of one service."""
         table = self._process.follower.state.table
         services = {row.name: row.service for row in table.rows} if table else {}
@@ -242,19 +249,19 @@
         """Offer the entry all grants, those of ``changed`` being new."""
         grants = {}
         for quota in self._services.values():
-            grants |= _by_row(quota.grants)
+            grants |= _grants_by_row(quota.grants)
         number = self._process.source.set_grants(grants)
         changed.offers.append((number, changed.grants.number))
 
-    def reported(self, service, report):
+    def route_report(self, service, report):
         """Answer another instance's report; None unless holder of the service."""
         quota = self._services.get(service)
-        return quota.granted(report) if quota else None
+        return quota.handle_report(report) if quota else None
 
-    def left(self, name):
+    def remove_instance(self, name):
         """An instance has ended as planned."""
         for quota in self._services.values():
-            quota.left(name)
+            quota.remove_instance(name)
 
     async def close(self):
         """End all tasks and give up the leases."""
@@ -265,7 +272,7 @@
         await asyncio.gather(*(holder.release() for holder in holders))
 
 
-def _by_row(grants):
+def _grants_by_row(grants):
     if grants is None:
         return {}
     return {
@@ -274,7 +281,7 @@
     }
 
 
-async def _set_within(event, seconds):
+async def _wait_until_set(event, seconds):
     try:
         async with asyncio.timeout(seconds):
             await event.wait()
--- a/sassafrasdoor/control/service.py
+++ b/sassafrasdoor/control/service.py
@@ -6,8 +6,8 @@
 from sassafrasdoor.control import messages
 from sassafrasdoor.events import EVENTS
 
-MAX_WAIT = 10.0
-EVENTS_AT_ONCE = 1000
+MAX_EXCHANGE_WAIT = 10.0
+MAX_EVENTS_PER_CALL = 1000
 
 
 class ControlService(messages.SCHEMA.Control.Server):
@@ -17,29 +17,31 @@
         self._process = process
 
     async def exchange_context(self, context):
-        asked, results = context.params, context.results
-        EVENTS.clock.observe(asked.stamp)
+        request, results = context.params, context.results
+        EVENTS.clock.observe(request.stamp)
         process = self._process
-        number = process.source.known_to(asked.known)
-        process.entry_said(
-            asked.addresses.entry,
-            asked.addresses.peer,
-            messages.report_from(asked.report),
+        number = process.source.known_number(request.known)
+        process.handle_entry_report(
+            request.addresses.entry,
+            request.addresses.peer,
+            messages.report_from(request.report),
             number,
         )
-        await process.source.wait(number, min(MAX_WAIT, asked.waitMs / 1000))
+        await process.source.wait(number, min(MAX_EXCHANGE_WAIT, request.waitMs / 1000))
         results.update = process.source.update(number)
         results.stamp = EVENTS.clock.stamp()
 
     async def fetch_context(self, context):
-        asked, results = context.params, context.results
-        EVENTS.clock.observe(asked.stamp)
-        spread = self._process.spread
-        results.asOf, results.state = spread.beyond(asked.asOf, asked.accepted)
+        request, results = context.params, context.results
+        EVENTS.clock.observe(request.stamp)
+        state_sync = self._process.state_sync
+        results.asOf, results.state = state_sync.state_for_peer(
+            request.asOf, request.accepted
+        )
         age = messages.age_fields(self._process.source.confirmed_at)
         results.confirmed = age["confirmed"]
         results.confirmedAgeMs = age["confirmedAgeMs"]
-        results.confirmedHops = spread.hops
+        results.confirmedHops = state_sync.hops
         results.stamp = EVENTS.clock.stamp()
 
     async def events(self, since, stamp, _context, **_):
@@ -52,7 +54,7 @@
                 "kind": event.kind,
                 "fields": json.dumps(event.fields),
             }
-            for event in EVENTS.since(since)[:EVENTS_AT_ONCE]
+            for event in EVENTS.since(since)[:MAX_EVENTS_PER_CALL]
         ]
         results.stamp = EVENTS.clock.stamp()
 
@@ -74,10 +76,10 @@
         _context.results.stamp = EVENTS.clock.stamp()
 
     async def report_context(self, context):
-        asked, results = context.params, context.results
-        EVENTS.clock.observe(asked.stamp)
-        report = messages.report_from(asked.report)
-        grants = self._process.quota.reported(asked.service, report)
+        request, results = context.params, context.results
+        EVENTS.clock.observe(request.stamp)
+        report = messages.report_from(request.report)
+        grants = self._process.quota.route_report(request.service, report)
         if grants is not None:
             results.granted = True
             results.grants = messages.grant_set_message(grants)
--- a/sassafrasdoor/control/source.py
+++ b/sassafrasdoor/control/source.py
@@ -11,10 +11,10 @@
 
 from sassafrasdoor.control import messages
 
-REMEMBERED_GONE = 1000
+MAX_REMOVED_NAMES = 1000
 
 
-class _Part:
+class _VersionedValue:
     __slots__ = ("number", "value")
 
     def __init__(self, value):
@@ -22,34 +22,34 @@
         self.number = 0
 
 
-class _Items:
+class _VersionedItems:
     """Items by name, each with the number at which it changed or went.
 
     Who knows a number below ``whole_below`` is sent all: what went before that
     is no longer remembered.
     """
 
-    __slots__ = ("_gone", "_items", "_message", "whole_below")
+    __slots__ = ("_removed", "_items", "_to_message", "whole_below")
 
     def __init__(self, message):
-        self._message = message
+        self._to_message = message
         self._items = {}
-        self._gone = {}
+        self._removed = {}
         self.whole_below = 1
 
     def replace(self, items, number):
         """Hold just these items now; return whether any changed."""
         old, self._items = self._items, {}
         for item in items:
-            document = self._message(item)
+            document = self._to_message(item)
             before = old.pop(item.name, None)
             same = before is not None and before[1] == document
             self._items[item.name] = before if same else (number, document)
-            self._gone.pop(item.name, None)
+            self._removed.pop(item.name, None)
         for name in old:
-            self._gone[name] = number
-        while len(self._gone) > REMEMBERED_GONE:
-            self.whole_below = self._gone.pop(next(iter(self._gone))) + 1
+            self._removed[name] = number
+        while len(self._removed) > MAX_REMOVED_NAMES:
+            self.whole_below = self._removed.pop(next(iter(self._removed))) + 1
         return bool(old) or any(entry[0] == number for entry in self._items.values())
 
     def since(self, number):
@@ -57,7 +57,7 @@
         if number < self.whole_below:
             return [document for _, document in self._items.values()], []
         changed = [doc for at, doc in self._items.values() if at > number]
-        return changed, [name for name, at in self._gone.items() if at > number]
+        return changed, [name for name, at in self._removed.items() if at > number]
 
 
 class ViewSource:
@@ -87,13 +87,13 @@
         self.number = 1
         self.revision = 0
         self.confirmed_at = None
-        self._table = _Part("")
-        self._weights = _Part({})
-        self._members = _Items(messages.member_message)
-        self._backends = _Items(messages.backend_message)
+        self._table = _VersionedValue("")
+        self._weights = _VersionedValue({})
+        self._members = _VersionedItems(messages.member_message)
+        self._backends = _VersionedItems(messages.backend_message)
         self.backends = ()
         self.list_known = False
-        self._grants = _Part({})
+        self._grants = _VersionedValue({})
         self._changed = asyncio.Event()
 
     def set_table(self, document, revision):
@@ -110,14 +110,14 @@
     def set_members(self, members):
         """Offer the members."""
         if self._members.replace(members, self.number + 1):
-            self._wake()
+            self._notify()
 
     def set_backends(self, backends):
         """Offer the backend servers."""
         self.backends = tuple(backends)
         self.list_known = True
         if self._backends.replace(self.backends, self.number + 1):
-            self._wake()
+            self._notify()
 
     def set_grants(self, grants):
         """Offer leased grants by row; return the number they are offered under."""
@@ -127,14 +127,14 @@
     def _set(self, part, value):
         part.value = value
         part.number = self.number + 1
-        self._wake()
+        self._notify()
 
-    def _wake(self):
+    def _notify(self):
         self.number += 1
         self._changed.set()
         self._changed = asyncio.Event()
 
-    def known_to(self, known):
+    def known_number(self, known):
         """Return the number that ``known`` stands for in this session."""
         return known.number if known.session == self.session else 0
 
--- a/sassafrasdoor/control/spread.py
+++ b/sassafrasdoor/control/state_sync.py
@@ -29,34 +29,34 @@
 # down; so it is passed on a few times only.
 MAX_HOPS = 8
 FETCH_INTERVAL = 0.3
-LAZY_INTERVAL = 10.0
+LAZY_FETCH_INTERVAL = 10.0
 # An instance that reads the log itself leaves it this time to do so.
-POLLER_PATIENCE = 1.0
+POLLER_FETCH_DELAY = 1.0
 # Without a confirmation for this long an instance tries the log itself.
-FALLBACK_AFTER = 6.0
+CONFIRMATION_TIMEOUT = 6.0
 
-EMPTY = Accepted().as_document()
+EMPTY_ACCEPTED = Accepted().as_document()
 
 FETCHED = metrics.counter("state_fetches_total", "States fetched from peers.")
 FAILED = metrics.counter("state_fetch_failures_total", "Fetches that failed.")
 
 
-class Spread:
+class StateSync:
     """Tells and hears ``News``; fetches what peers know beyond the follower."""
 
     __slots__ = (
-        "_ahead",
-        "_chance",
+        "_peers_ahead",
+        "_random",
         "_confirmed",
         "_digest",
         "_follower",
-        "_known",
-        "_lazy_after",
+        "_last_known",
+        "_next_lazy_fetch",
         "_members",
         "_pollers",
-        "_pollers_of",
+        "_pollers_members",
         "_settings",
-        "_woken",
+        "_wake_event",
         "changed_as_of",
     )
 
@@ -64,37 +64,37 @@
         self._settings = settings
         self._follower = follower
         self._members = members
-        self._chance = random.Random()
-        self._ahead = {}
+        self._random = random.Random()
+        self._peers_ahead = {}
         self._confirmed = (None, 0)
         self._digest = AcceptedDigest()
-        self._woken = asyncio.Event()
-        self._lazy_after = deadline_in(0)
-        self._known = None
-        self._pollers_of = None
+        self._wake_event = asyncio.Event()
+        self._next_lazy_fetch = deadline_in(0)
+        self._last_known = None
+        self._pollers_members = None
         self._pollers = set()
         self.changed_as_of = 0
-        follower.on_change(self._note_change)
+        follower.on_change(self._on_state_change)
 
-    def _note_change(self, state):
+    def _on_state_change(self, state):
         leases = {name: lease.epoch for name, lease in state.leases.items()}
         known = (state.accepted, state.weights, leases)
-        if known != self._known:
-            self._known = known
+        if known != self._last_known:
+            self._last_known = known
             self.changed_as_of = self._follower.as_of
 
     @property
     def pollers(self):
         """The names of the instances that read the log, of all zones."""
         members = self._members()
-        if members is not self._pollers_of:
+        if members is not self._pollers_members:
             zones = {}
             for member in members:
                 if member.state is State.ALIVE:
                     zone = zones.setdefault(member.availability_zone, [])
                     zone.append(member.name)
             count = self._settings.membership.pollers_per_zone
-            self._pollers_of = members
+            self._pollers_members = members
             self._pollers = {
                 name
                 for names in zones.values()
@@ -122,10 +122,10 @@
         if self.is_poller:
             return True
         at = self._follower.confirmed_at
-        if at is not None and now() - at < FALLBACK_AFTER:
+        if at is not None and now() - at < CONFIRMATION_TIMEOUT:
             return False
         share = self._settings.membership.pollers_per_zone
-        return self._chance.random() < share / max(1, len(self._members()))
+        return self._random.random() < share / max(1, len(self._members()))
 
     @property
     def hops(self):
@@ -146,9 +146,9 @@
         """Take what a member told: a confirmation, or that it knows more."""
         own = self._follower.as_of
         behind = news.changed_as_of > own
-        if behind or (news.as_of > own and passed(self._lazy_after)):
-            self._ahead[name] = news.as_of
-            self._woken.set()
+        if behind or (news.as_of > own and passed(self._next_lazy_fetch)):
+            self._peers_ahead[name] = news.as_of
+            self._wake_event.set()
         # That nothing changed beyond what is known here confirms it, unless the
         # teller itself has read less.
         if own and not behind and news.as_of >= own and news.confirmed_at is not None:
@@ -163,28 +163,30 @@
     async def run(self):
         """Fetch from peers that know more until cancelled."""
         while True:
-            await self._woken.wait()
+            await self._wake_event.wait()
             if self.is_poller:
-                await asyncio.sleep(POLLER_PATIENCE)
-            member = self._best()
+                await asyncio.sleep(POLLER_FETCH_DELAY)
+            member = self._most_advanced_peer()
             if member is None:
-                self._woken.clear()
+                self._wake_event.clear()
                 continue
-            self._lazy_after = deadline_in(LAZY_INTERVAL)
+            self._next_lazy_fetch = deadline_in(LAZY_FETCH_INTERVAL)
             fetched = await self.fetch(member.control_address)
             if not fetched:
                 FAILED.inc({})
-                self._ahead.pop(member.name, None)
+                self._peers_ahead.pop(member.name, None)
             await asyncio.sleep(FETCH_INTERVAL)
 
-    def _best(self):
+    def _most_advanced_peer(self):
         own = self._follower.as_of
-        self._ahead = {name: at for name, at in self._ahead.items() if at > own}
+        self._peers_ahead = {
+            name: at for name, at in self._peers_ahead.items() if at > own
+        }
         known = {m.name: m for m in self._members() if m.control_address}
-        names = [name for name in self._ahead if name in known]
+        names = [name for name in self._peers_ahead if name in known]
         if not names:
             return None
-        return known[max(names, key=lambda name: (self._ahead[name], name))]
+        return known[max(names, key=lambda name: (self._peers_ahead[name], name))]
 
     async def fetch(self, address):
         """Adopt the state of the peer at ``address``; True or ``Unavailable``."""
@@ -199,15 +201,15 @@
             stamp=EVENTS.clock.stamp(),
         )
         link.close()
-        return answer and self._take(answer)
+        return answer and self._apply_answer(answer)
 
-    def _take(self, answer):
+    def _apply_answer(self, answer):
         EVENTS.clock.observe(answer.stamp)
         if not answer.state:
             return Unavailable("the peer knows no more")
         try:
             document = json.loads(answer.state)
-            state = self._state_in(document)
+            state = self._parse_state(document)
         except (ValueError, KeyError, TypeError, AttributeError):
             return Unavailable("the peer's state is unreadable")
         at = messages.confirmed_at_from(answer)
@@ -216,14 +218,14 @@
             EVENTS.add("state-fetched", as_of=answer.asOf)
         return True
 
-    def _state_in(self, document):
+    def _parse_state(self, document):
         own = self._follower.state.accepted
         if "accepted" in document:
             return Agreed.from_document(document)
-        state = Agreed.from_document({**document, "accepted": EMPTY})
+        state = Agreed.from_document({**document, "accepted": EMPTY_ACCEPTED})
         return Agreed(own, state.weights, state.leases)
 
-    def beyond(self, as_of, accepted):
+    def state_for_peer(self, as_of, accepted):
         """Return ``(as_of, state)`` for a peer at ``as_of``; empty if it has all.
 
         The table is left out if the peer's is the same: most changes are
--- a/sassafrasdoor/control/tests/test_link.py
+++ b/sassafrasdoor/control/tests/test_link.py
@@ -6,7 +6,7 @@
 from sassafrasdoor.clock import deadline_in, now
 from sassafrasdoor.control.link import ControlLink
 from sassafrasdoor.control.service import ControlService
-from sassafrasdoor.control.source import REMEMBERED_GONE, ViewSource
+from sassafrasdoor.control.source import MAX_REMOVED_NAMES, ViewSource
 from sassafrasdoor.peers.server import PeerServer
 from sassafrasdoor.peers.tests.test_link import on_kj_loop
 from sassafrasdoor.support import until
@@ -21,14 +21,14 @@
 
     def __init__(self):
         self.source = ViewSource()
-        self.said = None
-        self.left = False
+        self.received = None
+        self.has_left = False
 
-    def entry_said(self, *words):
-        self.said = words
+    def handle_entry_report(self, *words):
+        self.received = words
 
     def leave(self):
-        self.left = True
+        self.has_left = True
 
 
 class ControlLinkTests(unittest.IsolatedAsyncioTestCase):
@@ -51,17 +51,17 @@
         await until(lambda: link.connected, what="the first update")
         return server, link, task
 
-    async def end(self, server, task):
+    async def stop(self, server, task):
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
         await server.close()
 
     @on_kj_loop
-    async def test_the_metrics_of_control_are_readable(self):
+    async def test_control_metrics_are_readable(self):
         """Guards against metrics of control that no page serves."""
         server, link, task = await self.connect()
         self.assertIn("control_updates_total", await link.metrics())
-        await self.end(server, task)
+        await self.stop(server, task)
         self.assertFalse(await link.metrics())
 
     @on_kj_loop
@@ -88,16 +88,19 @@
         self.assertGreater(grant.deadline, now())
         self.assertEqual((grant.slots, grant.fallback, grant.number), (2, 1, 77))
         self.assertIs(seen[-1], view)
-        said = ["127.0.0.1:1", "127.0.0.1:2", link._known["number"]]
+        received = ["127.0.0.1:1", "127.0.0.1:2", link._known["number"]]
         await until(
-            lambda: self.control.said and list(self.control.said[:2]) == said[:2],
+            lambda: (
+                self.control.received
+                and list(self.control.received[:2]) == received[:2]
+            ),
             what="addresses and report",
         )
-        self.assertEqual(self.control.said[2].rows["row"].wanted, 3)
-        await until(lambda: self.control.said[3] == said[2], what="its number")
+        self.assertEqual(self.control.received[2].rows["row"].wanted, 3)
+        await until(lambda: self.control.received[3] == received[2], what="its number")
         self.assertTrue(await link.leave())
-        self.assertTrue(self.control.left)
-        await self.end(server, task)
+        self.assertTrue(self.control.has_left)
+        await self.stop(server, task)
 
     @on_kj_loop
     async def test_restart_of_control_keeps_the_view(self):
@@ -134,7 +137,7 @@
         await server.close()
         server = await self.serve(port, weights={"m": 9})
         await until(lambda: link.view.weights == {"m": 9}, what="a third session")
-        await self.end(server, task)
+        await self.stop(server, task)
 
     @on_kj_loop
     async def test_only_what_changed_is_sent(self):
@@ -173,13 +176,13 @@
         await until(lambda: link.view.backends, what="the backend server")
         source.set_backends([])
         await until(lambda: not link.view.backends, what="its end")
-        await self.end(server, task)
+        await self.stop(server, task)
 
-    def test_who_was_away_for_long_is_sent_all(self):
+    def test_entry_far_behind_is_sent_everything(self):
         source = ViewSource()
         source.set_members([Member("stays")])
         known = source.number
-        for number in range(REMEMBERED_GONE + 1):
+        for number in range(MAX_REMOVED_NAMES + 1):
             source.set_members([Member("stays"), Member(f"m{number}")])
         source.set_members([Member("stays")])
         update = source.update(known)
@@ -195,4 +198,4 @@
         self.control.source.confirmed_at = now()
         await until(lambda: link.view.age < 5, what="the confirmation")
         self.assertEqual(link.view.number, number)
-        await self.end(server, task)
+        await self.stop(server, task)
--- a/sassafrasdoor/control/tests/test_process.py
+++ b/sassafrasdoor/control/tests/test_process.py
@@ -14,7 +14,7 @@
 OWN = settings.from_document({"membership": {"peer_keys": [PEER_KEY]}})
 
 
-class Controls(Cluster):
+class ControlCluster(Cluster):
     """Control processes with a ``ControlLink`` each in place of their entry."""
 
     def __init__(self, settings=None):
@@ -33,14 +33,14 @@
         live = [c for c in self.controls.values() if c.returncode is None]
         return [control.ready["gossip"] for control in live][:2]
 
-    async def begin(self, names, table=True):
+    async def start_all(self, names, table=True):
         self.start_platform()
         if table:
             await self.announce(MODEL, 1)
             await self.propose(TABLE)
         for name in names:
             await self.start_control(name)
-        await self.agree(names)
+        await self.wait_until_alive(names)
 
     async def start_control(self, name, region="region-1", **instance):
         document = self.settings_for(name, f"zone-{name[-1]}")
@@ -60,15 +60,15 @@
         del self.links[name]
         return code
 
-    def sees(self, viewer, *names):
+    def sees_alive(self, viewer, *names):
         members = self.links[viewer].view.members
         alive = {m.name for m in members if m.state is State.ALIVE}
         return alive == set(names)
 
-    async def agree(self, names, viewers=None):
+    async def wait_until_alive(self, names, viewers=None):
         """Wait until all viewers see just these names alive."""
         await until(
-            lambda: all(self.sees(viewer, *names) for viewer in viewers or names),
+            lambda: all(self.sees_alive(viewer, *names) for viewer in viewers or names),
             what=f"{names} to be seen alive",
         )
 
@@ -102,7 +102,7 @@
         grants = [link.view.grants.get(ROW) for link in self.links.values()]
         return all(grant and grant.slots for grant in grants) and grants
 
-    async def know(self, revision, *names):
+    async def wait_for_revision(self, revision, *names):
         """Wait until the views of these hold the revision."""
         await until(
             lambda: all(
@@ -117,9 +117,9 @@
 class ControlProcessTests(unittest.IsolatedAsyncioTestCase):
     @on_kj_loop
     async def test_view_follows_table_weights_list_and_planned_stop(self):
-        async with Controls() as cluster:
-            await cluster.begin(["c1", "c2", "c3"])
-            await cluster.know(2, "c1", "c2", "c3")
+        async with ControlCluster() as cluster:
+            await cluster.start_all(["c1", "c2", "c3"])
+            await cluster.wait_for_revision(2, "c1", "c2", "c3")
             link = cluster.links["c1"]
             self.assertEqual(link.view.weights, {MODEL: 1})
             self.assertLess(link.view.age, 30)
@@ -129,10 +129,12 @@
             views = [cluster.links[name] for name in ("c2", "c3")]
             await until(
                 lambda: all(
-                    [b.name for b in one.view.backends] == ["engine-1"]
-                    and one.view.weights == {MODEL: 2}
-                    and any(m.entry_address == "127.0.0.1:1" for m in one.view.members)
-                    for one in views
+                    [b.name for b in viewer.view.backends] == ["engine-1"]
+                    and viewer.view.weights == {MODEL: 2}
+                    and any(
+                        m.entry_address == "127.0.0.1:1" for m in viewer.view.members
+                    )
+                    for viewer in views
                 ),
                 what="backends, weights and addresses in all views",
             )
@@ -142,27 +144,27 @@
                 what="the leaving instance",
             )
             self.assertEqual(await cluster.stop_control("c1"), 0)
-            await cluster.agree(["c2", "c3"])
+            await cluster.wait_until_alive(["c2", "c3"])
             self.assertNotIn("c1", (await cluster.platform_truth())["instances"])
 
     @on_kj_loop
     async def test_killed_and_frozen_instances_leave_the_view(self):
         """Guards against unresponsive instances that stay in the view."""
-        async with Controls() as cluster:
+        async with ControlCluster() as cluster:
             names = ["c1", "c2", "c3", "c4"]
-            await cluster.begin(names)
+            await cluster.start_all(names)
             cluster.controls["c4"].kill()
-            rest = ["c1", "c2", "c3"]
-            await cluster.agree(rest, rest)
+            survivors = ["c1", "c2", "c3"]
+            await cluster.wait_until_alive(survivors, survivors)
             cluster.controls["c3"].freeze()
-            await cluster.agree(["c1", "c2"], ["c1", "c2"])
+            await cluster.wait_until_alive(["c1", "c2"], ["c1", "c2"])
             cluster.controls["c3"].thaw()
-            await cluster.agree(rest, rest)
+            await cluster.wait_until_alive(survivors, survivors)
 
     @on_kj_loop
     async def test_region_that_is_silent_is_suspect_until_it_returns(self):
         """Guards against an unreachable region whose members are declared dead."""
-        async with Controls({"membership": {"remote_share": 0.5}}) as cluster:
+        async with ControlCluster({"membership": {"remote_share": 0.5}}) as cluster:
             near, far = ["c1", "c2"], ["f1", "f2"]
             cluster.start_platform()
             await cluster.propose(TABLE)
@@ -170,22 +172,22 @@
                 await cluster.start_control(name)
             for name in far:
                 await cluster.start_control(name, region="region-2")
-            await cluster.agree([*near, *far])
+            await cluster.wait_until_alive([*near, *far])
             for name in far:
                 cluster.controls[name].freeze()
-            await cluster.agree(near, near)
+            await cluster.wait_until_alive(near, near)
             seen = {m.name: m.state for m in cluster.links["c1"].view.members}
             self.assertEqual([seen.get(name) for name in far], [State.SUSPECT] * 2)
             for name in far:
                 cluster.controls[name].thaw()
-            await cluster.agree([*near, *far])
+            await cluster.wait_until_alive([*near, *far])
 
     @on_kj_loop
     async def test_started_while_the_log_is_down_learns_the_table_from_peers(self):
         """Guards against instances started in an outage of the log without a table."""
-        async with Controls() as cluster:
-            await cluster.begin(["a1", "a2", "a3"])
-            await cluster.know(2, "a1", "a2", "a3")
+        async with ControlCluster() as cluster:
+            await cluster.start_all(["a1", "a2", "a3"])
+            await cluster.wait_for_revision(2, "a1", "a2", "a3")
             await cluster.add_engine("engine-1")
             await until(lambda: cluster.links["a3"].view.backends, what="the engine")
             await until(lambda: cluster.links["a2"].view.backends, what="the engine")
@@ -194,23 +196,23 @@
             ages = []
             for old, new in (("a1", "b1"), ("a2", "b2"), ("a3", "b3")):
                 await cluster.start_control(new)
-                await cluster.know(2, new)
+                await cluster.wait_for_revision(2, new)
                 view = cluster.links[new]
                 await until(lambda view=view: view.view.backends, what="the engine")
                 ages.append(cluster.links[new].view.age)
                 self.assertEqual(await cluster.stop_control(old), 0)
                 names = [name for name in [*names, new] if name != old]
-                await cluster.agree(names)
+                await cluster.wait_until_alive(names)
             self.assertEqual(sorted(ages), ages, "the confirmation grew younger")
             await cluster.platform_faults(down=False)
             second = await cluster.propose(TABLE, base=2, proposal="second")
-            await cluster.know(second, *names)
+            await cluster.wait_for_revision(second, *names)
 
     @on_kj_loop
     async def test_entry_keeps_its_view_while_control_restarts(self):
-        async with Controls() as cluster:
-            await cluster.begin(["c1", "c2"])
-            await cluster.know(2, "c1", "c2")
+        async with ControlCluster() as cluster:
+            await cluster.start_all(["c1", "c2"])
+            await cluster.wait_for_revision(2, "c1", "c2")
             link = cluster.links["c1"]
             port = int(cluster.controls["c1"].ready["control"].rpartition(":")[2])
             cluster.controls["c1"].kill()
@@ -219,7 +221,7 @@
             self.assertIsNotNone(link.view.table)
             await cluster.start_control("c1", control_port=port)
             await until(lambda: link.connected, what="the new process")
-            await cluster.agree(["c1", "c2"])
+            await cluster.wait_until_alive(["c1", "c2"])
             self.assertEqual(link.view.revision, 2)
 
     @on_kj_loop
@@ -230,8 +232,8 @@
             "weights": {"order_timeout": 0.5},
             "admission": {"grant_duration": 1.0, "fallback_duration": 2.0},
         }
-        async with Controls(quick) as cluster:
-            await cluster.begin(["c1", "c2"])
+        async with ControlCluster(quick) as cluster:
+            await cluster.start_all(["c1", "c2"])
             await cluster.add_engine("engine-1", capacity=10)
             for name, link in cluster.links.items():
                 wanted = {ROW: Usage(wanted=10)}
@@ -256,8 +258,8 @@
             )
 
     @on_kj_loop
-    async def test_without_table_or_peers_there_is_none(self):
-        async with Controls() as cluster:
+    async def test_no_table_without_log_and_peers(self):
+        async with ControlCluster() as cluster:
             cluster.start_platform()
             await cluster.propose(TABLE)
             await cluster.platform_faults(down=True)
@@ -266,4 +268,4 @@
             await until(lambda: cluster.links["c1"].view.members, what="itself")
             self.assertIsNone(cluster.links["c1"].view.table)
             await cluster.platform_faults(down=False)
-            await cluster.know(1, "c1")
+            await cluster.wait_for_revision(1, "c1")
--- a/sassafrasdoor/control/tests/test_spread.py
+++ b/sassafrasdoor/control/tests/test_state_sync.py
@@ -3,7 +3,7 @@
 from sassafrasdoor import rendezvous, settings
 from sassafrasdoor.clock import now
 from sassafrasdoor.cluster import TABLE
-from sassafrasdoor.control.spread import FALLBACK_AFTER, MAX_HOPS, Spread
+from sassafrasdoor.control.state_sync import CONFIRMATION_TIMEOUT, MAX_HOPS, StateSync
 from sassafrasdoor.log.agreed import Agreed
 from sassafrasdoor.log.follower import Follower
 from sassafrasdoor.membership.delegate import News
@@ -12,8 +12,8 @@
 from sassafrasdoor.view import Member, State
 
 
-class SpreadTests(unittest.TestCase):
-    def spread(self, name="m00", members=(), as_of=0, confirmed_at=None):
+class StateSyncTests(unittest.TestCase):
+    def make_state_sync(self, name="m00", members=(), as_of=0, confirmed_at=None):
         options = settings.from_document(
             {"instance": {"name": name, "availability_zone": "z0"}}
         )
@@ -21,7 +21,7 @@
         if as_of:
             state = Agreed(Accepted(table_from(TABLE), 2, "operator"), {"m": 1})
             follower.adopt(state, as_of, confirmed_at)
-        return Spread(options, follower, lambda: members)
+        return StateSync(options, follower, lambda: members)
 
     def members(self, count):
         return [
@@ -29,64 +29,66 @@
             for index in range(count)
         ]
 
-    def test_few_of_many_poll_and_all_of_few(self):
+    def test_number_of_pollers(self):
         cases = [(3, 3), (9, 9), (30, 9), (60, 9)]
         for count, expected in cases:
             with self.subTest(members=count):
                 members = self.members(count)
                 pollers = 0
                 for member in members:
-                    spread = self.spread(member.name, members)
-                    own = spread._settings.instance
-                    spread._settings = spread._settings.model_copy(
+                    state_sync = self.make_state_sync(member.name, members)
+                    own = state_sync._settings.instance
+                    state_sync._settings = state_sync._settings.model_copy(
                         update={
                             "instance": own.model_copy(
                                 update={"availability_zone": member.availability_zone}
                             )
                         }
                     )
-                    pollers += spread.is_poller
+                    pollers += state_sync.is_poller
                 self.assertEqual(pollers, expected)
 
     def test_poller_that_dies_or_leaves_is_replaced(self):
         members = self.members(30)
         zone = [m.name for m in members if m.availability_zone == "z0"]
         first, *_, next_one = rendezvous.chosen(zone, "poller", 4)
-        self.assertFalse(self.spread(next_one, members).is_poller)
+        self.assertFalse(self.make_state_sync(next_one, members).is_poller)
         for state in (State.SUSPECT, State.LEAVING):
             with self.subTest(state=state):
                 for member in members:
                     member.state = state if member.name == first else State.ALIVE
-                self.assertTrue(self.spread(next_one, members).is_poller)
+                self.assertTrue(self.make_state_sync(next_one, members).is_poller)
 
-    def test_all_try_the_log_rarely_when_nothing_is_confirmed(self):
+    def test_unconfirmed_instances_poll_rarely(self):
         """Guards against all instances polling a log that comes back."""
         members = self.members(60)
         other = next(
-            m.name for m in members if not self.spread(m.name, members).is_poller
+            m.name
+            for m in members
+            if not self.make_state_sync(m.name, members).is_poller
         )
-        old = now() - FALLBACK_AFTER - 1
-        spread = self.spread(other, members, as_of=5, confirmed_at=old)
-        spread._chance.seed(1)
-        tries = sum(spread.may_poll() for _ in range(1000))
+        old = now() - CONFIRMATION_TIMEOUT - 1
+        state_sync = self.make_state_sync(other, members, as_of=5, confirmed_at=old)
+        state_sync._random.seed(1)
+        tries = sum(state_sync.may_poll() for _ in range(1000))
         self.assertTrue(10 < tries < 150, tries)
-        spread._follower.adopt(Agreed(), 5, now())
-        self.assertFalse(any(spread.may_poll() for _ in range(1000)))
+        state_sync._follower.adopt(Agreed(), 5, now())
+        self.assertFalse(any(state_sync.may_poll() for _ in range(1000)))
 
-    def test_confirmation_passes_on_a_bounded_number_of_times(self):
+    def test_confirmation_is_relayed_at_most_max_hops_times(self):
         """Guards against a confirmation that stays young by being relayed."""
         at = now() - 10
         for hops, told in ((0, True), (MAX_HOPS - 1, True), (MAX_HOPS, False)):
             with self.subTest(hops=hops):
-                spread = self.spread(as_of=5, confirmed_at=at - 5)
-                spread.heard("other", News(5, 5, at, hops))
-                self.assertEqual(spread._follower.confirmed_at, at)
-                news = spread.news()
+                state_sync = self.make_state_sync(as_of=5, confirmed_at=at - 5)
+                state_sync.heard("other", News(5, 5, at, hops))
+                self.assertEqual(state_sync._follower.confirmed_at, at)
+                news = state_sync.news()
                 self.assertEqual(news.confirmed_at is not None, told)
                 self.assertEqual(news.hops, hops + 1 if told else 0)
-        self.assertEqual(self.spread(as_of=5, confirmed_at=at).news().hops, 0)
+        self.assertEqual(self.make_state_sync(as_of=5, confirmed_at=at).news().hops, 0)
 
-    def test_what_news_confirm_and_what_they_make_us_fetch(self):
+    def test_news_confirms_or_triggers_a_fetch(self):
         cases = [
             ("the same", (5, 5), True, False),
             ("the teller has read less", (4, 4), False, False),
@@ -96,17 +98,17 @@
         for name, (as_of, changed), confirms, fetches in cases:
             with self.subTest(name):
                 at = now() - 10
-                spread = self.spread(as_of=5, confirmed_at=at)
-                spread._lazy_after = now() + 60
-                spread.heard("other", News(as_of, changed, now()))
-                self.assertEqual(spread._follower.confirmed_at > at, confirms)
-                self.assertEqual(spread._woken.is_set(), fetches)
+                state_sync = self.make_state_sync(as_of=5, confirmed_at=at)
+                state_sync._next_lazy_fetch = now() + 60
+                state_sync.heard("other", News(as_of, changed, now()))
+                self.assertEqual(state_sync._follower.confirmed_at > at, confirms)
+                self.assertEqual(state_sync._wake_event.is_set(), fetches)
 
-    def test_what_a_peer_gets(self):
-        unconfirmed = self.spread(as_of=0)
-        self.assertEqual(unconfirmed.beyond(0, 0), (0, ""))
-        spread = self.spread(as_of=5, confirmed_at=now())
-        same = spread._digest.of(spread._follower.state.accepted)
-        self.assertEqual(spread.beyond(5, 0), (5, ""))
-        self.assertIn('"rows"', spread.beyond(4, same + 1)[1])
-        self.assertNotIn('"rows"', spread.beyond(4, same)[1])
+    def test_state_sent_to_a_peer(self):
+        unconfirmed = self.make_state_sync(as_of=0)
+        self.assertEqual(unconfirmed.state_for_peer(0, 0), (0, ""))
+        state_sync = self.make_state_sync(as_of=5, confirmed_at=now())
+        same = state_sync._digest.of(state_sync._follower.state.accepted)
+        self.assertEqual(state_sync.state_for_peer(5, 0), (5, ""))
+        self.assertIn('"rows"', state_sync.state_for_peer(4, same + 1)[1])
+        self.assertNotIn('"rows"', state_sync.state_for_peer(4, same)[1])
--- a/sassafrasdoor/control/tests/test_weights.py
+++ b/sassafrasdoor/control/tests/test_weights.py
@@ -4,7 +4,7 @@
 import unittest
 
 from sassafrasdoor.cluster import MODEL
-from sassafrasdoor.control.tests.test_process import Controls
+from sassafrasdoor.control.tests.test_process import ControlCluster
 from sassafrasdoor.peers.tests.test_link import on_kj_loop
 from sassafrasdoor.support import until
 
@@ -17,12 +17,12 @@
     async def test_the_rollout_goes_on_when_its_holder_ends(self):
         """Guards against a rollout that ends with its holder."""
         names = ["entry-1", "entry-2", "entry-3"]
-        async with Controls(QUICK) as cluster:
-            await cluster.begin(names)
+        async with ControlCluster(QUICK) as cluster:
+            await cluster.start_all(names)
             options = "--swap-seconds", "0.05", "--load-lag", "0.05"
             for engine in ("engine-1", "engine-2"):
                 await asyncio.to_thread(cluster.start_engine, engine, *options)
-            await self.all_at(cluster, 1)
+            await self.wait_for_version(cluster, 1)
             for version, planned in ((2, True), (3, False)):
                 with self.subTest(planned=planned):
                     holder = await cluster.holder("weights")
@@ -31,7 +31,7 @@
                     else:
                         cluster.controls.pop(holder).kill()
                     await cluster.announce(MODEL, version)
-                    await self.all_at(cluster, version)
+                    await self.wait_for_version(cluster, version)
             fences = [
                 order["fence"]
                 for engine in cluster.backends
@@ -39,7 +39,7 @@
             ]
             self.assertEqual(len(set(fences)), 3)
 
-    async def all_at(self, cluster, version):
+    async def wait_for_version(self, cluster, version):
         async def reached():
             truths = [await cluster.truth(engine) for engine in cluster.backends]
             return all(truth["versions"][MODEL] == version for truth in truths)
--- a/sassafrasdoor/control/weights.py
+++ b/sassafrasdoor/control/weights.py
@@ -49,7 +49,7 @@
 
     def _may_claim(self):
         wanted = bool(self._process.follower.state.weights)
-        return wanted and self._process.spread.is_chosen(LEASE)
+        return wanted and self._process.state_sync.is_chosen(LEASE)
 
     def _view(self):
         state = self._process.follower.state
--- a/sassafrasdoor/entry/tests/test_status.py
+++ b/sassafrasdoor/entry/tests/test_status.py
@@ -82,7 +82,9 @@
         ]
         for name, grants, granted, allowed in cases:
             with self.subTest(name):
-                self.parts.admission.renew(view(row_document("app"), grants=grants))
+                self.parts.admission.update_view(
+                    view(row_document("app"), grants=grants)
+                )
                 found = self.parts.admission.status()["app"]
                 self.assertEqual(found["granted"], granted)
                 self.assertEqual(found["allowed"] > 0, allowed)
--- a/sassafrasdoor/lease/claims.py
+++ b/sassafrasdoor/lease/claims.py
@@ -50,13 +50,13 @@
 
         Raises ``ValueError``, ``KeyError`` or ``TypeError`` if it is none.
         """
-        for name, kind in _TYPES.items():
+        for name, kind in _FIELD_TYPES.items():
             if type(document[name]) is not kind:
                 raise ValueError(name)
         return cls(**document)
 
 
-_TYPES = {
+_FIELD_TYPES = {
     "holder": str,
     "epoch": int,
     "offset": int,
--- a/sassafrasdoor/lease/holder.py
+++ b/sassafrasdoor/lease/holder.py
@@ -24,8 +24,8 @@
 from sassafrasdoor.metrics import counter
 from sassafrasdoor.outcomes import Unavailable
 
-TICKS_IN_RENEWAL = 8
-KEPT_CLAIMS = 16
+CHECKS_PER_RENEWAL = 8
+MAX_PENDING_CLAIMS = 16
 LONG_AGO = 0.0
 
 CLAIMS = counter("lease_claims_total", "Claims appended, by result.")
@@ -42,20 +42,20 @@
     """
 
     __slots__ = (
-        "_acts_from",
+        "_active_from",
         "_claiming",
         "_deadline",
         "_follower",
-        "_leaving",
+        "_is_releasing",
         "_log",
         "_name",
         "_next_claim",
         "_pauses",
-        "_seen",
-        "_seen_at",
-        "_sent",
+        "_observed",
+        "_observed_at",
+        "_claims_sent_at",
         "_settings",
-        "_settle",
+        "_max_order_duration",
         "_was_held",
         "identity",
         "leases",
@@ -70,22 +70,26 @@
         name,
         leases=lambda state: state.leases,
         may_claim=lambda: True,
-        settle=None,
+        max_order_duration=None,
     ):
         self._settings = settings
-        self._settle = settings.weights.order_timeout if settle is None else settle
+        self._max_order_duration = (
+            settings.weights.order_timeout
+            if max_order_duration is None
+            else max_order_duration
+        )
         self._log = log
         self._follower = follower
         self._name = name
         self._pauses = clock.PauseDetector(settings.lease.renew_interval)
-        self._seen = VACANT
-        self._seen_at = clock.now()
-        self._sent = {}
+        self._observed = VACANT
+        self._observed_at = clock.now()
+        self._claims_sent_at = {}
         self._deadline = LONG_AGO
-        self._acts_from = LONG_AGO
+        self._active_from = LONG_AGO
         self._next_claim = LONG_AGO
         self._claiming = None
-        self._leaving = False
+        self._is_releasing = False
         self._was_held = False
         # A restarted process is another holder: its predecessor's orders may still
         # be under way and must be fenced off.
@@ -101,7 +105,7 @@
         self._observe()
         if not self._is_mine or clock.passed(self._deadline):
             return NO_EPOCH
-        return self._seen.epoch if clock.passed(self._acts_from) else NO_EPOCH
+        return self._observed.epoch if clock.passed(self._active_from) else NO_EPOCH
 
     @property
     def deadline(self):
@@ -112,14 +116,14 @@
         """Claim and renew until cancelled."""
         try:
             while True:
-                self._note_held()
+                self._log_held_change()
                 if self.claim_due and self._claiming is None:
                     # Beside the loop: a log that is slow to answer must not look
                     # like a pause of this process.
                     self._claiming = asyncio.create_task(self.claim())
-                    self._claiming.add_done_callback(self._claimed)
+                    self._claiming.add_done_callback(self._on_claim_done)
                 await asyncio.sleep(
-                    self._settings.lease.renew_interval / TICKS_IN_RENEWAL
+                    self._settings.lease.renew_interval / CHECKS_PER_RENEWAL
                 )
         finally:
             if self._claiming:
@@ -130,7 +134,7 @@
         """Whether to append a claim or a renewal now."""
         self._check_pause()
         self._observe()
-        if self._leaving or self._follower.confirmed_at is None:
+        if self._is_releasing or self._follower.confirmed_at is None:
             return False
         if not clock.passed(self._next_claim):
             return False
@@ -143,10 +147,10 @@
         duration = self._settings.lease.renew_interval
         self._next_claim = clock.deadline_in(duration)
         claim_id = uuid.uuid4().hex
-        self._remember(claim_id)
+        self._record_claim_time(claim_id)
         result = await self._append(claim_id, release=False)
         if isinstance(result, Unavailable):
-            self._sent.pop(claim_id, None)
+            self._claims_sent_at.pop(claim_id, None)
 
     async def release(self):
         """Claim no more, and give the lease up so that another may act at once.
@@ -154,7 +158,7 @@
         Only to be called when no order of ours is under way any more.
         """
         # Else we would claim what we have just released, and end holding it.
-        self._leaving = True
+        self._is_releasing = True
         # A renewal under way and the release replace the same claim; the renewal
         # would come first and the release be rejected.
         if self._claiming:
@@ -168,22 +172,22 @@
 
     @property
     def _is_mine(self):
-        return self._seen.holder == self.identity and not self._seen.released
+        return self._observed.holder == self.identity and not self._observed.released
 
     @property
     def _is_free(self):
-        return self._seen.released or clock.passed(self._lapses_at)
+        return self._observed.released or clock.passed(self._lapses_at)
 
     @property
     def _lapses_at(self):
-        return self._seen_at + self._settings.lease.duration
+        return self._observed_at + self._settings.lease.duration
 
     async def _append(self, claim_id, release):
         body = {
             "kind": "lease",
             "name": self._name,
             "holder": self.identity,
-            "replaces": self._seen.offset,
+            "replaces": self._observed.offset,
             "id": claim_id,
             "release": release,
         }
@@ -192,10 +196,10 @@
         CLAIMS.inc({"result": type(result).__name__})
         return result
 
-    def _remember(self, claim_id):
-        self._sent[claim_id] = clock.now()
-        while len(self._sent) > KEPT_CLAIMS:
-            self._sent.pop(next(iter(self._sent)))
+    def _record_claim_time(self, claim_id):
+        self._claims_sent_at[claim_id] = clock.now()
+        while len(self._claims_sent_at) > MAX_PENDING_CLAIMS:
+            self._claims_sent_at.pop(next(iter(self._claims_sent_at)))
 
     def _check_pause(self):
         # Paused, we have seen neither a successor nor the time go by. Without this
@@ -203,37 +207,39 @@
         if not self._pauses.paused:
             return
         PAUSES.inc({})
-        self._sent.clear()
+        self._claims_sent_at.clear()
         self._deadline = LONG_AGO
         self._next_claim = LONG_AGO
         self._pauses.refreshed()
 
     def _observe(self):
         lease = self.leases(self._follower.state).get(self._name, VACANT)
-        if lease.offset == self._seen.offset:
+        if lease.offset == self._observed.offset:
             return
-        before, lapses_at = self._seen, self._lapses_at
-        self._seen, self._seen_at = lease, clock.now()
+        before, lapses_at = self._observed, self._lapses_at
+        self._observed, self._observed_at = lease, clock.now()
         if not self._is_mine:
-            self._sent.clear()
+            self._claims_sent_at.clear()
             self._deadline = LONG_AGO
             return
         if lease.epoch != before.epoch:
-            self._acts_from = LONG_AGO
+            self._active_from = LONG_AGO
             if not before.released:
-                self._acts_from = lapses_at + self._settle
-        sent_at = self._sent.pop(lease.claim_id, None)
+                self._active_from = lapses_at + self._max_order_duration
+        sent_at = self._claims_sent_at.pop(lease.claim_id, None)
         if sent_at is not None:
             self._deadline = sent_at + self._settings.lease.duration
 
-    def _note_held(self):
+    def _log_held_change(self):
         held = bool(self.fence)
         if held != self._was_held:
-            EVENTS.add("lease", name=self._name, held=held, epoch=self._seen.epoch)
-            changed("lease.held", name=self._name, held=held, epoch=self._seen.epoch)
+            EVENTS.add("lease", name=self._name, held=held, epoch=self._observed.epoch)
+            changed(
+                "lease.held", name=self._name, held=held, epoch=self._observed.epoch
+            )
         self._was_held = held
 
-    def _claimed(self, task):
+    def _on_claim_done(self, task):
         self._claiming = None
         with contextlib.suppress(asyncio.CancelledError):
             task.result()
--- a/sassafrasdoor/lease/tests/bench.py
+++ b/sassafrasdoor/lease/tests/fixtures.py
@@ -8,11 +8,11 @@
 from sassafrasdoor.log.follower import Follower
 from sassafrasdoor.log.memory import MemoryLog
 
-DURATION, RENEWAL, ORDER = 6.0, 2.0, 10.0
+LEASE_DURATION, RENEW_INTERVAL, ORDER_TIMEOUT = 6.0, 2.0, 10.0
 STREAM = "agreed"
 
 
-class HandClock:
+class ManualClock:
     """The monotonic clock of every process here; patches ``clock.now``."""
 
     def __init__(self, case):
@@ -27,14 +27,20 @@
 class Node:
     """One instance: a follower and a holder, run turn by turn."""
 
-    def __init__(self, name, log, settle=None):
+    def __init__(self, name, log, max_order_duration=None):
         document = {"instance": {"name": name}}
         self.settings = settings.from_document(document)
         self.log = log
         self.follower = Follower(self.settings, log, agreed.fold, agreed.Agreed())
-        self.holder = Holder(self.settings, log, self.follower, "plan", settle=settle)
+        self.holder = Holder(
+            self.settings,
+            log,
+            self.follower,
+            "plan",
+            max_order_duration=max_order_duration,
+        )
 
-    async def turn(self):
+    async def poll_and_claim(self):
         """Read the log, claim if due, read again; return the fencing number."""
         await self.follower.poll(0)
         if self.holder.claim_due:
@@ -43,11 +49,11 @@
         return self.holder.fence
 
 
-class Bench:
+class LeaseCluster:
     """A log, a clock and nodes."""
 
     def __init__(self, case, names="ab"):
-        self.clock = HandClock(case)
+        self.clock = ManualClock(case)
         self.log = MemoryLog()
         self.nodes = [Node(name, self.log) for name in names]
 
@@ -57,4 +63,4 @@
             self.clock.advance(min(step, seconds))
             seconds -= step
             for node in nodes:
-                await node.turn()
+                await node.poll_and_claim()
--- a/sassafrasdoor/lease/tests/test_claims.py
+++ b/sassafrasdoor/lease/tests/test_claims.py
@@ -12,7 +12,7 @@
     return {**body, "id": f"{holder}-{replaces}", **more}
 
 
-def folded(*pairs):
+def fold_records(*pairs):
     """Fold ``(offset, body)`` pairs; return the lease, or None."""
     leases = {}
     for offset, body in pairs:
@@ -22,39 +22,39 @@
 
 class ClaimsTest(unittest.TestCase):
     def test_claims(self):
-        one, two = claim("x", 0), claim("y", 0)
+        first, second = claim("x", 0), claim("y", 0)
         renewal = claim("x", 3)
         table = [
-            ("first of a race", [(3, one), (4, two)], ("x", 3, 3)),
-            ("a copy changes nothing", [(3, one), (4, one)], ("x", 3, 3)),
-            ("renewal keeps the epoch", [(3, one), (5, renewal)], ("x", 3, 5)),
-            ("successor", [(3, one), (6, claim("y", 3))], ("y", 6, 6)),
+            ("first of a race", [(3, first), (4, second)], ("x", 3, 3)),
+            ("a copy changes nothing", [(3, first), (4, first)], ("x", 3, 3)),
+            ("renewal keeps the epoch", [(3, first), (5, renewal)], ("x", 3, 5)),
+            ("successor", [(3, first), (6, claim("y", 3))], ("y", 6, 6)),
             (
                 "renewal beats a successor that has not seen it",
-                [(3, one), (5, renewal), (6, claim("y", 3))],
+                [(3, first), (5, renewal), (6, claim("y", 3))],
                 ("x", 3, 5),
             ),
             (
                 "holder that slept through a change",
-                [(3, one), (6, claim("y", 3)), (7, renewal)],
+                [(3, first), (6, claim("y", 3)), (7, renewal)],
                 ("y", 6, 6),
             ),
             (
                 "release by a stranger",
-                [(3, one), (4, claim("y", 3, release=True))],
+                [(3, first), (4, claim("y", 3, release=True))],
                 ("x", 3, 3),
             ),
             (
                 "claim after a release gets a new epoch",
-                [(3, one), (4, claim("x", 3, release=True)), (9, claim("x", 4))],
+                [(3, first), (4, claim("x", 3, release=True)), (9, claim("x", 4))],
                 ("x", 9, 9),
             ),
-            ("offset zero is no epoch", [(0, one), (2, two)], ("y", 2, 2)),
+            ("offset zero is no epoch", [(0, first), (2, second)], ("y", 2, 2)),
             ("replaces as text", [(3, claim("x", "0"))], None),
             ("no holder", [(3, claim("", 0))], None),
         ]
         for name, records, expected in table:
             with self.subTest(name):
-                lease = folded(*records)
-                found = lease and (lease.holder, lease.epoch, lease.offset)
-                self.assertEqual(found, expected)
+                lease = fold_records(*records)
+                actual = lease and (lease.holder, lease.epoch, lease.offset)
+                self.assertEqual(actual, expected)
--- a/sassafrasdoor/lease/tests/test_frozen_process.py
+++ b/sassafrasdoor/lease/tests/test_frozen_process.py
@@ -11,7 +11,7 @@
 from sassafrasdoor.support import until
 
 LEASE = "weights"
-PATIENCE = 60
+TIMEOUT = 60
 QUICK = {
     "lease": {"duration": 1.5, "renew_interval": 0.3},
     "weights": {"order_timeout": 1.0},
@@ -30,10 +30,10 @@
 
     async def lease(self):
         """Return the rollout's lease as the log has it now, or None."""
-        state = await self.reader.catch_up(deadline_in(PATIENCE))
+        state = await self.reader.catch_up(deadline_in(TIMEOUT))
         return state.leases.get(LEASE)
 
-    async def at_version(self, version):
+    async def wait_for_version(self, version):
         """Wait until every engine truly runs a version."""
         for name in self.cluster.backends:
 
@@ -41,9 +41,9 @@
                 truth = await self.cluster.truth(name)
                 return truth["versions"].get(MODEL) == version
 
-            await until(reached, PATIENCE, f"{name} at version {version}")
+            await until(reached, TIMEOUT, f"{name} at version {version}")
 
-    async def test_engines_of_both_kinds_never_go_back(self):
+    async def test_engines_never_revert_to_an_older_version(self):
         """Guards against orders of a holder that resumes after its lease was lost."""
         cluster = self.cluster
         cluster.start_engine("checks", "--checks-fencing")
@@ -51,22 +51,24 @@
         await cluster.announce(MODEL, 1)
         for name in ("entry-1", "entry-2", "entry-3"):
             cluster.start_instance(name)
-        await self.at_version(1)
+        await self.wait_for_version(1)
         first = await self.lease()
         holder = first.holder.partition("/")[0]
-        frozen = next(one for one in cluster.instances if one.name == holder)
+        frozen = next(
+            instance for instance in cluster.instances if instance.name == holder
+        )
         frozen.control.freeze()
         await cluster.announce(MODEL, 2)
-        await self.at_version(2)
+        await self.wait_for_version(2)
         second = await self.lease()
         self.assertGreater(second.epoch, first.epoch)
         frozen.control.thaw()
         await cluster.announce(MODEL, 3)
-        await self.at_version(3)
+        await self.wait_for_version(3)
         for name in cluster.backends:
             with self.subTest(name):
                 orders = (await cluster.truth(name))["orders"]
                 applied = [order for order in orders if order["applied"]]
-                for what in ("fence", "version"):
-                    given = [order[what] for order in applied]
-                    self.assertEqual(given, sorted(given))
+                for field in ("fence", "version"):
+                    values = [order[field] for order in applied]
+                    self.assertEqual(values, sorted(values))
--- a/sassafrasdoor/lease/tests/test_machine.py
+++ b/sassafrasdoor/lease/tests/test_machine.py
@@ -12,7 +12,7 @@
     rule,
 )
 
-from sassafrasdoor.lease.tests.bench import ORDER, STREAM, Bench, Node
+from sassafrasdoor.lease.tests.fixtures import ORDER_TIMEOUT, STREAM, LeaseCluster, Node
 from sassafrasdoor.log.memory import MemoryLog
 from sassafrasdoor.outcomes import ReplyLost
 
@@ -20,18 +20,18 @@
 NODE = st.integers(0, len(NAMES) - 1)
 
 
-class LateLog(MemoryLog):
-    """Holds appends back while ``late`` is set: they arrive when let go."""
+class DelayedLog(MemoryLog):
+    """Holds appends back while ``is_delaying`` is set: they arrive when let go."""
 
     def __init__(self):
         super().__init__()
-        self.late = False
-        self.held = []
+        self.is_delaying = False
+        self.delayed = []
 
     async def append(self, stream, body):
-        if not self.late:
+        if not self.is_delaying:
             return await super().append(stream, body)
-        self.held.append(body)
+        self.delayed.append(body)
         return ReplyLost("still under way")
 
 
@@ -40,11 +40,11 @@
     def start(self):
         self.case = unittest.TestCase()
         self.runner = asyncio.Runner()
-        self.bench = Bench(self.case, ())
-        self.log = LateLog()
+        self.cluster = LeaseCluster(self.case, ())
+        self.log = DelayedLog()
         self.nodes = [Node(name, self.log) for name in NAMES]
         self.orders = []
-        self.used = []
+        self.used_fences = []
 
     def teardown(self):
         if hasattr(self, "runner"):
@@ -57,30 +57,33 @@
         ordering=st.booleans(),
         outage=st.sampled_from([False, False, False, True]),
     )
-    def time_passes(self, seconds, awake, ordering, outage):
+    def advance_time(self, seconds, awake, ordering, outage):
         """Those not ``awake`` are stopped meanwhile; the others take a turn."""
-        self.bench.clock.advance(seconds)
+        self.cluster.clock.advance(seconds)
         self.log.down = outage
         for node in sorted(awake):
-            self.runner.run(self.nodes[node].turn())
+            self.runner.run(self.nodes[node].poll_and_claim())
             if ordering:
-                self.send_an_order(self.nodes[node].holder)
+                self.send_order(self.nodes[node].holder)
         self.log.down = False
 
-    def send_an_order(self, holder):
+    def send_order(self, holder):
         """Check and send at once; it may take the longest that an order takes."""
         fence = holder.fence
         if fence:
-            until = self.bench.clock.time + ORDER
-            self.orders.append((holder.identity, until))
-            self.used.append(fence)
+            order_end = self.cluster.clock.time + ORDER_TIMEOUT
+            self.orders.append((holder.identity, order_end))
+            self.used_fences.append(fence)
 
     @rule(node=NODE)
-    def stop_as_planned(self, node):
+    def stop_gracefully(self, node):
         """Release, as its contract says, only with no order of ours under way."""
         holder = self.nodes[node].holder
-        time = self.bench.clock.time
-        if all(who != holder.identity or until <= time for who, until in self.orders):
+        time = self.cluster.clock.time
+        if all(
+            identity != holder.identity or order_end <= time
+            for identity, order_end in self.orders
+        ):
             self.runner.run(holder.release())
 
     @rule(node=NODE)
@@ -88,36 +91,36 @@
         self.nodes[node] = Node(NAMES[node], self.log)
 
     @rule(node=NODE)
-    def a_claim_is_slow(self, node):
+    def delay_claim(self, node):
         """Its sender knows only that no reply came."""
-        self.log.late = True
-        self.runner.run(self.nodes[node].turn())
-        self.log.late = False
-
-    @precondition(lambda self: self.log.held)
-    @rule(which=st.integers(0, 100))
-    def a_late_append_arrives(self, which):
-        body = self.log.held.pop(which % len(self.log.held))
+        self.log.is_delaying = True
+        self.runner.run(self.nodes[node].poll_and_claim())
+        self.log.is_delaying = False
+
+    @precondition(lambda self: self.log.delayed)
+    @rule(index=st.integers(0, 100))
+    def deliver_delayed_append(self, index):
+        body = self.log.delayed.pop(index % len(self.log.delayed))
         self.runner.run(MemoryLog.append(self.log, STREAM, body))
 
     @rule(fault=st.sampled_from(["lose_replies", "duplicates"]))
-    def next_append_is_faulty(self, fault):
+    def make_next_append_faulty(self, fault):
         setattr(self.log, fault, 1)
 
     @invariant()
-    def one_may_act_and_only_when_no_order_of_another_is_under_way(self):
+    def at_most_one_acts_and_no_other_order_is_in_flight(self):
         nodes = getattr(self, "nodes", ())
         acting = [node.holder for node in nodes if node.holder.fence]
         assert len(acting) <= 1
-        time = self.bench.clock.time if nodes else 0
+        time = self.cluster.clock.time if nodes else 0
         for holder in acting:
-            for who, until in self.orders:
-                assert who == holder.identity or until <= time
+            for identity, order_end in self.orders:
+                assert identity == holder.identity or order_end <= time
 
     @invariant()
-    def fencing_numbers_never_fall(self):
-        used = getattr(self, "used", [])
-        assert used == sorted(used)
+    def fencing_numbers_never_decrease(self):
+        used_fences = getattr(self, "used_fences", [])
+        assert used_fences == sorted(used_fences)
 
 
 LeaseMachine.TestCase.settings = hypothesis_settings(
--- a/sassafrasdoor/lease/tests/test_orders.py
+++ b/sassafrasdoor/lease/tests/test_orders.py
@@ -2,7 +2,11 @@
 
 import unittest
 
-from sassafrasdoor.lease.tests.bench import DURATION, ORDER, Bench
+from sassafrasdoor.lease.tests.fixtures import (
+    LEASE_DURATION,
+    ORDER_TIMEOUT,
+    LeaseCluster,
+)
 
 
 class FakeEngine:
@@ -33,34 +37,34 @@
 
 
 class FrozenHolderTest(unittest.IsolatedAsyncioTestCase):
-    async def test_an_order_sent_by_a_holder_that_was_frozen_after_its_check(self):
+    async def test_late_order_of_a_holder_frozen_after_its_check(self):
         """Guards against an order sent between the check of a lease and its loss."""
-        for checks_fencing, refused, meanwhile in ((True, 1, 2), (False, 0, 1)):
+        for checks_fencing, refused, interim_version in ((True, 1, 2), (False, 0, 1)):
             with self.subTest(checks_fencing=checks_fencing):
-                bench = Bench(self)
-                old, new = bench.nodes
+                cluster = LeaseCluster(self)
+                old, new = cluster.nodes
                 engine = FakeEngine(checks_fencing)
-                checked = await old.turn()
-                await new.turn()
-                await bench.run(DURATION + ORDER + 1, new, step=0.5)
+                checked = await old.poll_and_claim()
+                await new.poll_and_claim()
+                await cluster.run(LEASE_DURATION + ORDER_TIMEOUT + 1, new, step=0.5)
                 self.assertTrue(reconcile(new, engine, wanted=2))
                 engine.order(checked, 1)
                 self.assertEqual(engine.refused, refused)
-                self.assertEqual(engine.version, meanwhile)
-                await bench.run(1.0, new, old)
+                self.assertEqual(engine.version, interim_version)
+                await cluster.run(1.0, new, old)
                 reconcile(old, engine, wanted=1)
                 reconcile(new, engine, wanted=2)
                 self.assertEqual(engine.version, 2)
 
-    async def test_no_order_of_two_holders_is_under_way_at_once(self):
+    async def test_orders_of_two_holders_never_overlap(self):
         """Guards against concurrent orders of two holders at one engine."""
-        bench = Bench(self)
-        old, new = bench.nodes
-        await old.turn()
-        await new.turn()
-        ends = None
+        cluster = LeaseCluster(self)
+        old, new = cluster.nodes
+        await old.poll_and_claim()
+        await new.poll_and_claim()
+        last_order_end = None
         while not new.holder.fence:
             if old.holder.fence:
-                ends = bench.clock.time + ORDER
-            await bench.run(0.25, new, step=0.25)
-        self.assertGreaterEqual(bench.clock.time, ends)
+                last_order_end = cluster.clock.time + ORDER_TIMEOUT
+            await cluster.run(0.25, new, step=0.25)
+        self.assertGreaterEqual(cluster.clock.time, last_order_end)
--- a/sassafrasdoor/requests/calls.py
+++ b/sassafrasdoor/requests/calls.py
@@ -47,7 +47,7 @@
             return await self._tries(row, request)
 
     async def _tries(self, row, request):
-        self._budget.earned()
+        self._budget.deposit()
         tried, last = [], None
         while True:
             backend = self._chooser.choose(
@@ -96,7 +96,7 @@
         allowed = isinstance(last, NotRun) or request.repeatable
         if not allowed or len(tried) >= MAX_TRIES or passed(request.deadline):
             return False
-        if not self._budget.spend():
+        if not self._budget.try_withdraw():
             return False
         RETRIES.inc({})
         return True
--- a/sassafrasdoor/requests/streams.py
+++ b/sassafrasdoor/requests/streams.py
@@ -83,7 +83,7 @@
                     yield item
 
     async def _tries(self, row, generate, deadline):
-        self._budget.earned()
+        self._budget.deposit()
         tried, last = [], None
         while True:
             backend = self._choose(row, generate, tried)
@@ -117,7 +117,7 @@
         kept = offset > 0 and not generate.restartable
         if not allowed or kept or len(tried) >= MAX_TRIES:
             return False
-        return self._budget.spend()
+        return self._budget.try_withdraw()
 
     def cancel(self, backend, stream):
         """Have the engine end a stream, without waiting for it.
--- a/sassafrasdoor/tools/table_changes.py
+++ b/sassafrasdoor/tools/table_changes.py
@@ -1,6 +1,6 @@
 """What changes between two tables, row by row, with the change in shares."""
 
-from sassafrasdoor.admission.shares import fractions
+from sassafrasdoor.admission.shares import fractional_shares
 
 IGNORED = {"name"}
 
@@ -52,7 +52,7 @@
     for service in {row.service for row in rows}:
         group = [row for row in rows if row.service == service]
         limits = {row.name: row.limit for row in group}
-        shares.update(fractions(group, limits, 1.0))
+        shares.update(fractional_shares(group, limits, 1.0))
     return shares
 
 
