--- a/sassafrasdoor/admission/allocator.py
+++ b/sassafrasdoor/admission/allocator.py
@@ -6,7 +6,7 @@
 are lost, instances are partitioned and the holder changes; clocks need only run at the
 same rate.
 
-A dead instance can't be told from a partitioned one. What a silent instance may still
+A dead instance can't be distinguished from a partitioned one. What a silent instance may still
 be using counts against hard limits only: rows without one get its slots as soon as its
 grants lapse, and the backend servers queue or refuse the excess. With
 ``admission.strict_capacity`` it counts against the capacity too, so the slots of a dead
@@ -25,7 +25,7 @@
 from sassafrasdoor.admission.shares import distribute, hard_limit, shares, split_evenly
 from sassafrasdoor.clock import deadline_in, passed
 
-REBALANCES_PER_GRANT = 15
+REBALANCES_PER_GRANT = 15  # in its lifetime
 REPORTS_PER_SECOND = 30  # to one holder
 GRANT_NUMBERS_PER_FENCE = 1 << 32
 
@@ -96,7 +96,7 @@
         self._add_to_totals(self._records.pop(instance, None), -1)
 
     def report(self, report, lease_deadline=None):
-        """Take a ``Report``; return the instance's ``GrantSet``, or None at first.
+        """Process a ``Report``; return a ``GrantSet``, or None until old grants lapse.
 
         No grant outlives ``lease_deadline``, when this process stops being the holder.
         The instance computes its own deadline from when it *sent* the report, so that
@@ -114,7 +114,7 @@
         if passed(self._rebalance_at):
             self._rebalance()
         elif is_late:
-            # The last targets omit it; an empty grant would end its fallback.
+            # The last targets omit this instance; an empty grant would end its fallback.
             self._targets[report.instance] = dict(record.committed)
         return self._grant(report.instance, record, lease_deadline)
 
--- a/sassafrasdoor/admission/grants.py
+++ b/sassafrasdoor/admission/grants.py
@@ -88,16 +88,16 @@
 
     @property
     def is_empty(self):
-        """Whether it has not reported recently and holds no slots."""
+        """Whether the instance has not reported recently and holds no slots."""
         return passed(self.report_deadline) and not any(self.committed.values())
 
     @property
     def active(self):
-        """Slots that it may be using if it has reported recently, else none."""
+        """Slots that it may be using, by row; empty if it has not reported recently."""
         return {} if passed(self.report_deadline) else self.committed
 
     def apply_report(self, report, lifetime, overhang):
-        """Take a report; grants older than the one in use are dropped.
+        """Apply a report; grants older than the one in use are dropped.
 
         Later grants may be in flight or lost with a reply: they count until a report
         names them or they lapse. ``overhang`` seconds after the last report its calls
--- a/sassafrasdoor/admission/queues.py
+++ b/sassafrasdoor/admission/queues.py
@@ -16,12 +16,12 @@
 from sassafrasdoor.outcomes import NotRun
 
 # Durations in seconds.
-DEMAND_HALF_LIFE = 3.0  # of peak demand, so that a row with few calls keeps a slot
+DEMAND_HALF_LIFE = 3.0  # of the peak demand; a row with few calls keeps a slot
 MIN_DEMAND = 0.25  # slots; below it a decayed peak counts as none
 MIN_RETRY_AFTER = 0.5
 MAX_RETRY_AFTER = 30.0
-SERVICE_TIME_WEIGHT = 0.1  # of the last call in the smoothed service time
-DISPATCH_INTERVAL = 0.05  # grants lapse without an event
+SERVICE_TIME_WEIGHT = 0.1  # of the last call in the mean service time
+DISPATCH_INTERVAL = 0.05  # no event is raised when a grant lapses
 
 ADMITTED = metrics.counter("sassafrasdoor_admitted_total", "Calls given a slot.")
 REFUSED = metrics.counter("sassafrasdoor_refused_total", "Calls refused a slot.")
@@ -121,8 +121,8 @@
         except TimeoutError:
             return self._result_or(future, self._refuse_expired())
         except asyncio.CancelledError:
-            # The slot may have been granted just before the cancellation, and nobody
-            # else would release it.
+            # The slot may have been granted just before the cancellation; no other
+            # code would release it.
             permit = self._result_or(future, None)
             if permit:
                 permit.release()
@@ -135,7 +135,7 @@
         return default
 
     def release_slot(self, held):
-        """Take back a slot that was held for ``held`` seconds."""
+        """Free a slot after a call that took ``held`` seconds."""
         self.in_use -= 1
         self._mean_service_time += SERVICE_TIME_WEIGHT * (
             held - self._mean_service_time
@@ -223,7 +223,7 @@
                 del self._queues[name]
 
     async def run(self, view_getter):
-        """Dispatch queued calls as grants come and lapse, until cancelled."""
+        """Dispatch queued calls as grants arrive and lapse, until cancelled."""
         while True:
             await asyncio.sleep(DISPATCH_INTERVAL)
             self.update_view(view_getter())
--- a/sassafrasdoor/admission/quota.py
+++ b/sassafrasdoor/admission/quota.py
@@ -15,8 +15,8 @@
     """Return the slots that ``row`` may use here at this moment.
 
     A grant holds until its deadline, then its fallback for a bounded time, as the
-    holder may have granted the rest to others. ``view.grants`` of None means that
-    nobody distributes quota: each instance uses an equal slice.
+    holder may have granted the rest to others. If ``view.grants`` is None,
+    no quota is distributed, and each instance uses an equal slice.
     """
     if view.grants is None:
         return equal_slice(view, row)
--- a/sassafrasdoor/admission/shares.py
+++ b/sassafrasdoor/admission/shares.py
@@ -20,8 +20,9 @@
 def shares(rows, demand, capacity, rotation=0):
     """Return ``{row name: slots}`` of ``capacity`` (whole slots).
 
-    ``rows`` are table rows, ``demand`` maps names to wanted slots. ``turn`` decides
-    which rows get the remainders; over many turns each row gets its share of them.
+    ``rows`` are table rows, ``demand`` maps names to wanted slots. ``rotation``
+    selects the rows that get the remainders; over many rotations each row gets its
+    share of them.
     """
     wanted = {
         row.name: min(demand.get(row.name, 0), hard_limit(row, capacity))
@@ -49,7 +50,7 @@
     """Return the shares as whole slots of the same sum (rounded down).
 
     Systematic sampling: a row with a remainder of 0.3 gets a further slot in three of
-    ten turns.
+    ten rotations.
     """
     whole = {}
     offset = (rotation * GOLDEN_STEP) % 1.0
@@ -81,7 +82,7 @@
 
 
 def _fill_by_weight(rows, wanted, allocated, amount):
-    """Add ``amount`` to ``given`` in proportion to weight, up to ``wanted``."""
+    """Add ``amount`` to ``allocated`` in proportion to weight, up to ``wanted``."""
     weight = sum(row.weight for row in rows)
     headroom = {
         row.name: max(0.0, wanted[row.name] - allocated[row.name]) for row in rows
--- a/sassafrasdoor/admission/tests/test_allocator.py
+++ b/sassafrasdoor/admission/tests/test_allocator.py
@@ -1,4 +1,4 @@
-"""Leased quota: what may be in use never exceeds limit and capacity."""
+"""Leased quota: slots in use never exceed hard limits and capacity."""
 
 import random
 import subprocess
@@ -31,7 +31,7 @@
 
 
 class Clock:
-    """A clock moved by the test."""
+    """A clock that the test advances."""
 
     def __init__(self):
         self.time = 1000.0
@@ -41,7 +41,7 @@
 
 
 class FakeInstance:
-    """An instance: what it has adopted, wants and uses, as its own clock says."""
+    """An instance: its grants, demand and use."""
 
     def __init__(self, name):
         self.name = name
@@ -51,13 +51,13 @@
         self.in_use = Counter()
 
     def allowed(self, row):
-        """Return what the row may use here now."""
+        """Return the slots that the row may use at this instance now."""
         if not self.grants:
             return 0
         return allowance(SETTINGS, view(grants=self.grants), ROWS.row(row))
 
     def report(self):
-        """Return the report of now."""
+        """Return the current report."""
         rows = {
             row.name: Usage(
                 self.wanted[row.name] or self.in_use[row.name],
@@ -70,7 +70,7 @@
         return Report(self.name, self.life, max(numbers, default=0), rows)
 
     def adopt(self, grant_set, sent_at, held_until):
-        """Adopt a set; its lifetime counts from the sending of the report."""
+        """Adopt a ``GrantSet``; its lifetime counts from when the report was sent."""
         if grant_set is None:
             return
         deadline = sent_at + (grant_set.deadline - held_until)
@@ -101,21 +101,21 @@
         return allocator
 
     def exchange(self, allocator, instance, lost=False):
-        """Report and adopt the answer, unless the reply is lost."""
+        """Send a report and adopt the grants, unless the reply is lost."""
         grant_set = allocator.report(instance.report())
         if not lost:
             instance.adopt(grant_set, self.clock.time, self.clock.time)
         return grant_set
 
     def exchange_rounds(self, allocator, instances, rounds=4, step=0.3):
-        """Exchange for a while with everybody."""
+        """Exchange reports with all ``instances``, ``step`` seconds apart."""
         for _ in range(rounds):
             self.clock.time += step
             for instance in instances:
                 self.exchange(allocator, instance)
 
     def start_instances(self, count=3, **wanted):
-        """Return a holder that grants, and instances that want."""
+        """Return a holder that grants, and instances with the demand ``wanted``."""
         instances = [FakeInstance(f"e{number}") for number in range(count)]
         for instance in instances:
             instance.wanted.update(wanted)
@@ -126,11 +126,11 @@
         return allocator, instances
 
     def total(self, instances, row):
-        """Return what the row may use at all instances together."""
+        """Return the slots that the row may use at all instances together."""
         return sum(instance.allowed(row) for instance in instances)
 
     def check(self, instances):
-        """Assert that no limit and not the capacity can be overshot."""
+        """Assert that hard limits and capacity can't be exceeded."""
         total = 0
         for row in ROWS.rows:
             used = sum(max(s.allowed(row.name), s.in_use[row.name]) for s in instances)
@@ -139,7 +139,7 @@
         self.assertLessEqual(total, CAPACITY)
 
     def run_random_faults(self, seed):
-        """Run a seeded mix of losses, cuts, restarts and holders; check throughout."""
+        """Inject lost replies, partitions, restarts and new holders; check each step."""
         rng = random.Random(seed)
         self.clock.time = 1000.0
         instances = [FakeInstance(f"e{number}") for number in range(4)]
@@ -162,7 +162,7 @@
                 self.check(instances)
 
     def restart(self, instance):
-        """Have the instance's process die and come back with nothing."""
+        """Restart the instance's process, which loses its grants."""
         instance.life += "1"
         instance.grants = {}
 
@@ -218,7 +218,7 @@
         for _ in range(30):
             self.exchange_rounds(successor, [*instances, fresh], rounds=1)
             self.check([*instances, fresh])
-        # An odd slot may just be on its way from one instance to another.
+        # One slot may be in transit between two instances.
         self.assertGreaterEqual(self.total([*instances, fresh], "app"), 19)
 
     def test_silent_instance_keeps_only_its_fallback(self):
@@ -296,7 +296,7 @@
     settings = RECLAIMING
 
     def check(self, instances):
-        """Assert that no hard limit can be overshot; engines guard the capacity."""
+        """Assert that no hard limit can be exceeded; engines enforce the capacity."""
         for row in ROWS.rows:
             if row.limit < 1:
                 used = sum(
@@ -324,7 +324,7 @@
         self.assertEqual(survivor.allowed("trainer"), CAPACITY)
 
     def test_application_keeps_a_fallback_when_trainers_are_busy(self):
-        """Guards against a trainer that takes all of the fallback."""
+        """Guards against trainers that take all of the fallback."""
         allocator, instances = self.start_instances(trainer=40)
         self.exchange_rounds(allocator, instances, rounds=20)
         for instance in instances:
@@ -338,7 +338,7 @@
         self.check(instances)
 
     def test_late_report_keeps_its_grant(self):
-        """Guards against a late report answered by a grant without a fallback."""
+        """Guards against answering a late report with a grant without fallback."""
         allocator, instances = self.start_instances(app=12)
         late, *others = instances
         lifetime = SETTINGS.admission.grant_duration
--- a/sassafrasdoor/admission/tests/test_queues.py
+++ b/sassafrasdoor/admission/tests/test_queues.py
@@ -1,4 +1,4 @@
-"""Admission: grants, bounded queues, early refusal, no slot lost."""
+"""Admission: grants, bounded queues, early refusal, no lost slots."""
 
 import asyncio
 import unittest
@@ -27,14 +27,14 @@
         self.admission = Admission(settings(admission={"queue_size": 2}))
 
     def admit(self, current_view, name="app", timeout=10.0):
-        """Return a task that asks for a slot."""
+        """Return a task that requests a slot."""
         work = self.admission.admit(
             current_view, current_view.row(name), deadline_in(timeout)
         )
         return asyncio.ensure_future(work)
 
     async def fill(self, current_view, count, name="app"):
-        """Take ``count`` slots."""
+        """Acquire ``count`` slots."""
         return [await self.admit(current_view, name) for _ in range(count)]
 
     async def test_grant_bounds_calls_and_release_admits_the_next(self):
--- a/sassafrasdoor/admission/tests/test_shares.py
+++ b/sassafrasdoor/admission/tests/test_shares.py
@@ -1,4 +1,4 @@
-"""Shares: sums, caps, work conservation, fairness over time."""
+"""Shares: sums, limits, work conservation, fairness over time."""
 
 import unittest
 from collections import Counter
