--- a/sassafrasdoor/lease/__init__.py
+++ b/sassafrasdoor/lease/__init__.py
@@ -1,1 +1,1 @@
-"""Leases judged by log order, with fencing numbers."""
+"""Leases decided by log order, with fencing numbers."""
--- a/sassafrasdoor/lease/claims.py
+++ b/sassafrasdoor/lease/claims.py
@@ -1,8 +1,8 @@
-"""Who holds a lease: the fold over claims, judged by log order and no clock.
+"""Determines lease holders: a fold over claims, by log order and not by clocks.
 
 A claim names the record that it replaces: the last accepted claim of that lease.
-Of all claims on one record the lowest offset wins; a holder that slept and writes
-later names a record that has been replaced, and every reader rejects it alike.
+Of all claims on one record the lowest offset wins; a holder that resumes after a
+pause names a record that has been replaced, and every reader rejects its claim.
 The offset of a holder's first accepted claim is its epoch, the fencing number.
 """
 
@@ -27,8 +27,8 @@
 class Lease:
     """The last accepted claim: its ``offset``, ``claim_id`` and ``holder``.
 
-    ``epoch`` grows with each change of holder and stays while one renews;
-    ``released`` says that the holder gave it up and does nothing more.
+    ``epoch`` increases with each change of holder and is kept by renewals;
+    ``released`` means that the holder has released it and no longer acts.
     """
 
     __slots__ = ("claim_id", "epoch", "holder", "offset", "released")
@@ -48,7 +48,7 @@
     def from_document(cls, document):
         """Return the lease in a mapping made by ``as_document``.
 
-        Raises ``ValueError``, ``KeyError`` or ``TypeError`` if it is none.
+        Raises ``ValueError``, ``KeyError`` or ``TypeError`` if it is malformed.
         """
         for name, kind in _FIELD_TYPES.items():
             if type(document[name]) is not kind:
@@ -67,7 +67,7 @@
 
 
 def fold(leases, record):
-    """Return the leases by name after a claim record; total for every body."""
+    """Return the leases by name after a claim record; ignores malformed bodies."""
     try:
         claim = Claim.model_validate(record.body)
     except ValidationError:
--- a/sassafrasdoor/lease/holder.py
+++ b/sassafrasdoor/lease/holder.py
@@ -1,14 +1,14 @@
-"""Claiming and keeping a fenced lease over the platform's log.
+"""Claims and renews a fenced lease over the platform's log.
 
-Which claim counts is judged by log order alone (``claims.fold``). Clocks are used
-only to stop early and to start late, each process by its own:
+Log order alone decides which claim is accepted (``claims.fold``). Each process uses
+its own clock only to stop early and to start late:
 
-- a holder counts from before it *sent* its last accepted claim;
-- a successor counts from after it first *saw* that claim, so from later on. Once a
-  whole duration has passed there, the old holder has stopped; what it had ordered
-  until then has ended after the longest order more.
+- a holder measures from before it *sent* its last accepted claim;
+- a successor measures from after it first *saw* that claim, which is later. Once
+  the lease duration has passed there, the old holder has stopped; its orders have
+  ended after another ``max_order_duration``.
 
-A backend server that ignores fencing numbers may still meet an order whose sender
+A backend server that ignores fencing numbers may still receive an order whose sender
 was frozen between its check and its send; no clock prevents that. So orders are
 idempotent and the new holder reads back what the backend server reports.
 """
@@ -29,16 +29,16 @@
 LONG_AGO = 0.0
 
 CLAIMS = counter("lease_claims_total", "Claims appended, by result.")
-PAUSES = counter("lease_pauses_total", "Times that a holder found it had not run.")
+PAUSES = counter("lease_pauses_total", "Pauses of its process that a holder detected.")
 
 
 class Holder:
-    """Holds the lease ``name`` while it can; read ``fence`` right before each use.
+    """Claims and renews the lease ``name``; read ``fence`` right before each use.
 
-    ``leases(state)`` finds the leases in the follower's state, and ``may_claim()``
-    says whether this instance is one that ought to claim a free lease. ``settle``
-    is how many seconds an order of a lapsed holder may still be under way: a
-    successor acts only after them (default: the longest order to an engine).
+    ``leases(state)`` returns the leases in the follower's state, and ``may_claim()``
+    whether this instance may claim a free lease. ``max_order_duration`` is the
+    number of seconds that an order of a lapsed holder may still be in flight: a
+    successor acts only after that (default: the timeout of an order to an engine).
     """
 
     __slots__ = (
@@ -92,7 +92,7 @@
         self._is_releasing = False
         self._was_held = False
         # A restarted process is another holder: its predecessor's orders may still
-        # be under way and must be fenced off.
+        # be in flight and must be fenced off.
         self.identity = f"{settings.instance.name}/{uuid.uuid4().hex[:12]}"
         self.leases = leases
         self.may_claim = may_claim
@@ -109,17 +109,17 @@
 
     @property
     def deadline(self):
-        """When the lease runs out unless it is renewed (monotonic)."""
+        """The monotonic time at which the lease lapses unless it is renewed."""
         return self._deadline
 
     async def run(self):
-        """Claim and renew until cancelled."""
+        """Claim and renew the lease until cancelled."""
         try:
             while True:
                 self._log_held_change()
                 if self.claim_due and self._claiming is None:
-                    # Beside the loop: a log that is slow to answer must not look
-                    # like a pause of this process.
+                    # In a task of its own: a slow reply of the log must not count
+                    # as a pause of this process.
                     self._claiming = asyncio.create_task(self.claim())
                     self._claiming.add_done_callback(self._on_claim_done)
                 await asyncio.sleep(
@@ -143,7 +143,7 @@
         return self._is_free and self.may_claim()
 
     async def claim(self):
-        """Append one claim on what was seen last; the fold decides on it."""
+        """Append a claim on the last record observed; ``fold`` accepts or rejects it."""
         duration = self._settings.lease.renew_interval
         self._next_claim = clock.deadline_in(duration)
         claim_id = uuid.uuid4().hex
@@ -153,18 +153,18 @@
             self._claims_sent_at.pop(claim_id, None)
 
     async def release(self):
-        """Claim no more, and give the lease up so that another may act at once.
+        """Stop claiming and release the lease, so that a successor may act at once.
 
-        Only to be called when no order of ours is under way any more.
+        May be called only when no order of this process is in flight.
         """
-        # Else we would claim what we have just released, and end holding it.
+        # Else this process would claim the lease again right after releasing it.
         self._is_releasing = True
-        # A renewal under way and the release replace the same claim; the renewal
-        # would come first and the release be rejected.
+        # A renewal in flight and the release replace the same claim; the renewal
+        # would come first and the release would be rejected.
         if self._claiming:
             await asyncio.wait([self._claiming])
-        # Before acts_from an earlier holder's orders may still be under way; a
-        # successor that saw a release would not wait for them.
+        # Before _active_from an earlier holder's orders may still be in flight; a
+        # successor that observed a release would not wait for them.
         if not self.fence:
             return
         self._deadline = LONG_AGO
@@ -202,8 +202,8 @@
             self._claims_sent_at.pop(next(iter(self._claims_sent_at)))
 
     def _check_pause(self):
-        # Paused, we have seen neither a successor nor the time go by. Without this
-        # the first order after waking would be sent on a lease of before.
+        # A paused process has observed neither a successor nor elapsed time. Without
+        # this check its first order would be sent under a lease from before.
         if not self._pauses.paused:
             return
         PAUSES.inc({})
--- a/sassafrasdoor/lease/tests/fixtures.py
+++ b/sassafrasdoor/lease/tests/fixtures.py
@@ -1,4 +1,4 @@
-"""Instances that share a lease over one log in memory, on a clock set by hand."""
+"""Instances that share a lease over one in-memory log, on a manual clock."""
 
 from unittest import mock
 
@@ -13,19 +13,19 @@
 
 
 class ManualClock:
-    """The monotonic clock of every process here; patches ``clock.now``."""
+    """The monotonic clock of all nodes; patches ``clock.now``."""
 
     def __init__(self, case):
         self.time = 1000.0
         case.enterContext(mock.patch("sassafrasdoor.clock.now", lambda: self.time))
 
     def advance(self, seconds):
-        """Let time pass for everybody."""
+        """Advance the clock of all nodes."""
         self.time += seconds
 
 
 class Node:
-    """One instance: a follower and a holder, run turn by turn."""
+    """One instance: a follower and a holder, run step by step."""
 
     def __init__(self, name, log, max_order_duration=None):
         document = {"instance": {"name": name}}
@@ -41,7 +41,7 @@
         )
 
     async def poll_and_claim(self):
-        """Read the log, claim if due, read again; return the fencing number."""
+        """Read the log, claim if due and read again; return the fencing number."""
         await self.follower.poll(0)
         if self.holder.claim_due:
             await self.holder.claim()
@@ -50,7 +50,7 @@
 
 
 class LeaseCluster:
-    """A log, a clock and nodes."""
+    """Nodes with a shared log and clock."""
 
     def __init__(self, case, names="ab"):
         self.clock = ManualClock(case)
@@ -58,7 +58,7 @@
         self.nodes = [Node(name, self.log) for name in names]
 
     async def run(self, seconds, *nodes, step=1.0):
-        """Let time pass in steps in which the given nodes take turns."""
+        """Advance the clock in steps, and poll the given nodes after each."""
         while seconds > 0:
             self.clock.advance(min(step, seconds))
             seconds -= step
--- a/sassafrasdoor/lease/tests/test_claims.py
+++ b/sassafrasdoor/lease/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""The fold over claims: log order decides, never a clock."""
+"""The fold over claims: log order decides, not clocks."""
 
 import unittest
 
@@ -26,7 +26,7 @@
         renewal = claim("x", 3)
         table = [
             ("first of a race", [(3, first), (4, second)], ("x", 3, 3)),
-            ("a copy changes nothing", [(3, first), (4, first)], ("x", 3, 3)),
+            ("duplicate changes nothing", [(3, first), (4, first)], ("x", 3, 3)),
             ("renewal keeps the epoch", [(3, first), (5, renewal)], ("x", 3, 5)),
             ("successor", [(3, first), (6, claim("y", 3))], ("y", 6, 6)),
             (
@@ -35,12 +35,12 @@
                 ("x", 3, 5),
             ),
             (
-                "holder that slept through a change",
+                "holder paused during a change",
                 [(3, first), (6, claim("y", 3)), (7, renewal)],
                 ("y", 6, 6),
             ),
             (
-                "release by a stranger",
+                "release by another holder",
                 [(3, first), (4, claim("y", 3, release=True))],
                 ("x", 3, 3),
             ),
@@ -50,7 +50,7 @@
                 ("x", 9, 9),
             ),
             ("offset zero is no epoch", [(0, first), (2, second)], ("y", 2, 2)),
-            ("replaces as text", [(3, claim("x", "0"))], None),
+            ("replaces is not a number", [(3, claim("x", "0"))], None),
             ("no holder", [(3, claim("", 0))], None),
         ]
         for name, records, expected in table:
--- a/sassafrasdoor/lease/tests/test_frozen_process.py
+++ b/sassafrasdoor/lease/tests/test_frozen_process.py
@@ -1,4 +1,4 @@
-"""A whole cluster: the process that holds the rollout's lease is stopped and wakes."""
+"""A cluster whose holder of the rollout's lease is frozen and resumed."""
 
 import unittest
 
@@ -11,7 +11,7 @@
 from sassafrasdoor.support import until
 
 LEASE = "weights"
-TIMEOUT = 60
+TIMEOUT = 60  # seconds
 QUICK = {
     "lease": {"duration": 1.5, "renew_interval": 0.3},
     "weights": {"order_timeout": 1.0},
@@ -29,12 +29,12 @@
         self.reader = Follower(self.settings, self.log, agreed.fold, agreed.Agreed())
 
     async def lease(self):
-        """Return the rollout's lease as the log has it now, or None."""
+        """Return the rollout's lease at the end of the log, or None."""
         state = await self.reader.catch_up(deadline_in(TIMEOUT))
         return state.leases.get(LEASE)
 
     async def wait_for_version(self, version):
-        """Wait until every engine truly runs a version."""
+        """Wait until every engine runs ``version``."""
         for name in self.cluster.backends:
 
             async def reached(name=name):
--- a/sassafrasdoor/lease/tests/test_holder.py
+++ b/sassafrasdoor/lease/tests/test_holder.py
@@ -1,4 +1,4 @@
-"""The holder of a lease: stops early, starts late, and never two at once."""
+"""The holder of a lease: stops early, starts late, never two at once."""
 
 import asyncio
 import contextlib
@@ -149,7 +149,7 @@
         ]
         fence = await until(lambda: holder.fence, what="lease")
         await until(lambda: len(log._records[STREAM]) > 3, what="renewals")
-        await until(lambda: holder.fence == fence, what="the same epoch")
+        await until(lambda: holder.fence == fence, what="the epoch of before")
         for task in tasks:
             task.cancel()
             with contextlib.suppress(asyncio.CancelledError):
--- a/sassafrasdoor/lease/tests/test_machine.py
+++ b/sassafrasdoor/lease/tests/test_machine.py
@@ -1,4 +1,4 @@
-"""Any interleaving of turns, pauses, restarts, lost and late claims: one holder."""
+"""At most one holder in any sequence of polls, pauses, restarts and faulty claims."""
 
 import asyncio
 import unittest
@@ -21,7 +21,7 @@
 
 
 class DelayedLog(MemoryLog):
-    """Holds appends back while ``is_delaying`` is set: they arrive when let go."""
+    """Delays appends while ``is_delaying`` is set, until the test delivers them."""
 
     def __init__(self):
         super().__init__()
@@ -58,7 +58,7 @@
         outage=st.sampled_from([False, False, False, True]),
     )
     def advance_time(self, seconds, awake, ordering, outage):
-        """Those not ``awake`` are stopped meanwhile; the others take a turn."""
+        """Advance the clock; only the nodes in ``awake`` run."""
         self.cluster.clock.advance(seconds)
         self.log.down = outage
         for node in sorted(awake):
@@ -68,7 +68,7 @@
         self.log.down = False
 
     def send_order(self, holder):
-        """Check and send at once; it may take the longest that an order takes."""
+        """Check the fence and send an order that takes ``ORDER_TIMEOUT``."""
         fence = holder.fence
         if fence:
             order_end = self.cluster.clock.time + ORDER_TIMEOUT
@@ -77,7 +77,7 @@
 
     @rule(node=NODE)
     def stop_gracefully(self, node):
-        """Release, as its contract says, only with no order of ours under way."""
+        """Release the lease, only if no order of the node is in flight."""
         holder = self.nodes[node].holder
         time = self.cluster.clock.time
         if all(
@@ -92,7 +92,7 @@
 
     @rule(node=NODE)
     def delay_claim(self, node):
-        """Its sender knows only that no reply came."""
+        """Delay a claim; its sender gets no reply."""
         self.log.is_delaying = True
         self.runner.run(self.nodes[node].poll_and_claim())
         self.log.is_delaying = False
--- a/sassafrasdoor/lease/tests/test_orders.py
+++ b/sassafrasdoor/lease/tests/test_orders.py
@@ -1,4 +1,4 @@
-"""A holder frozen between its check and its order, and engines of both kinds."""
+"""A holder frozen between check and order; engines with and without fencing."""
 
 import unittest
 
@@ -10,7 +10,7 @@
 
 
 class FakeEngine:
-    """Takes orders "be at version v"; some kinds refuse an old fencing number."""
+    """Runs the version ordered; may refuse orders with an old fencing number."""
 
     def __init__(self, checks_fencing):
         self.checks_fencing = checks_fencing
@@ -19,7 +19,7 @@
         self.refused = 0
 
     def order(self, fence, version):
-        """Carry an order out; return whether it was taken."""
+        """Carry an order out; return whether it was accepted."""
         if self.checks_fencing and fence < self.fence:
             self.refused += 1
             return False
@@ -29,7 +29,7 @@
 
 
 def reconcile(node, engine, wanted):
-    """Order what is wanted where the engine reports otherwise; say if we could."""
+    """Order ``wanted`` if the engine has another version; return whether holder."""
     fence = node.holder.fence
     if fence and engine.version != wanted:
         engine.order(fence, wanted)
