--- a/sassafrasdoor/admission/tests/test_allocator.py
+++ b/sassafrasdoor/admission/tests/test_allocator.py
@@ -92,7 +92,7 @@
         self.addCleanup(patch.stop)
         self.fence = 0
 
-    def holder(self, instances=()):
+    def new_holder(self, instances=()):
         """Return an allocator that has just become the holder."""
         self.fence += 1
         allocator = Allocator(self.settings)
@@ -119,7 +119,7 @@
         instances = [FakeInstance(f"e{number}") for number in range(count)]
         for instance in instances:
             instance.wanted.update(wanted)
-        allocator = self.holder(instances)
+        allocator = self.new_holder(instances)
         self.exchange_rounds(allocator, instances)
         self.clock.time += SETTINGS.admission.grant_duration
         self.exchange_rounds(allocator, instances)
@@ -143,12 +143,12 @@
         rng = random.Random(seed)
         self.clock.time = 1000.0
         instances = [FakeInstance(f"e{number}") for number in range(4)]
-        allocator = self.holder(instances)
+        allocator = self.new_holder(instances)
         partitioned = set()
         for _ in range(80):
             self.clock.time += rng.choice([0.1, 0.3, 0.3, 1.0, 4.0])
             if rng.random() < 0.05:
-                allocator = self.holder(instances)
+                allocator = self.new_holder(instances)
             if rng.random() < 0.1:
                 partitioned ^= {rng.choice(instances)}
             if rng.random() < 0.04:
@@ -212,7 +212,7 @@
         before = self.total(instances, "app")
         fresh = FakeInstance("fresh")
         fresh.wanted["app"] = 40
-        successor = self.holder(instances)
+        successor = self.new_holder(instances)
         self.assertIsNone(self.exchange(successor, fresh))
         self.assertEqual(before, 20)
         for _ in range(30):
@@ -250,7 +250,7 @@
         partitioned, *others = instances
         self.exchange_rounds(allocator, others, rounds=20)
         for _ in range(3):
-            successor = self.holder(instances)
+            successor = self.new_holder(instances)
             self.clock.time += SETTINGS.admission.grant_duration
             for _ in range(20):
                 self.exchange_rounds(successor, others, rounds=1)
--- a/sassafrasdoor/control/instances.py
+++ b/sassafrasdoor/control/instances.py
@@ -116,7 +116,7 @@
     return Listing(members, backends)
 
 
-def _text(document, name, default=None):
+def _text_field(document, name, default=None):
     """Return a text; raises ValueError for what the entry could not be told.
 
     One entry that cannot be encoded would keep the whole view from the entry.
@@ -129,29 +129,29 @@
 
 def _member(document):
     return Member(
-        _text(document, "name"),
-        availability_zone=_text(document, "availability_zone", ""),
-        region=_text(document, "region", ""),
+        _text_field(document, "name"),
+        availability_zone=_text_field(document, "availability_zone", ""),
+        region=_text_field(document, "region", ""),
         state=STATES[document.get("state", "alive")],
-        gossip_address=_text(document, "gossip_address", ""),
-        control_address=_text(document, "control_address", ""),
-        entry_address=_text(document, "address", ""),
-        peer_address=_text(document, "peer_address", ""),
+        gossip_address=_text_field(document, "gossip_address", ""),
+        control_address=_text_field(document, "control_address", ""),
+        entry_address=_text_field(document, "address", ""),
+        peer_address=_text_field(document, "peer_address", ""),
     )
 
 
 def _backend(document):
     models = [
-        _text({"model": model}, "model")
+        _text_field({"model": model}, "model")
         for model in document.get("models", ())[:MAX_MODELS]
     ]
     return Backend(
-        _text(document, "name"),
-        _text(document, "address"),
+        _text_field(document, "name"),
+        _text_field(document, "address"),
         document["kind"],
-        _text(document, "service"),
-        availability_zone=_text(document, "availability_zone", ""),
-        region=_text(document, "region", ""),
+        _text_field(document, "service"),
+        availability_zone=_text_field(document, "availability_zone", ""),
+        region=_text_field(document, "region", ""),
         capacity=min(MAX_CAPACITY, max(1, int(document.get("capacity", 1)))),
         checks_fencing=bool(document.get("checks_fencing", False)),
         models=models,
--- a/sassafrasdoor/control/link.py
+++ b/sassafrasdoor/control/link.py
@@ -125,11 +125,11 @@
             self._is_lost = False
             logs.changed("control:connected", address=self._link.address)
         UPDATES.inc({})
-        new = update.session != self._known["session"]
-        if not new and update.number == self._known["number"]:
+        is_new_session = update.session != self._known["session"]
+        if not is_new_session and update.number == self._known["number"]:
             self._refresh_confirmation(update)
             return
-        if new:
+        if is_new_session:
             self._inherited_grants = self._view.grants
         self._known = {"session": update.session, "number": update.number}
         self._view = self._merge(update)
@@ -145,7 +145,7 @@
 
     def _merge(self, update):
         old = self._view
-        table, revision = self._table(update)
+        table, revision = self._merged_table(update)
         confirmed_at = messages.confirmed_at_from(update)
         if confirmed_at is None or update.revision < old.revision:
             confirmed_at = old.confirmed_at
@@ -190,7 +190,7 @@
         row = self._view.row(row_name)
         return row.service if row else ""
 
-    def _table(self, update):
+    def _merged_table(self, update):
         # A control process that just restarted may know an older revision than
         # the one in force here, or none. Taking it would revert the table for
         # a while; one would notice the revision fall. So it only goes forward.
@@ -211,8 +211,8 @@
             logs.changed("control:lost", address=self._link.address)
 
 
-def _apply_changes(known, changed, gone):
-    for name in gone:
+def _apply_changes(known, changed, removed):
+    for name in removed:
         known.pop(name, None)
     known |= {item.name: item for item in changed}
     return known.values()
--- a/sassafrasdoor/control/quota.py
+++ b/sassafrasdoor/control/quota.py
@@ -160,9 +160,9 @@
             return ""
         name = lease.holder.partition("/")[0]
         members = self._process.members()
-        found = (m.control_address for m in members if m.name == name)
+        addresses = (m.control_address for m in members if m.name == name)
         own = self._settings.instance.name
-        return "" if name == own else next(found, "")
+        return "" if name == own else next(addresses, "")
 
     def _close_link(self):
         if self._link is not None:
--- a/sassafrasdoor/control/state_sync.py
+++ b/sassafrasdoor/control/state_sync.py
@@ -130,8 +130,8 @@
     @property
     def hops(self):
         """How many members passed on the newest confirmation."""
-        told_at, hops = self._confirmed
-        return hops if told_at == self._follower.confirmed_at else 0
+        relayed_at, hops = self._confirmed
+        return hops if relayed_at == self._follower.confirmed_at else 0
 
     def news(self):
         """Return how far this instance is and when that was confirmed."""
--- a/sassafrasdoor/control/tests/test_state_sync.py
+++ b/sassafrasdoor/control/tests/test_state_sync.py
@@ -78,14 +78,14 @@
     def test_confirmation_is_relayed_at_most_max_hops_times(self):
         """Guards against a confirmation that stays young by being relayed."""
         at = now() - 10
-        for hops, told in ((0, True), (MAX_HOPS - 1, True), (MAX_HOPS, False)):
+        for hops, is_relayed in ((0, True), (MAX_HOPS - 1, True), (MAX_HOPS, False)):
             with self.subTest(hops=hops):
                 state_sync = self.make_state_sync(as_of=5, confirmed_at=at - 5)
                 state_sync.heard("other", News(5, 5, at, hops))
                 self.assertEqual(state_sync._follower.confirmed_at, at)
                 news = state_sync.news()
-                self.assertEqual(news.confirmed_at is not None, told)
-                self.assertEqual(news.hops, hops + 1 if told else 0)
+                self.assertEqual(news.confirmed_at is not None, is_relayed)
+                self.assertEqual(news.hops, hops + 1 if is_relayed else 0)
         self.assertEqual(self.make_state_sync(as_of=5, confirmed_at=at).news().hops, 0)
 
     def test_news_confirms_or_triggers_a_fetch(self):
