--- a/sassafrasdoor/control/__init__.py
+++ b/sassafrasdoor/control/__init__.py
@@ -1,1 +1,1 @@
-"""The control process: agreed state, membership and orders."""
+"""The control process: agreed state, membership, quota and weights rollout."""
--- a/sassafrasdoor/control/control.capnp
+++ b/sassafrasdoor/control/control.capnp
@@ -1,7 +1,7 @@
 @0xb1c55ad0e7f24c31;
 
-# What a control process answers: its own entry's long poll, other control
-# processes that lag behind the log, and the collector of the time line.
+# The interface of a control process to its own entry (a long poll), to other control
+# processes that lag behind the log, and to the collector of the timeline.
 
 struct Member {
   name @0 :Text;
@@ -33,8 +33,8 @@
   version @1 :UInt64;
 }
 
-# A row's part of a `GrantSet`, as the entry gets it: `deadline` is a point on the
-# monotonic clock that all processes of one machine share, in seconds.
+# A row's part of a `GrantSet`, as sent to the entry: `deadline` is in seconds of the
+# monotonic clock, which all processes of one machine share.
 struct Grant {
   row @0 :Text;
   slots @1 :UInt32;
@@ -50,7 +50,7 @@
   fallback @3 :UInt32;
 }
 
-# What an instance wants, uses and holds; see admission/grants.py.
+# An instance's demand, use and fallback; see admission/grants.py.
 struct Report {
   instance @0 :Text;
   life @1 :Text;
@@ -64,7 +64,7 @@
   fallback @2 :UInt32;
 }
 
-# Between control processes a deadline is the time left.
+# Between control processes deadlines are sent as the remaining time.
 struct GrantSet {
   number @0 :UInt64;
   remainingMs @1 :UInt32;
@@ -72,7 +72,7 @@
   rows @3 :List(RowGrant);
 }
 
-# What the entry knows already; a part that it knows is not sent again.
+# The state that the entry has; parts that it has are not sent again.
 struct Known {
   session @0 :UInt64;
   number @1 :UInt64;
@@ -81,15 +81,15 @@
 struct Update {
   session @0 :UInt64;
   number @1 :UInt64;
-  confirmed @2 :Bool;          # whether the log ever confirmed the agreed part
+  confirmed @2 :Bool;          # whether the log ever confirmed the agreed state
   confirmedAgeMs @3 :UInt64;
   revision @4 :UInt64;
   hasTable @5 :Bool;
-  table @6 :Text;              # JSON, empty: no table known
+  table @6 :Text;              # JSON, empty if no table is known
   hasWeights @7 :Bool;
   weights @8 :List(Weights);
-  # Only members and backends that changed since the number known; with `all...`
-  # those known so far are to be forgotten first.
+  # Only members and backends changed since the known number; with `all...` they
+  # replace all those known so far.
   allMembers @9 :Bool;
   members @10 :List(Member);
   allBackends @11 :Bool;
@@ -114,16 +114,16 @@
 
 interface Control {
   exchange @0 (known :Known, waitMs :UInt32, stamp :UInt64, addresses :Addresses, report :Report) -> (update :Update, stamp :UInt64);
-  # The agreed state as JSON if it goes beyond `asOf`, else empty.
-  # `accepted` names what the caller knows of the table: left out if the same.
+  # The agreed state as JSON if it is newer than `asOf`, else empty. `accepted` is
+  # the digest of the caller's table, which is omitted if it is the same.
   fetch @1 (asOf :UInt64, accepted :UInt64, stamp :UInt64) -> (asOf :UInt64, state :Text, confirmed :Bool, confirmedAgeMs :UInt64, confirmedHops :UInt8, stamp :UInt64);
   events @2 (since :UInt64, stamp :UInt64) -> (events :List(Event), stamp :UInt64);
-  # The entry leaves on purpose: told to all members at once.
+  # The entry begins to shut down, which is announced to all members at once.
   leave @3 (stamp :UInt64) -> (stamp :UInt64);
   # The report of one instance to the holder of `quota/{service}`; without `granted`
-  # the instance keeps what it has.
+  # the instance keeps its grants.
   report @4 (service :Text, report :Report, stamp :UInt64) -> (granted :Bool, grants :GrantSet, stamp :UInt64);
-  # The backend servers known here, for an instance that cannot read the list itself.
+  # The backend servers known here, for an instance that can't read the list itself.
   listing @5 (stamp :UInt64) -> (backends :List(Backend), stamp :UInt64);
   # The metrics of the control process, in the exposition format.
   metrics @6 (stamp :UInt64) -> (text :Text, stamp :UInt64);
--- a/sassafrasdoor/control/instances.py
+++ b/sassafrasdoor/control/instances.py
@@ -1,4 +1,4 @@
-"""The platform's list of instances over HTTP: read, register, leave."""
+"""Client of the platform's instance list over HTTP."""
 
 import json
 
@@ -10,7 +10,7 @@
 from sassafrasdoor.view import Backend, Member, State
 
 UNREADABLE = metrics.counter(
-    "instances_unreadable_total", "Entries of the instance list that made no sense."
+    "instances_unreadable_total", "Malformed entries of the instance list."
 )
 ENTRY = "entry"
 MAX_TEXT_BYTES = 256
@@ -20,7 +20,7 @@
 
 
 class Listing:
-    """One answer of the list: entry instances (``Member``) and ``Backend`` servers."""
+    """The contents of the list: entry instances (``Member``) and ``Backend`` servers."""
 
     __slots__ = ("backends", "members")
 
@@ -30,11 +30,11 @@
 
 
 class InstanceList:
-    """Client of the instance list; it lags and may be down.
+    """Client of the instance list, which lags and may be unavailable.
 
-    The list of 400 entries and 600 backend servers is some 200 KB. Each read
-    names the tag of the last one, so that an unchanged list costs 200 bytes.
-    ``changed_bytes`` is what the last read cost, 0 if nothing had changed.
+    A list of 400 entries and 600 backend servers has some 200 KB. Reads send the
+    last entity tag, so that an unchanged list costs 200 bytes. ``changed_bytes`` is
+    the size of the body that the last read returned, 0 if the list was unchanged.
     """
 
     __slots__ = ("_client", "_listing", "_settings", "_etag", "changed_bytes")
@@ -50,7 +50,7 @@
         return self._settings.platform.instances_url.rstrip("/") + path
 
     async def fetch(self):
-        """Return the newest ``Listing`` (the same object if unchanged)."""
+        """Return the current ``Listing`` (the same object if unchanged)."""
         headers = {"If-None-Match": self._etag} if self._etag else {}
         response = await self._call("GET", "/instances", headers=headers)
         if not response:
@@ -70,12 +70,12 @@
         return listing
 
     async def register(self, document):
-        """Put this instance on the list; may be repeated."""
+        """Add or replace this instance's entry; idempotent."""
         name = self._settings.instance.name
         return await self._call("PUT", f"/instances/{name}", body=json.dumps(document))
 
     async def deregister(self):
-        """Take this instance off the list; may be repeated."""
+        """Remove this instance from the list; idempotent."""
         return await self._call("DELETE", f"/instances/{self._settings.instance.name}")
 
     async def _call(self, method, path, headers=None, body=None):
@@ -103,7 +103,7 @@
 
 
 def listing_from(documents):
-    """Return the ``Listing`` in JSON-ready documents; bad ones are counted."""
+    """Parse JSON documents into a ``Listing``; malformed ones are counted."""
     members, backends = [], []
     for document in documents:
         try:
@@ -117,9 +117,9 @@
 
 
 def _text_field(document, name, default=None):
-    """Return a text; raises ValueError for what the entry could not be told.
+    """Return a text field; raises ValueError if it can't be sent to the entry.
 
-    One entry that cannot be encoded would keep the whole view from the entry.
+    One text that can't be encoded would keep the entry from getting any view.
     """
     value = document.get(name, default)
     if not isinstance(value, str) or len(value.encode()) > MAX_TEXT_BYTES:
--- a/sassafrasdoor/control/link.py
+++ b/sassafrasdoor/control/link.py
@@ -1,4 +1,4 @@
-"""The entry's end of the link to its own control process."""
+"""The entry's connection to its own control process."""
 
 import asyncio
 import json
@@ -12,24 +12,28 @@
 from sassafrasdoor.table.rows import table_from
 from sassafrasdoor.view import View
 
-# How long control may hold an exchange open, in seconds: an entry that has work
-# reports what it wants more often than one that has none.
+# Seconds that control may hold an exchange open; an entry with demand reports more
+# often than an idle one.
 IDLE_WAIT = 1.0
 BUSY_WAIT = 0.3
-CALL_TIMEOUT_MARGIN = 2.0
-RETRY_DELAY = 0.1
-RETRY_DELAY_MAX = 1.0
+CALL_TIMEOUT_MARGIN = 2.0  # seconds
+RETRY_DELAY = 0.1  # seconds
+RETRY_DELAY_MAX = 1.0  # seconds
 
-UPDATES = metrics.counter("control_updates_total", "Updates from control.")
-LINK_LOSSES = metrics.counter("control_link_losses_total", "Times control went away.")
+UPDATES = metrics.counter(
+    "control_updates_total", "Updates received from the control process."
+)
+LINK_LOSSES = metrics.counter(
+    "control_link_losses_total", "Losses of the link to the control process."
+)
 
 
 class ControlLink:
-    """Keeps the newest ``view``; while control is away the last one stays.
+    """Receives the current ``view``; keeps the last one while control is unreachable.
 
-    A control process that restarts must not take its entry down with it: the
-    last view goes on to serve, its age grows, and the next session's first
-    update replaces all parts.
+    A restart of the control process must not interrupt its entry: the last view
+    remains in use, its age grows, and the first update of the next session replaces
+    all parts.
     """
 
     __slots__ = (
@@ -55,7 +59,7 @@
 
     @property
     def view(self):
-        """The newest ``View``; its table is None until one is known."""
+        """The current ``View``; its table is None until one is known."""
         return self._view
 
     @property
@@ -68,15 +72,15 @@
         self._callbacks.append(callback)
 
     def set_addresses(self, entry_address, peer_address):
-        """Tell where callers and peers reach this entry, as ``host:port``."""
+        """Set the addresses for callers and peers (``host:port``), sent to control."""
         self._addresses = {"entry": entry_address, "peer": peer_address}
 
     def set_report(self, report):
-        """Tell the ``Report`` of admission; sent with the next exchange."""
+        """Set the admission ``Report`` that the next exchange sends."""
         self._report = report
 
     async def leave(self):
-        """Have control tell all members that this instance is leaving."""
+        """Make control announce to all members that this instance is leaving."""
         return await self._link.call("leave", stamp=EVENTS.clock.stamp())
 
     async def metrics(self):
@@ -137,8 +141,8 @@
             callback(self._view)
 
     def _refresh_confirmation(self, update):
-        # The number stays and only the confirmation is younger. A view is
-        # immutable but for this one hint, which every reader wants newest.
+        # Only the confirmation is newer. It is the one field of a view that is
+        # mutable, as every reader wants its latest value.
         confirmed_at = messages.confirmed_at_from(update)
         if confirmed_at is not None:
             self._view.confirmed_at = max(self._view.confirmed_at, confirmed_at)
@@ -172,9 +176,9 @@
         )
 
     def _merged_grants(self, update):
-        # A restarted control process knows no grants yet. Those of before hold
+        # A restarted control process has no grants yet. Earlier grants remain valid
         # until they lapse: without them every call would be refused until the
-        # holder answers, and for long while the log is down.
+        # holder replies, which takes long while the log is down.
         if not update.hasGrants:
             return self._view.grants
         grants = messages.grants_from(update.grants)
@@ -191,9 +195,9 @@
         return row.service if row else ""
 
     def _merged_table(self, update):
-        # A control process that just restarted may know an older revision than
-        # the one in force here, or none. Taking it would revert the table for
-        # a while; one would notice the revision fall. So it only goes forward.
+        # A restarted control process may have an older revision than the one in
+        # force here, or none. The revision never decreases, as adopting an older
+        # one would temporarily revert the table.
         old = self._view
         if not update.hasTable or not update.table or update.revision <= old.revision:
             return old.table, old.revision
--- a/sassafrasdoor/control/messages.py
+++ b/sassafrasdoor/control/messages.py
@@ -1,4 +1,4 @@
-"""The messages of ``control.capnp`` to and from the classes of ``view``."""
+"""Converts messages of ``control.capnp`` to and from the classes of ``view``."""
 
 import pathlib
 
@@ -87,7 +87,7 @@
 
 
 def grant_messages(grants):
-    """Return the mappings of grants for the entry on this machine."""
+    """Return the mappings of grants for an entry on the same machine."""
     return [
         {
             "row": row,
@@ -151,10 +151,10 @@
 
 
 def grant_set_from(message, sent_at):
-    """Return the ``GrantSet`` in the answer to a report sent at ``sent_at``.
+    """Return the ``GrantSet`` in the reply to a report sent at ``sent_at``.
 
-    The deadlines count from the sending, not from the answer: an answer that was
-    long under way must not make slots last here that others are given already.
+    Deadlines count from when the report was sent: with a delayed reply, slots would
+    otherwise remain in use here after they have been granted to others.
     """
     return GrantSet(
         message.number,
@@ -166,7 +166,7 @@
 
 
 def age_fields(confirmed_at):
-    """Return the mapping of a confirmation time (None: never confirmed)."""
+    """Return the fields of a confirmation time (None: never confirmed)."""
     if confirmed_at is None:
         return {"confirmed": False, "confirmedAgeMs": 0}
     return {"confirmed": True, "confirmedAgeMs": int((now() - confirmed_at) * 1000)}
--- a/sassafrasdoor/control/process.py
+++ b/sassafrasdoor/control/process.py
@@ -1,4 +1,4 @@
-"""The control process of one instance: its parts and its life."""
+"""The control process of one instance: its components and lifecycle."""
 
 import asyncio
 import random
@@ -26,22 +26,18 @@
 from sassafrasdoor.stopping import lasting, planned_stop, say_ready
 from sassafrasdoor.view import Member, State
 
-# Members change in bursts, and each change sends them all to the entry.
-PUBLISH_DELAY = 0.05
-# How many instances that only the platform's list knows are greeted a read.
-MAX_JOINS_PER_READ = 3
-MIN_LIST_INTERVAL = 2.0
-# After a changed list the next read waits until its size is spread out to this
-# many bytes a second: the list of 1,000 instances has 200 KB, and the whole
-# process is to stay under 11 KB/s.
+PUBLISH_DELAY = 0.05  # seconds; batches member changes, which come in bursts
+MAX_JOINS_PER_READ = 3  # instances on the list that are unknown to membership
+MIN_LIST_INTERVAL = 2.0  # seconds
+# Bounds the mean rate of reads of a changing list: a list of 1,000 instances has
+# 200 KB, and the whole process must stay below 11 KB/s.
 MAX_LIST_BYTES_PER_SECOND = 4000
-MIN_REGISTER_INTERVAL = 5.0
-# An entry speaks at least once a second; one that pauses for less is not withdrawn.
-ENTRY_TIMEOUT = 4.0
+MIN_REGISTER_INTERVAL = 5.0  # seconds
+ENTRY_TIMEOUT = 4.0  # seconds without an exchange; at least one a second
 
 
 class ControlProcess(Delegate):
-    """Follows the log, knows the members, and offers its entry the view."""
+    """Follows the log and the membership, and serves the view to its entry."""
 
     def __init__(self, settings, log=None):
         self._settings = settings
@@ -82,18 +78,18 @@
         return self._server.address
 
     def members(self):
-        """Return the members that are not dead; the same list until one changes."""
+        """Return the members that are not dead; the same list until a change."""
         if self._members_stale and self.membership:
             self._members = self.membership.members
             self._members_stale = False
         return self._members
 
     def possible_grant_holders(self):
-        """Return the names of all instances that may use slots, heard or not."""
+        """Return the names of all instances that may use slots, reachable or not."""
         return self.membership.maybe_living
 
     async def start(self):
-        """Bind, join and begin to follow; raises OSError if a port is taken."""
+        """Bind, join and start all tasks; raises OSError if a port is taken."""
         instance = self._settings.instance
         await self._server.start()
         own = Member(
@@ -116,7 +112,7 @@
         self.weights.start()
 
     async def close(self):
-        """End all tasks and connections, with nothing said to anybody."""
+        """Stop all tasks and close all connections, without notifying members."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -127,13 +123,13 @@
         self.instances.close()
 
     async def depart(self):
-        """Tell everybody that this instance is gone, then close."""
+        """Leave the membership and the platform's list, then close."""
         self.membership.leave()
         self._departing = True
         await self.quota.close()
         await self.weights.depart()
-        # A registration still under way could reach the platform after the
-        # removal, and the list would name this instance for ever.
+        # A registration in flight could reach the platform after the removal, and
+        # the list would keep this instance forever.
         async with self._registering:
             await self.instances.deregister()
         await self.membership.depart()
@@ -189,8 +185,8 @@
         while True:
             await self._members_changed.wait()
             await asyncio.sleep(PUBLISH_DELAY)
-            # After a pause of this process the view would change for reasons
-            # that lie in the pause; the entry keeps the one that it has.
+            # After a pause of this process its member states are outdated; the
+            # entry keeps the view that it has.
             if self.membership.trusted:
                 self._members_changed.clear()
                 self.source.set_members(self.members())
@@ -208,10 +204,10 @@
             await asyncio.sleep(self._list_interval() * random.uniform(0.8, 1.2))
 
     async def _fetch_list_from_peer(self):
-        """Take the backend servers that a peer knows.
+        """Use the backend servers known to a random peer.
 
-        An instance started while the platform is down cannot read the list. It
-        would know the table and still refuse every call for want of a server.
+        An instance started while the platform is down can't read the list. It would
+        have the table but refuse every call for lack of a backend server.
         """
         own = self._settings.instance.name
         others = [m for m in self.members() if m.control_address and m.name != own]
@@ -247,7 +243,7 @@
             random.sample(unknown, min(MAX_JOINS_PER_READ, len(unknown)))
         )
         if self._settings.instance.name not in {m.name for m in listing.members}:
-            # The list lags, or the platform lost the entry.
+            # The list lags, or the platform has lost this instance's entry.
             self._registered = None
 
     async def _register(self):
@@ -280,20 +276,20 @@
             "peer_address": own.peer_address,
         }
 
-    # What the entry says
+    # The entry
 
     def handle_entry_report(self, entry_address, peer_address, report, number):
-        """Take the entry's addresses and report; its view has come to ``number``."""
+        """Process the entry's addresses and report; its view has ``number``."""
         self._entry_deadline = deadline_in(ENTRY_TIMEOUT)
         self.membership.update(entry_address=entry_address, peer_address=peer_address)
         self.quota.handle_entry_report(report, number)
 
     async def _watch_entry(self):
-        """Withdraw the addresses of an entry that says nothing any more.
+        """Withdraw the addresses of an entry that has sent no exchange for a while.
 
-        Members judge this process, which goes on to answer probes when its entry
-        dies. Discovery everywhere would name the dead entry for good; one would
-        notice callers whose first connection is refused every time.
+        Members probe this process, which still answers when its entry has died.
+        Discovery would keep returning the dead entry, and callers' first connection
+        would be refused every time.
         """
         while True:
             await asyncio.sleep(ENTRY_TIMEOUT / 4)
@@ -304,7 +300,7 @@
                 self.membership.update(entry_address="", peer_address="")
 
     def leave(self):
-        """The entry begins a planned stop."""
+        """Announce that the entry has begun to shut down."""
         self.membership.leave()
         self._register_after = deadline_in(0)
 
--- a/sassafrasdoor/control/quota.py
+++ b/sassafrasdoor/control/quota.py
@@ -1,8 +1,8 @@
 """Leased quota between instances: reports to the holders, grants to the entry.
 
-The lease ``quota/{service}`` has one holder, which shares the service's capacity
-out (``admission.allocator``). This instance reports to the holder of each service
-what its entry wants and uses, and offers the entry the grants that come back.
+The holder of the lease ``quota/{service}`` allocates the service's capacity
+(``admission.allocator``). This instance reports its entry's demand and use to the
+holder of each service, and passes the grants that it gets on to the entry.
 """
 
 import asyncio
@@ -19,11 +19,10 @@
 from sassafrasdoor.peers.link import PeerLink
 from sassafrasdoor.view import Grant, View
 
-# A third of a grant's life, so that one lost report does not let it lapse. The holder
-# gives longer lives when many report to it, and with them fewer reports.
+# In a grant's lifetime, so that it outlasts one lost report. The holder makes grants
+# last longer when many instances report to it, which makes reports rarer.
 IDLE_REPORTS_PER_GRANT = 3
-# The least time between two reports of which the second wants more, as such a part.
-MAX_REPORTS_PER_GRANT = 10
+MAX_REPORTS_PER_GRANT = 10  # when the entry wants more slots than granted
 
 REPORTS = metrics.counter("quota_reports_total", "Reports sent, by result.")
 
@@ -34,10 +33,10 @@
 
 
 class ServiceQuota:
-    """The quota of one service, as its holder or as one that reports to it.
+    """The quota of one service, as its holder or as an instance that reports to it.
 
-    ``offers`` pairs the number of a view with that of the grants first offered
-    in it; ``used_number`` is that of the grants which the entry is known to use.
+    ``offers`` pairs the number of a view with the number of the grants first offered
+    in it; ``used_number`` is the number of the grants that the entry uses.
     """
 
     __slots__ = (
@@ -75,25 +74,25 @@
             process.follower,
             lease_name(service),
             may_claim=lambda: process.state_sync.is_chosen(lease_name(service)),
-            # No grant outlives the lease under which it was made, so nothing of
-            # a lapsed holder is under way; the allocator waits for the rest.
+            # No grant outlives the lease under which it was made, so a successor
+            # has no orders to wait for; the allocator accounts for fallbacks.
             max_order_duration=0.0,
         )
 
     def confirm_offers(self, number):
-        """The entry's view has come to ``number``: it uses what was offered then."""
+        """Note that the entry uses the grants offered up to view ``number``."""
         while self.offers and self.offers[0][0] <= number:
             self.used_number = self.offers.pop(0)[1]
 
     def wants_more(self, report):
-        """Say whether the entry wants more than it was granted."""
+        """Return whether the entry wants more slots than it was granted."""
         slots = self.grants.slots if self.grants else {}
         return any(
             usage.wanted > slots.get(row, 0) for row, usage in report.rows.items()
         )
 
     def request_report(self):
-        """Report soon."""
+        """Send the next report as soon as ``MAX_REPORTS_PER_GRANT`` allows."""
         self._report_requested.set()
 
     async def run(self):
@@ -122,7 +121,7 @@
         REPORTS.inc({"result": type(grants).__name__})
         if grants:
             self.grants = grants
-            # A lease about to end cuts a grant short; reports need not hurry then.
+            # A lease about to lapse shortens its grants, but not the report interval.
             shortest = self._settings.admission.grant_duration
             self._grant_lifetime = max(shortest, grants.deadline - sent_at)
             self._process.quota.offer(self)
@@ -132,7 +131,7 @@
             return self.handle_report(report)
         address = self._holder_address()
         if not address:
-            return Unavailable("nobody holds the quota")
+            return Unavailable("no holder of the quota lease to report to")
         if self._link is None or self._link.address != address:
             self._close_link()
             self._link = PeerLink(self._settings, address, messages.SCHEMA.Control)
@@ -170,7 +169,7 @@
         self._link = None
 
     def handle_report(self, report):
-        """As the holder: take a report, return a ``GrantSet`` or None."""
+        """As the holder, process a report; return a ``GrantSet`` or None."""
         fence = self.holder.fence
         if not fence:
             return None
@@ -196,7 +195,7 @@
         self._allocator.plan(rows, capacity_of(view, self._service))
 
     def remove_instance(self, name):
-        """An instance has ended as planned."""
+        """Remove an instance that has shut down gracefully."""
         self._allocator.remove_instance(name)
 
 
@@ -213,7 +212,7 @@
         self._report = Report(settings.instance.name)
 
     def update_services(self, table):
-        """Begin with services that are new in the table, end with those gone."""
+        """Start the quota of services new in the table, stop that of removed ones."""
         wanted = {row.service for row in table.rows} if table else set()
         for service in wanted - set(self._services):
             quota = ServiceQuota(self._settings, self._process, service)
@@ -224,7 +223,7 @@
             self._tasks.pop(service).cancel()
 
     def handle_entry_report(self, report, number):
-        """Take the entry's report; its view has come to ``number``."""
+        """Process the entry's report; its view has ``number``."""
         self._report = report
         for service, quota in self._services.items():
             quota.confirm_offers(number)
@@ -232,7 +231,7 @@
                 quota.request_report()
 
     def report_for(self, service):
-        """Return the entry's report, of the rows of one service."""
+        """Return the entry's report for the rows of one service."""
         table = self._process.follower.state.table
         services = {row.name: row.service for row in table.rows} if table else {}
         rows = {
@@ -246,7 +245,7 @@
         return Report(instance, self._report.life, number, rows)
 
     def offer(self, changed):
-        """Offer the entry all grants, those of ``changed`` being new."""
+        """Offer all grants to the entry; those of ``changed`` are new."""
         grants = {}
         for quota in self._services.values():
             grants |= _grants_by_row(quota.grants)
@@ -254,17 +253,17 @@
         changed.offers.append((number, changed.grants.number))
 
     def route_report(self, service, report):
-        """Answer another instance's report; None unless holder of the service."""
+        """Process another instance's report; None if not the service's holder."""
         quota = self._services.get(service)
         return quota.handle_report(report) if quota else None
 
     def remove_instance(self, name):
-        """An instance has ended as planned."""
+        """Remove an instance that has shut down gracefully."""
         for quota in self._services.values():
             quota.remove_instance(name)
 
     async def close(self):
-        """End all tasks and give up the leases."""
+        """Stop all tasks and release the leases."""
         for task in self._tasks.values():
             task.cancel()
         await asyncio.gather(*self._tasks.values(), return_exceptions=True)
--- a/sassafrasdoor/control/service.py
+++ b/sassafrasdoor/control/service.py
@@ -1,4 +1,4 @@
-"""The capability that a control process shows to its entry and its peers."""
+"""The RPC interface of a control process to its entry and its peers."""
 
 import json
 
@@ -6,12 +6,12 @@
 from sassafrasdoor.control import messages
 from sassafrasdoor.events import EVENTS
 
-MAX_EXCHANGE_WAIT = 10.0
+MAX_EXCHANGE_WAIT = 10.0  # seconds
 MAX_EVENTS_PER_CALL = 1000
 
 
 class ControlService(messages.SCHEMA.Control.Server):
-    """Answers ``control.capnp``; the work is done by the ``ControlProcess``."""
+    """Implements ``control.capnp`` on top of a ``ControlProcess``."""
 
     def __init__(self, process):
         self._process = process
--- a/sassafrasdoor/control/source.py
+++ b/sassafrasdoor/control/source.py
@@ -1,9 +1,9 @@
-"""The parts of the view that a control process offers its entry.
+"""The parts of the view that a control process sends to its entry.
 
-Each part carries the number at which it last changed, so that an entry that
-knows number n is sent only the parts above n: a table of 300 rows crosses once
-for each revision and not at each change of a member. Of members and backend
-servers each has its own number; 1,000 of them take some 200 KB.
+Each part has the number at which it last changed, so that an entry at number n is
+sent only later parts: a table of 300 rows is sent once for each revision and not at
+each member change. Each member and backend server has a number of its own; 1,000 of
+them take some 200 KB.
 """
 
 import asyncio
@@ -23,10 +23,10 @@
 
 
 class _VersionedItems:
-    """Items by name, each with the number at which it changed or went.
+    """Items by name, each with the number at which it changed or was removed.
 
-    Who knows a number below ``whole_below`` is sent all: what went before that
-    is no longer remembered.
+    An entry at a number below ``whole_below`` is sent all items, as earlier removals
+    are no longer recorded.
     """
 
     __slots__ = ("_removed", "_items", "_to_message", "whole_below")
@@ -38,7 +38,7 @@
         self.whole_below = 1
 
     def replace(self, items, number):
-        """Hold just these items now; return whether any changed."""
+        """Replace all items; return whether any changed."""
         old, self._items = self._items, {}
         for item in items:
             document = self._to_message(item)
@@ -53,7 +53,7 @@
         return bool(old) or any(entry[0] == number for entry in self._items.values())
 
     def since(self, number):
-        """Return what changed above ``number`` and the names of what went."""
+        """Return the items changed after ``number`` and the names removed since."""
         if number < self.whole_below:
             return [document for _, document in self._items.values()], []
         changed = [doc for at, doc in self._items.values() if at > number]
@@ -61,10 +61,10 @@
 
 
 class ViewSource:
-    """Numbered parts of the view; ``wait`` wakes when any of them changes.
+    """Numbered parts of the view; ``wait`` returns when any of them changes.
 
-    ``session`` tells one life of this process from the next: numbers start anew
-    after a restart, and an entry must not take the new 3 for the old 3.
+    ``session`` identifies one run of this process: numbers restart with it, and an
+    entry must not mistake the new 3 for the old 3.
     """
 
     __slots__ = (
@@ -97,30 +97,30 @@
         self._changed = asyncio.Event()
 
     def set_table(self, document, revision):
-        """Offer a table (JSON text, empty for none) and its revision."""
+        """Set the table (JSON text, empty for none) and its revision."""
         if revision != self.revision or document != self._table.value:
             self.revision = revision
             self._set(self._table, document)
 
     def set_weights(self, weights):
-        """Offer newest versions by model."""
+        """Set the newest versions by model."""
         if weights != self._weights.value:
             self._set(self._weights, dict(weights))
 
     def set_members(self, members):
-        """Offer the members."""
+        """Set the members."""
         if self._members.replace(members, self.number + 1):
             self._notify()
 
     def set_backends(self, backends):
-        """Offer the backend servers."""
+        """Set the backend servers."""
         self.backends = tuple(backends)
         self.list_known = True
         if self._backends.replace(self.backends, self.number + 1):
             self._notify()
 
     def set_grants(self, grants):
-        """Offer leased grants by row; return the number they are offered under."""
+        """Set leased grants by row; return the number at which they are sent."""
         self._set(self._grants, dict(grants))
         return self.number
 
@@ -135,11 +135,11 @@
         self._changed = asyncio.Event()
 
     def known_number(self, known):
-        """Return the number that ``known`` stands for in this session."""
+        """Return the number in ``known``, or 0 if it is of another session."""
         return known.number if known.session == self.session else 0
 
     async def wait(self, number, timeout):
-        """Return once ``number`` is no longer the newest, or after ``timeout`` s."""
+        """Return once there is a newer number, or after ``timeout`` seconds."""
         if number == self.number and timeout > 0:
             try:
                 async with asyncio.timeout(timeout):
@@ -148,7 +148,7 @@
                 pass
 
     def update(self, number):
-        """Return the mapping of what an entry at ``number`` lacks."""
+        """Return the ``Update`` mapping for an entry at ``number``."""
         update = {
             "session": self.session,
             "number": self.number,
@@ -166,8 +166,8 @@
             "allMembers": number < self._members.whole_below,
             "members": members,
             "goneMembers": gone_members,
-            # Not "all" while no list was read: an entry that knows some from the
-            # control process before is not to lose them.
+            # Not "all" until a list has been read: an entry keeps the backend servers
+            # it has from the previous control process.
             "allBackends": self.list_known and number < self._backends.whole_below,
             "backends": backends,
             "goneBackends": gone_backends,
--- a/sassafrasdoor/control/state_sync.py
+++ b/sassafrasdoor/control/state_sync.py
@@ -1,11 +1,10 @@
-"""The agreed state from peer to peer, and who reads the log at all.
-
-A few instances of each zone read the log. The others hear from gossip how far it
-goes and fetch the state from whom they heard it, so that each serves about one
-fetch a change. Renewals of leases, most of the records, concern only those that
-might claim, and they read the log: the others fetch them lazily. The same path
-carries the state while the log is down: to instances that lag, and to new ones,
-which have nothing else to learn it from.
+"""Transfers the agreed state between peers, and selects the readers of the log.
+
+A few instances of each zone (pollers) read the log. The others learn its end from
+gossip and fetch the state from the sender, so that each peer serves about one fetch
+a change. Most records are lease renewals, which matter only to instances that may
+claim; those read the log, and the others fetch renewals lazily. While the log is
+down, lagging and new instances get the state in the same way.
 """
 
 import asyncio
@@ -24,16 +23,13 @@
 from sassafrasdoor.table.accepted import Accepted
 from sassafrasdoor.view import State
 
-# A confirmation looks younger by the way's time at each member that passes it
-# on. Told round without bound it would stay young for ever while the log is
-# down; so it is passed on a few times only.
+# A relayed confirmation loses the transmission time from its age at each hop. Relayed
+# without bound it would never age while the log is down.
 MAX_HOPS = 8
-FETCH_INTERVAL = 0.3
-LAZY_FETCH_INTERVAL = 10.0
-# An instance that reads the log itself leaves it this time to do so.
-POLLER_FETCH_DELAY = 1.0
-# Without a confirmation for this long an instance tries the log itself.
-CONFIRMATION_TIMEOUT = 6.0
+FETCH_INTERVAL = 0.3  # seconds
+LAZY_FETCH_INTERVAL = 10.0  # seconds
+POLLER_FETCH_DELAY = 1.0  # seconds; a poller reads the log first
+CONFIRMATION_TIMEOUT = 6.0  # seconds; after it any instance may read the log
 
 EMPTY_ACCEPTED = Accepted().as_document()
 
@@ -42,7 +38,7 @@
 
 
 class StateSync:
-    """Tells and hears ``News``; fetches what peers know beyond the follower."""
+    """Exchanges ``News`` and fetches newer state from peers for the follower."""
 
     __slots__ = (
         "_peers_ahead",
@@ -104,20 +100,20 @@
 
     @property
     def is_poller(self):
-        """Whether this instance is one that reads the log."""
+        """Whether this instance reads the log."""
         return self._settings.instance.name in self.pollers
 
     def is_chosen(self, duty):
-        """Whether, of those that read the log, this instance is the one for a duty."""
+        """Return whether this instance is the poller selected for ``duty``."""
         own = self._settings.instance.name
         return rendezvous.chosen(self.pollers, duty) == [own]
 
     def may_poll(self):
-        """Say whether to read the log now.
+        """Return whether to read the log now.
 
-        With no confirmation for long, the pollers or the log may be gone. Then
-        all try it, but as rarely as there are many: a log that is down must not
-        be met by 400 readers at once when it comes back.
+        Without a recent confirmation the pollers or the log may be down. Then all
+        instances read it, each with a probability that decreases with their number,
+        so that a recovering log does not get 400 readers at once.
         """
         if self.is_poller:
             return True
@@ -129,12 +125,12 @@
 
     @property
     def hops(self):
-        """How many members passed on the newest confirmation."""
+        """The number of members that relayed the newest confirmation."""
         relayed_at, hops = self._confirmed
         return hops if relayed_at == self._follower.confirmed_at else 0
 
     def news(self):
-        """Return how far this instance is and when that was confirmed."""
+        """Return this instance's read offset and when it was confirmed."""
         at, hops = self._follower.confirmed_at, self.hops
         if at is None:
             return News()
@@ -143,14 +139,14 @@
         return News(self._follower.as_of, self.changed_as_of, at, hops)
 
     def heard(self, name, news):
-        """Take what a member told: a confirmation, or that it knows more."""
+        """Process a member's news: a confirmation, or that it has newer state."""
         own = self._follower.as_of
         behind = news.changed_as_of > own
         if behind or (news.as_of > own and passed(self._next_lazy_fetch)):
             self._peers_ahead[name] = news.as_of
             self._wake_event.set()
-        # That nothing changed beyond what is known here confirms it, unless the
-        # teller itself has read less.
+        # A member that has read at least as far and has no newer changes confirms
+        # the state known here.
         if own and not behind and news.as_of >= own and news.confirmed_at is not None:
             self._adopt(self._follower.state, own, news.confirmed_at, news.hops + 1)
 
@@ -161,7 +157,7 @@
         return self._follower.adopt(state, as_of, confirmed_at)
 
     async def run(self):
-        """Fetch from peers that know more until cancelled."""
+        """Fetch from peers with newer state until cancelled."""
         while True:
             await self._wake_event.wait()
             if self.is_poller:
@@ -206,12 +202,12 @@
     def _apply_answer(self, answer):
         EVENTS.clock.observe(answer.stamp)
         if not answer.state:
-            return Unavailable("the peer knows no more")
+            return Unavailable("the peer has no newer state")
         try:
             document = json.loads(answer.state)
             state = self._parse_state(document)
         except (ValueError, KeyError, TypeError, AttributeError):
-            return Unavailable("the peer's state is unreadable")
+            return Unavailable("the peer sent a malformed state")
         at = messages.confirmed_at_from(answer)
         if self._adopt(state, answer.asOf, at, answer.confirmedHops + 1):
             FETCHED.inc({})
@@ -226,10 +222,10 @@
         return Agreed(own, state.weights, state.leases)
 
     def state_for_peer(self, as_of, accepted):
-        """Return ``(as_of, state)`` for a peer at ``as_of``; empty if it has all.
+        """Return ``(as_of, state)`` for a peer at ``as_of``; empty if not newer.
 
-        The table is left out if the peer's is the same: most changes are
-        renewals of leases, and a table of 300 rows has some 60 KB.
+        Omits the table if the peer has the same one: most changes are lease
+        renewals, and a table of 300 rows has some 60 KB.
         """
         own = self._follower.as_of
         if own <= as_of or self._follower.confirmed_at is None:
@@ -241,7 +237,7 @@
 
 
 class AcceptedDigest:
-    """Names what is known of the table by one number; kept while it stays."""
+    """Computes a digest of the accepted table, cached until it changes."""
 
     __slots__ = ("_accepted", "_digest")
 
@@ -250,7 +246,7 @@
         self._digest = 0
 
     def of(self, accepted):
-        """Return the number of an ``Accepted``."""
+        """Return the 64-bit digest of an ``Accepted``."""
         if accepted is not self._accepted:
             text = json.dumps(accepted.as_document(), sort_keys=True)
             digest = hashlib.blake2b(text.encode(), digest_size=8).digest()
--- a/sassafrasdoor/control/tests/test_link.py
+++ b/sassafrasdoor/control/tests/test_link.py
@@ -17,7 +17,7 @@
 
 
 class FakeControl:
-    """What ``ControlService`` needs of a control process."""
+    """The part of ``ControlProcess`` that ``ControlService`` uses."""
 
     def __init__(self):
         self.source = ViewSource()
@@ -58,7 +58,7 @@
 
     @on_kj_loop
     async def test_control_metrics_are_readable(self):
-        """Guards against metrics of control that no page serves."""
+        """Guards against metrics of control that nothing exposes."""
         server, link, task = await self.connect()
         self.assertIn("control_updates_total", await link.metrics())
         await self.stop(server, task)
@@ -104,7 +104,7 @@
 
     @on_kj_loop
     async def test_restart_of_control_keeps_the_view(self):
-        """Guards against a restarted control that replaces a view by an older one."""
+        """Guards against a restarted control process that reverts to an older view."""
         server, link, task = await self.connect()
         self.control.source.set_table(TABLE, 7)
         self.control.source.set_weights({"m": 4})
@@ -141,7 +141,7 @@
 
     @on_kj_loop
     async def test_only_what_changed_is_sent(self):
-        """Guards against lists sent whole at each change, and lost removals."""
+        """Guards against full lists sent at each change, and lost removals."""
         server, link, task = await self.connect()
         source = self.control.source
 
--- a/sassafrasdoor/control/tests/test_process.py
+++ b/sassafrasdoor/control/tests/test_process.py
@@ -15,7 +15,7 @@
 
 
 class ControlCluster(Cluster):
-    """Control processes with a ``ControlLink`` each in place of their entry."""
+    """Control processes, each with a ``ControlLink`` in place of its entry."""
 
     def __init__(self, settings=None):
         super().__init__(settings)
@@ -66,14 +66,14 @@
         return alive == set(names)
 
     async def wait_until_alive(self, names, viewers=None):
-        """Wait until all viewers see just these names alive."""
+        """Wait until exactly ``names`` are alive in the views of all ``viewers``."""
         await until(
             lambda: all(self.sees_alive(viewer, *names) for viewer in viewers or names),
             what=f"{names} to be seen alive",
         )
 
     async def add_engine(self, name, capacity=1):
-        """Put a backend server on the platform's list."""
+        """Add a backend server to the platform's list."""
         engine = {
             "name": name,
             "kind": "engine",
@@ -87,12 +87,12 @@
         await self.call("PUT", address, f"/instances/{name}", document=engine)
 
     async def platform_truth(self):
-        """Return what the platform holds."""
+        """Return the state of the platform."""
         address = self.platform_url.removeprefix("http://")
         return (await self.get(address, "/standin/truth"))[1]
 
     async def holder(self, lease):
-        """Return the instance of the last claim on a lease in the log."""
+        """Return the instance that made the last claim on a lease in the log."""
         records = (await self.platform_truth())["streams"]["agreed"]
         claims = [r["body"] for r in records if r["body"].get("name") == lease]
         return claims[-1]["holder"].partition("/")[0]
@@ -103,7 +103,7 @@
         return all(grant and grant.slots for grant in grants) and grants
 
     async def wait_for_revision(self, revision, *names):
-        """Wait until the views of these hold the revision."""
+        """Wait until the views of ``names`` have the revision."""
         await until(
             lambda: all(
                 self.links[name].view.revision == revision
@@ -184,7 +184,7 @@
 
     @on_kj_loop
     async def test_started_while_the_log_is_down_learns_the_table_from_peers(self):
-        """Guards against instances started in an outage of the log without a table."""
+        """Guards against instances without a table if started in an outage of the log."""
         async with ControlCluster() as cluster:
             await cluster.start_all(["a1", "a2", "a3"])
             await cluster.wait_for_revision(2, "a1", "a2", "a3")
--- a/sassafrasdoor/control/tests/test_state_sync.py
+++ b/sassafrasdoor/control/tests/test_state_sync.py
@@ -60,7 +60,7 @@
                 self.assertTrue(self.make_state_sync(next_one, members).is_poller)
 
     def test_unconfirmed_instances_poll_rarely(self):
-        """Guards against all instances polling a log that comes back."""
+        """Guards against all instances polling a recovering log at once."""
         members = self.members(60)
         other = next(
             m.name
@@ -76,7 +76,7 @@
         self.assertFalse(any(state_sync.may_poll() for _ in range(1000)))
 
     def test_confirmation_is_relayed_at_most_max_hops_times(self):
-        """Guards against a confirmation that stays young by being relayed."""
+        """Guards against a relayed confirmation that never ages."""
         at = now() - 10
         for hops, is_relayed in ((0, True), (MAX_HOPS - 1, True), (MAX_HOPS, False)):
             with self.subTest(hops=hops):
@@ -91,7 +91,7 @@
     def test_news_confirms_or_triggers_a_fetch(self):
         cases = [
             ("the same", (5, 5), True, False),
-            ("the teller has read less", (4, 4), False, False),
+            ("the sender has read less", (4, 4), False, False),
             ("a change beyond us", (6, 6), False, True),
             ("only renewals beyond us", (7, 5), True, False),
         ]
--- a/sassafrasdoor/control/tests/test_weights.py
+++ b/sassafrasdoor/control/tests/test_weights.py
@@ -15,7 +15,7 @@
 class WeightsTests(unittest.IsolatedAsyncioTestCase):
     @on_kj_loop
     async def test_the_rollout_goes_on_when_its_holder_ends(self):
-        """Guards against a rollout that ends with its holder."""
+        """Guards against a rollout that stops when its holder stops."""
         names = ["entry-1", "entry-2", "entry-3"]
         async with ControlCluster(QUICK) as cluster:
             await cluster.start_all(names)
--- a/sassafrasdoor/control/weights.py
+++ b/sassafrasdoor/control/weights.py
@@ -1,4 +1,4 @@
-"""This instance's part in the rollout of weights: the lease and what it allows."""
+"""The rollout of weights by the instance that holds its lease."""
 
 import asyncio
 
@@ -13,7 +13,7 @@
 
 
 class WeightsRollout:
-    """Orders engines to the announced versions while it holds the lease."""
+    """Orders engines to load the announced versions while it holds the lease."""
 
     __slots__ = ("_engine", "_process", "_tasks", "holder", "rollout")
 
@@ -31,17 +31,17 @@
         self.rollout = Rollout(settings, self._engine, self.holder, self._view)
 
     def start(self):
-        """Claim the lease when it is free, and roll out under it."""
+        """Start to claim the lease and, while holding it, to roll out weights."""
         jobs = [self.holder.run(), self.rollout.run()]
         self._tasks = [asyncio.create_task(job) for job in jobs]
 
     async def depart(self):
-        """Finish the orders under way and hand the lease over."""
+        """Finish the orders in flight, then release the lease."""
         if await self.rollout.drain():
             await self.holder.release()
 
     async def close(self):
-        """End all tasks and connections."""
+        """Stop all tasks and close connections."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
--- a/sassafrasdoor/lease/tests/test_holder.py
+++ b/sassafrasdoor/lease/tests/test_holder.py
@@ -149,7 +149,7 @@
         ]
         fence = await until(lambda: holder.fence, what="lease")
         await until(lambda: len(log._records[STREAM]) > 3, what="renewals")
-        await until(lambda: holder.fence == fence, what="the epoch of before")
+        await until(lambda: holder.fence == fence, what="the same epoch")
         for task in tasks:
             task.cancel()
             with contextlib.suppress(asyncio.CancelledError):
--- a/sassafrasdoor/lease/tests/test_machine.py
+++ b/sassafrasdoor/lease/tests/test_machine.py
@@ -32,7 +32,7 @@
         if not self.is_delaying:
             return await super().append(stream, body)
         self.delayed.append(body)
-        return ReplyLost("still under way")
+        return ReplyLost("append in flight")
 
 
 class LeaseMachine(RuleBasedStateMachine):
