--- a/sassafrasdoor/control/process.py
+++ b/sassafrasdoor/control/process.py
@@ -33,7 +33,7 @@
 # 200 KB, and the whole process must stay below 11 KB/s.
 MAX_LIST_BYTES_PER_SECOND = 4000
 MIN_REGISTER_INTERVAL = 5.0  # seconds
-ENTRY_TIMEOUT = 4.0  # seconds without an exchange; at least one a second
+ENTRY_TIMEOUT = 4.0  # seconds without an exchange; entries send at least one a second
 
 
 class ControlProcess(Delegate):
