--- a/sassafrasdoor/control/process.py
+++ b/sassafrasdoor/control/process.py
@@ -1,4 +1,4 @@
-"""The control process of one instance: its parts and its life."""
+"""The control process of one instance: its components and lifecycle."""
 
 import asyncio
 import random
@@ -12,7 +12,7 @@
 from sassafrasdoor.control.quota import Quota
 from sassafrasdoor.control.service import ControlService
 from sassafrasdoor.control.source import ViewSource
-from sassafrasdoor.control.spread import Spread
+from sassafrasdoor.control.state_sync import StateSync
 from sassafrasdoor.control.weights import WeightsRollout
 from sassafrasdoor.events import EVENTS
 from sassafrasdoor.log.agreed import Agreed, fold
@@ -26,22 +26,18 @@
 from sassafrasdoor.stopping import lasting, planned_stop, say_ready
 from sassafrasdoor.view import Member, State
 
-# Members change in bursts, and each change sends them all to the entry.
-PUBLISH_DELAY = 0.05
-# How many instances that only the platform's list knows are greeted a read.
-GREETED = 3
-LIST_INTERVAL = 2.0
-# After a changed list the next read waits until its size is spread out to this
-# many bytes a second: the list of 1,000 instances has 200 KB, and the whole
-# process is to stay under 11 KB/s.
-LIST_BYTES_PER_SECOND = 4000
-REGISTER_AGAIN = 5.0
-# An entry speaks at least once a second; one that pauses for less is not withdrawn.
-ENTRY_SILENCE = 4.0
+PUBLISH_DELAY = 0.05  # seconds; batches member changes, which come in bursts
+MAX_JOINS_PER_READ = 3  # instances on the list that are unknown to membership
+MIN_LIST_INTERVAL = 2.0  # seconds
+# Bounds the mean rate of reads of a changing list: a list of 1,000 instances has
+# 200 KB, and the whole process must stay below 11 KB/s.
+MAX_LIST_BYTES_PER_SECOND = 4000
+MIN_REGISTER_INTERVAL = 5.0  # seconds
+ENTRY_TIMEOUT = 4.0  # seconds without an exchange; entries send at least one a second
 
 
 class ControlProcess(Delegate):
-    """Follows the log, knows the members, and offers its entry the view."""
+    """Follows the log and the membership, and serves the view to its entry."""
 
     def __init__(self, settings, log=None):
         self._settings = settings
@@ -50,7 +46,7 @@
         self.follower = Follower(settings, self.log, fold, Agreed())
         self.instances = InstanceList(settings)
         self.membership = None
-        self.spread = Spread(settings, self.follower, self.members)
+        self.state_sync = StateSync(settings, self.follower, self.members)
         self.quota = Quota(settings, self)
         self.weights = WeightsRollout(settings, self)
         self._server = PeerServer(
@@ -65,16 +61,16 @@
         self._listing = None
         self._members = []
         self._members_stale = True
-        self._told_as_of = 0
+        self._published_as_of = 0
         self._members_changed = asyncio.Event()
         self._register_after = deadline_in(0)
         self._registered = None
         self._registering = asyncio.Lock()
         self._departing = False
         self._entry_deadline = None
-        self.follower.may_poll = self.spread.may_poll
+        self.follower.may_poll = self.state_sync.may_poll
         self.follower.may_checkpoint = self._may_checkpoint
-        self.follower.on_change(self._agreed_changed)
+        self.follower.on_change(self._on_agreed_state)
 
     @property
     def address(self):
@@ -82,18 +78,18 @@
         return self._server.address
 
     def members(self):
-        """Return the members that are not dead; the same list until one changes."""
+        """Return the members that are not dead; the same list until a change."""
         if self._members_stale and self.membership:
             self._members = self.membership.members
             self._members_stale = False
         return self._members
 
-    def may_hold_grants(self):
-        """Return the names of all instances that may use slots, heard or not."""
+    def possible_grant_holders(self):
+        """Return the names of all instances that may use slots, reachable or not."""
         return self.membership.maybe_living
 
     async def start(self):
-        """Bind, join and begin to follow; raises OSError if a port is taken."""
+        """Bind, join and start all tasks; raises OSError if a port is taken."""
         instance = self._settings.instance
         await self._server.start()
         own = Member(
@@ -106,7 +102,7 @@
         await self.membership.start(instance.host, instance.gossip_port)
         jobs = [
             self.follower.run(),
-            self.spread.run(),
+            self.state_sync.run(),
             self._publish_members(),
             self._watch_confirmation(),
             self._read_list(),
@@ -116,7 +112,7 @@
         self.weights.start()
 
     async def close(self):
-        """End all tasks and connections, with nothing said to anybody."""
+        """Stop all tasks and close all connections, without notifying members."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -127,13 +123,13 @@
         self.instances.close()
 
     async def depart(self):
-        """Tell everybody that this instance is gone, then close."""
+        """Leave the membership and the platform's list, then close."""
         self.membership.leave()
         self._departing = True
         await self.quota.close()
         await self.weights.depart()
-        # A registration still under way could reach the platform after the
-        # removal, and the list would name this instance for ever.
+        # A registration in flight could reach the platform after the removal, and
+        # the list would keep this instance forever.
         async with self._registering:
             await self.instances.deregister()
         await self.membership.depart()
@@ -142,9 +138,9 @@
     # Agreed state
 
     def _may_checkpoint(self):
-        return self.spread.is_chosen("checkpoint")
+        return self.state_sync.is_chosen("checkpoint")
 
-    def _agreed_changed(self, state):
+    def _on_agreed_state(self, state):
         if state.accepted is not self._accepted:
             known = self._accepted.revision if self._accepted else 0
             if state.revision != known:
@@ -152,7 +148,7 @@
             self._accepted = state.accepted
             table = state.table.model_dump_json() if state.table else ""
             self.source.set_table(table, state.revision)
-            self.quota.agreed(state.table)
+            self.quota.update_services(state.table)
         for model, version in state.weights.items():
             if self._announced.get(model) != version:
                 EVENTS.add("weights-announced", model=model, version=version)
@@ -162,16 +158,16 @@
     async def _watch_confirmation(self):
         while True:
             self.source.confirmed_at = self.follower.confirmed_at
-            if self.spread.changed_as_of > self._told_as_of:
-                self._told_as_of = self.spread.changed_as_of
+            if self.state_sync.changed_as_of > self._published_as_of:
+                self._published_as_of = self.state_sync.changed_as_of
                 self.membership.spread_news()
             await asyncio.sleep(PUBLISH_DELAY)
 
     def news(self):
-        return self.spread.news()
+        return self.state_sync.news()
 
     def heard(self, name, news):
-        self.spread.heard(name, news)
+        self.state_sync.heard(name, news)
 
     # Members
 
@@ -179,7 +175,7 @@
         self._members_stale = True
         self._members_changed.set()
         if order.departed(member):
-            self.quota.left(member.name)
+            self.quota.remove_instance(member.name)
 
     def region_changed(self, region, silent):
         self._members_stale = True
@@ -189,8 +185,8 @@
         while True:
             await self._members_changed.wait()
             await asyncio.sleep(PUBLISH_DELAY)
-            # After a pause of this process the view would change for reasons
-            # that lie in the pause; the entry keeps the one that it has.
+            # After a pause of this process its member states are outdated; the
+            # entry keeps the view that it has.
             if self.membership.trusted:
                 self._members_changed.clear()
                 self.source.set_members(self.members())
@@ -201,17 +197,17 @@
         while True:
             listing = await self.instances.fetch()
             if listing:
-                self._take_list(listing)
+                self._apply_list(listing)
             elif self._listing is None:
-                await self._borrow_list()
+                await self._fetch_list_from_peer()
             await self._register()
-            await asyncio.sleep(self._list_pause() * random.uniform(0.8, 1.2))
+            await asyncio.sleep(self._list_interval() * random.uniform(0.8, 1.2))
 
-    async def _borrow_list(self):
-        """Take the backend servers that a peer knows.
+    async def _fetch_list_from_peer(self):
+        """Use the backend servers known to a random peer.
 
-        An instance started while the platform is down cannot read the list. It
-        would know the table and still refuse every call for want of a server.
+        An instance started while the platform is down can't read the list. It would
+        have the table but refuse every call for lack of a backend server.
         """
         own = self._settings.instance.name
         others = [m for m in self.members() if m.control_address and m.name != own]
@@ -229,11 +225,11 @@
                 [messages.backend_from(backend) for backend in answer.backends]
             )
 
-    def _list_pause(self):
-        spread_out = self.instances.changed_bytes / LIST_BYTES_PER_SECOND
-        return max(LIST_INTERVAL, self._settings.platform.poll_interval, spread_out)
+    def _list_interval(self):
+        spread_out = self.instances.changed_bytes / MAX_LIST_BYTES_PER_SECOND
+        return max(MIN_LIST_INTERVAL, self._settings.platform.poll_interval, spread_out)
 
-    def _take_list(self, listing):
+    def _apply_list(self, listing):
         if listing is not self._listing:
             self._listing = listing
             self.source.set_backends(listing.backends)
@@ -243,9 +239,11 @@
             for member in listing.members
             if member.name not in known and member.gossip_address
         ]
-        self.membership.join(random.sample(unknown, min(GREETED, len(unknown))))
+        self.membership.join(
+            random.sample(unknown, min(MAX_JOINS_PER_READ, len(unknown)))
+        )
         if self._settings.instance.name not in {m.name for m in listing.members}:
-            # The list lags, or the platform lost the entry.
+            # The list lags, or the platform has lost this instance's entry.
             self._registered = None
 
     async def _register(self):
@@ -258,7 +256,7 @@
     async def _put(self, document):
         if not self._departing and await self.instances.register(document):
             self._registered = document
-            self._register_after = deadline_in(REGISTER_AGAIN)
+            self._register_after = deadline_in(MIN_REGISTER_INTERVAL)
 
     def _own_document(self):
         own = self.membership.own
@@ -278,23 +276,23 @@
             "peer_address": own.peer_address,
         }
 
-    # What the entry says
+    # The entry
 
-    def entry_said(self, entry_address, peer_address, report, number):
-        """Take the entry's addresses and report; its view has come to ``number``."""
-        self._entry_deadline = deadline_in(ENTRY_SILENCE)
+    def handle_entry_report(self, entry_address, peer_address, report, number):
+        """Process the entry's addresses and report; its view has ``number``."""
+        self._entry_deadline = deadline_in(ENTRY_TIMEOUT)
         self.membership.update(entry_address=entry_address, peer_address=peer_address)
-        self.quota.entry_said(report, number)
+        self.quota.handle_entry_report(report, number)
 
     async def _watch_entry(self):
-        """Withdraw the addresses of an entry that says nothing any more.
+        """Withdraw the addresses of an entry that has sent no exchange for a while.
 
-        Members judge this process, which goes on to answer probes when its entry
-        dies. Discovery everywhere would name the dead entry for good; one would
-        notice callers whose first connection is refused every time.
+        Members probe this process, which still answers when its entry has died.
+        Discovery would keep returning the dead entry, and callers' first connection
+        would be refused every time.
         """
         while True:
-            await asyncio.sleep(ENTRY_SILENCE / 4)
+            await asyncio.sleep(ENTRY_TIMEOUT / 4)
             if self._entry_deadline is not None and passed(self._entry_deadline):
                 self._entry_deadline = None
                 logs.changed("control:entry-silent")
@@ -302,7 +300,7 @@
                 self.membership.update(entry_address="", peer_address="")
 
     def leave(self):
-        """The entry begins a planned stop."""
+        """Announce that the entry has begun to shut down."""
         self.membership.leave()
         self._register_after = deadline_in(0)
 
--- a/sassafrasdoor/control/quota.py
+++ b/sassafrasdoor/control/quota.py
@@ -1,8 +1,8 @@
 """Leased quota between instances: reports to the holders, grants to the entry.
 
-The lease ``quota/{service}`` has one holder, which shares the service's capacity
-out (``admission.allocator``). This instance reports to the holder of each service
-what its entry wants and uses, and offers the entry the grants that come back.
+The holder of the lease ``quota/{service}`` allocates the service's capacity
+(``admission.allocator``). This instance reports its entry's demand and use to the
+holder of each service, and passes the grants that it gets on to the entry.
 """
 
 import asyncio
@@ -19,11 +19,10 @@
 from sassafrasdoor.peers.link import PeerLink
 from sassafrasdoor.view import Grant, View
 
-# A third of a grant's life, so that one lost report does not let it lapse. The holder
-# gives longer lives when many report to it, and with them fewer reports.
-REPORTS_IN_GRANT = 3
-# The least time between two reports of which the second wants more, as such a part.
-HASTY_REPORTS_IN_GRANT = 10
+# In a grant's lifetime, so that it outlasts one lost report. The holder makes grants
+# last longer when many instances report to it, which makes reports rarer.
+IDLE_REPORTS_PER_GRANT = 3
+MAX_REPORTS_PER_GRANT = 10  # when the entry wants more slots than granted
 
 REPORTS = metrics.counter("quota_reports_total", "Reports sent, by result.")
 
@@ -34,22 +33,22 @@
 
 
 class ServiceQuota:
-    """The quota of one service, as its holder or as one that reports to it.
+    """The quota of one service, as its holder or as an instance that reports to it.
 
-    ``offers`` pairs the number of a view with that of the grants first offered
-    in it; ``used_number`` is that of the grants which the entry is known to use.
+    ``offers`` pairs the number of a view with the number of the grants first offered
+    in it; ``used_number`` is the number of the grants that the entry uses.
     """
 
     __slots__ = (
         "_allocator",
         "_fence",
-        "_life",
+        "_grant_lifetime",
         "_link",
-        "_planned",
+        "_plan_inputs",
         "_process",
         "_service",
         "_settings",
-        "_woken",
+        "_report_requested",
         "grants",
         "holder",
         "offers",
@@ -62,10 +61,10 @@
         self._service = service
         self._allocator = Allocator(settings)
         self._fence = 0
-        self._planned = None
+        self._plan_inputs = None
         self._link = None
-        self._life = settings.admission.grant_duration
-        self._woken = asyncio.Event()
+        self._grant_lifetime = settings.admission.grant_duration
+        self._report_requested = asyncio.Event()
         self.grants = None
         self.offers = []
         self.used_number = 0
@@ -74,27 +73,27 @@
             process.log,
             process.follower,
             lease_name(service),
-            may_claim=lambda: process.spread.is_chosen(lease_name(service)),
-            # No grant outlives the lease under which it was made, so nothing of
-            # a lapsed holder is under way; the allocator waits for the rest.
-            settle=0.0,
+            may_claim=lambda: process.state_sync.is_chosen(lease_name(service)),
+            # No grant outlives the lease under which it was made, so a successor
+            # has no orders to wait for; the allocator accounts for fallbacks.
+            max_order_duration=0.0,
         )
 
-    def entry_knows(self, number):
-        """The entry's view has come to ``number``: it uses what was offered then."""
+    def confirm_offers(self, number):
+        """Note that the entry uses the grants offered up to view ``number``."""
         while self.offers and self.offers[0][0] <= number:
             self.used_number = self.offers.pop(0)[1]
 
     def wants_more(self, report):
-        """Say whether the entry wants more than it was granted."""
+        """Return whether the entry wants more slots than it was granted."""
         slots = self.grants.slots if self.grants else {}
         return any(
             usage.wanted > slots.get(row, 0) for row, usage in report.rows.items()
         )
 
-    def wake(self):
-        """Report soon."""
-        self._woken.set()
+    def request_report(self):
+        """Send the next report as soon as ``MAX_REPORTS_PER_GRANT`` allows."""
+        self._report_requested.set()
 
     async def run(self):
         """Report to the holder until cancelled."""
@@ -102,36 +101,39 @@
         try:
             while True:
                 await self._report()
-                haste = self._life / HASTY_REPORTS_IN_GRANT
-                await asyncio.sleep(haste)
-                await _set_within(self._woken, self._life / REPORTS_IN_GRANT - haste)
-                self._woken.clear()
+                min_interval = self._grant_lifetime / MAX_REPORTS_PER_GRANT
+                await asyncio.sleep(min_interval)
+                await _wait_until_set(
+                    self._report_requested,
+                    self._grant_lifetime / IDLE_REPORTS_PER_GRANT - min_interval,
+                )
+                self._report_requested.clear()
         finally:
             claiming.cancel()
-            self._drop_link()
+            self._close_link()
 
     async def _report(self):
-        report = self._process.quota.report_on(self._service)
+        report = self._process.quota.report_for(self._service)
         if not report.life:
             return
         sent_at = now()
-        grants = await self._ask(report, sent_at)
+        grants = await self._request_grants(report, sent_at)
         REPORTS.inc({"result": type(grants).__name__})
         if grants:
             self.grants = grants
-            # A lease about to end cuts a grant short; reports need not hurry then.
+            # A lease about to lapse shortens its grants, but not the report interval.
             shortest = self._settings.admission.grant_duration
-            self._life = max(shortest, grants.deadline - sent_at)
+            self._grant_lifetime = max(shortest, grants.deadline - sent_at)
             self._process.quota.offer(self)
 
-    async def _ask(self, report, sent_at):
+    async def _request_grants(self, report, sent_at):
         if self.holder.fence:
-            return self.granted(report)
-        address = self._address_of_holder()
+            return self.handle_report(report)
+        address = self._holder_address()
         if not address:
-            return Unavailable("nobody holds the quota")
+            return Unavailable("no holder of the quota lease to report to")
         if self._link is None or self._link.address != address:
-            self._drop_link()
+            self._close_link()
             self._link = PeerLink(self._settings, address, messages.SCHEMA.Control)
         if not self._link.connected:
             failed = await self._link.open()
@@ -150,47 +152,51 @@
             return None
         return messages.grant_set_from(answer.grants, sent_at)
 
-    def _address_of_holder(self):
+    def _holder_address(self):
         leases = self._process.follower.state.leases
         lease = leases.get(lease_name(self._service))
         if lease is None or lease.released:
             return ""
         name = lease.holder.partition("/")[0]
         members = self._process.members()
-        found = (m.control_address for m in members if m.name == name)
+        addresses = (m.control_address for m in members if m.name == name)
         own = self._settings.instance.name
-        return "" if name == own else next(found, "")
+        return "" if name == own else next(addresses, "")
 
-    def _drop_link(self):
+    def _close_link(self):
         if self._link is not None:
             self._link.close()
         self._link = None
 
-    def granted(self, report):
-        """As the holder: take a report, return a ``GrantSet`` or None."""
+    def handle_report(self, report):
+        """As the holder, process a report; return a ``GrantSet`` or None."""
         fence = self.holder.fence
         if not fence:
             return None
         if fence != self._fence:
             self._fence = fence
-            self._planned = None
-            self._allocator.take_over(fence, self._process.may_hold_grants())
-        self._plan()
+            self._plan_inputs = None
+            self._allocator.take_over(fence, self._process.possible_grant_holders())
+        self._update_plan()
         return self._allocator.report(report, self.holder.deadline)
 
-    def _plan(self):
+    def _update_plan(self):
         table = self._process.follower.state.table
         backends = self._process.source.backends
-        if self._planned and self._planned[0] is table and self._planned[1] is backends:
+        if (
+            self._plan_inputs
+            and self._plan_inputs[0] is table
+            and self._plan_inputs[1] is backends
+        ):
             return
-        self._planned = (table, backends)
+        self._plan_inputs = (table, backends)
         rows = [row for row in table.rows if row.service == self._service]
         view = View(backends=backends)
         self._allocator.plan(rows, capacity_of(view, self._service))
 
-    def left(self, name):
-        """An instance has ended as planned."""
-        self._allocator.left(name)
+    def remove_instance(self, name):
+        """Remove an instance that has shut down gracefully."""
+        self._allocator.remove_instance(name)
 
 
 class Quota:
@@ -205,8 +211,8 @@
         self._tasks = {}
         self._report = Report(settings.instance.name)
 
-    def agreed(self, table):
-        """Begin with services that are new in the table, end with those gone."""
+    def update_services(self, table):
+        """Start the quota of services new in the table, stop that of removed ones."""
         wanted = {row.service for row in table.rows} if table else set()
         for service in wanted - set(self._services):
             quota = ServiceQuota(self._settings, self._process, service)
@@ -216,16 +222,16 @@
             del self._services[service]
             self._tasks.pop(service).cancel()
 
-    def entry_said(self, report, number):
-        """Take the entry's report; its view has come to ``number``."""
+    def handle_entry_report(self, report, number):
+        """Process the entry's report; its view has ``number``."""
         self._report = report
         for service, quota in self._services.items():
-            quota.entry_knows(number)
-            if quota.wants_more(self.report_on(service)):
-                quota.wake()
+            quota.confirm_offers(number)
+            if quota.wants_more(self.report_for(service)):
+                quota.request_report()
 
-    def report_on(self, service):
-        """Return the entry's report, of the rows of one service."""
+    def report_for(self, service):
+        """Return the entry's report for the rows of one service."""
         table = self._process.follower.state.table
         services = {row.name: row.service for row in table.rows} if table else {}
         rows = {
@@ -239,25 +245,25 @@
         return Report(instance, self._report.life, number, rows)
 
     def offer(self, changed):
-        """Offer the entry all grants, those of ``changed`` being new."""
+        """Offer all grants to the entry; those of ``changed`` are new."""
         grants = {}
         for quota in self._services.values():
-            grants |= _by_row(quota.grants)
+            grants |= _grants_by_row(quota.grants)
         number = self._process.source.set_grants(grants)
         changed.offers.append((number, changed.grants.number))
 
-    def reported(self, service, report):
-        """Answer another instance's report; None unless holder of the service."""
+    def route_report(self, service, report):
+        """Process another instance's report; None if not the service's holder."""
         quota = self._services.get(service)
-        return quota.granted(report) if quota else None
+        return quota.handle_report(report) if quota else None
 
-    def left(self, name):
-        """An instance has ended as planned."""
+    def remove_instance(self, name):
+        """Remove an instance that has shut down gracefully."""
         for quota in self._services.values():
-            quota.left(name)
+            quota.remove_instance(name)
 
     async def close(self):
-        """End all tasks and give up the leases."""
+        """Stop all tasks and release the leases."""
         for task in self._tasks.values():
             task.cancel()
         await asyncio.gather(*self._tasks.values(), return_exceptions=True)
@@ -265,7 +271,7 @@
         await asyncio.gather(*(holder.release() for holder in holders))
 
 
-def _by_row(grants):
+def _grants_by_row(grants):
     if grants is None:
         return {}
     return {
@@ -274,7 +280,7 @@
     }
 
 
-async def _set_within(event, seconds):
+async def _wait_until_set(event, seconds):
     try:
         async with asyncio.timeout(seconds):
             await event.wait()
--- a/sassafrasdoor/control/spread.py
+++ b/sassafrasdoor/control/state_sync.py
@@ -1,11 +1,10 @@
-"""The agreed state from peer to peer, and who reads the log at all.
-
-A few instances of each zone read the log. The others hear from gossip how far it
-goes and fetch the state from whom they heard it, so that each serves about one
-fetch a change. Renewals of leases, most of the records, concern only those that
-might claim, and they read the log: the others fetch them lazily. The same path
-carries the state while the log is down: to instances that lag, and to new ones,
-which have nothing else to learn it from.
+"""Transfers the agreed state between peers, and selects the readers of the log.
+
+A few instances of each zone (pollers) read the log. The others learn its end from
+gossip and fetch the state from the sender, so that each peer serves about one fetch
+a change. Most records are lease renewals, which matter only to instances that may
+claim; those read the log, and the others fetch renewals lazily. While the log is
+down, lagging and new instances get the state in the same way.
 """
 
 import asyncio
@@ -24,39 +23,36 @@
 from sassafrasdoor.table.accepted import Accepted
 from sassafrasdoor.view import State
 
-# A confirmation looks younger by the way's time at each member that passes it
-# on. Told round without bound it would stay young for ever while the log is
-# down; so it is passed on a few times only.
+# A relayed confirmation loses the transmission time from its age at each hop. Relayed
+# without bound it would never age while the log is down.
 MAX_HOPS = 8
-FETCH_INTERVAL = 0.3
-LAZY_INTERVAL = 10.0
-# An instance that reads the log itself leaves it this time to do so.
-POLLER_PATIENCE = 1.0
-# Without a confirmation for this long an instance tries the log itself.
-FALLBACK_AFTER = 6.0
+FETCH_INTERVAL = 0.3  # seconds
+LAZY_FETCH_INTERVAL = 10.0  # seconds
+POLLER_FETCH_DELAY = 1.0  # seconds; a poller reads the log first
+CONFIRMATION_TIMEOUT = 6.0  # seconds; after it any instance may read the log
 
-EMPTY = Accepted().as_document()
+EMPTY_ACCEPTED = Accepted().as_document()
 
 FETCHED = metrics.counter("state_fetches_total", "States fetched from peers.")
 FAILED = metrics.counter("state_fetch_failures_total", "Fetches that failed.")
 
 
-class Spread:
-    """Tells and hears ``News``; fetches what peers know beyond the follower."""
+class StateSync:
+    """Exchanges ``News`` and fetches newer state from peers for the follower."""
 
     __slots__ = (
-        "_ahead",
-        "_chance",
+        "_peers_ahead",
+        "_random",
         "_confirmed",
         "_digest",
         "_follower",
-        "_known",
-        "_lazy_after",
+        "_last_known",
+        "_next_lazy_fetch",
         "_members",
         "_pollers",
-        "_pollers_of",
+        "_pollers_members",
         "_settings",
-        "_woken",
+        "_wake_event",
         "changed_as_of",
     )
 
@@ -64,37 +60,37 @@
         self._settings = settings
         self._follower = follower
         self._members = members
-        self._chance = random.Random()
-        self._ahead = {}
+        self._random = random.Random()
+        self._peers_ahead = {}
         self._confirmed = (None, 0)
         self._digest = AcceptedDigest()
-        self._woken = asyncio.Event()
-        self._lazy_after = deadline_in(0)
-        self._known = None
-        self._pollers_of = None
+        self._wake_event = asyncio.Event()
+        self._next_lazy_fetch = deadline_in(0)
+        self._last_known = None
+        self._pollers_members = None
         self._pollers = set()
         self.changed_as_of = 0
-        follower.on_change(self._note_change)
+        follower.on_change(self._on_state_change)
 
-    def _note_change(self, state):
+    def _on_state_change(self, state):
         leases = {name: lease.epoch for name, lease in state.leases.items()}
         known = (state.accepted, state.weights, leases)
-        if known != self._known:
-            self._known = known
+        if known != self._last_known:
+            self._last_known = known
             self.changed_as_of = self._follower.as_of
 
     @property
     def pollers(self):
         """The names of the instances that read the log, of all zones."""
         members = self._members()
-        if members is not self._pollers_of:
+        if members is not self._pollers_members:
             zones = {}
             for member in members:
                 if member.state is State.ALIVE:
                     zone = zones.setdefault(member.availability_zone, [])
                     zone.append(member.name)
             count = self._settings.membership.pollers_per_zone
-            self._pollers_of = members
+            self._pollers_members = members
             self._pollers = {
                 name
                 for names in zones.values()
@@ -104,37 +100,37 @@
 
     @property
     def is_poller(self):
-        """Whether this instance is one that reads the log."""
+        """Whether this instance reads the log."""
         return self._settings.instance.name in self.pollers
 
     def is_chosen(self, duty):
-        """Whether, of those that read the log, this instance is the one for a duty."""
+        """Return whether this instance is the poller selected for ``duty``."""
         own = self._settings.instance.name
         return rendezvous.chosen(self.pollers, duty) == [own]
 
     def may_poll(self):
-        """Say whether to read the log now.
+        """Return whether to read the log now.
 
-        With no confirmation for long, the pollers or the log may be gone. Then
-        all try it, but as rarely as there are many: a log that is down must not
-        be met by 400 readers at once when it comes back.
+        Without a recent confirmation the pollers or the log may be down. Then all
+        instances read it, each with a probability that decreases with their number,
+        so that a recovering log does not get 400 readers at once.
         """
         if self.is_poller:
             return True
         at = self._follower.confirmed_at
-        if at is not None and now() - at < FALLBACK_AFTER:
+        if at is not None and now() - at < CONFIRMATION_TIMEOUT:
             return False
         share = self._settings.membership.pollers_per_zone
-        return self._chance.random() < share / max(1, len(self._members()))
+        return self._random.random() < share / max(1, len(self._members()))
 
     @property
     def hops(self):
-        """How many members passed on the newest confirmation."""
-        told_at, hops = self._confirmed
-        return hops if told_at == self._follower.confirmed_at else 0
+        """The number of members that relayed the newest confirmation."""
+        relayed_at, hops = self._confirmed
+        return hops if relayed_at == self._follower.confirmed_at else 0
 
     def news(self):
-        """Return how far this instance is and when that was confirmed."""
+        """Return this instance's read offset and when it was confirmed."""
         at, hops = self._follower.confirmed_at, self.hops
         if at is None:
             return News()
@@ -143,14 +139,14 @@
         return News(self._follower.as_of, self.changed_as_of, at, hops)
 
     def heard(self, name, news):
-        """Take what a member told: a confirmation, or that it knows more."""
+        """Process a member's news: a confirmation, or that it has newer state."""
         own = self._follower.as_of
         behind = news.changed_as_of > own
-        if behind or (news.as_of > own and passed(self._lazy_after)):
-            self._ahead[name] = news.as_of
-            self._woken.set()
-        # That nothing changed beyond what is known here confirms it, unless the
-        # teller itself has read less.
+        if behind or (news.as_of > own and passed(self._next_lazy_fetch)):
+            self._peers_ahead[name] = news.as_of
+            self._wake_event.set()
+        # A member that has read at least as far and has no newer changes confirms
+        # the state known here.
         if own and not behind and news.as_of >= own and news.confirmed_at is not None:
             self._adopt(self._follower.state, own, news.confirmed_at, news.hops + 1)
 
@@ -161,30 +157,32 @@
         return self._follower.adopt(state, as_of, confirmed_at)
 
     async def run(self):
-        """Fetch from peers that know more until cancelled."""
+        """Fetch from peers with newer state until cancelled."""
         while True:
-            await self._woken.wait()
+            await self._wake_event.wait()
             if self.is_poller:
-                await asyncio.sleep(POLLER_PATIENCE)
-            member = self._best()
+                await asyncio.sleep(POLLER_FETCH_DELAY)
+            member = self._most_advanced_peer()
             if member is None:
-                self._woken.clear()
+                self._wake_event.clear()
                 continue
-            self._lazy_after = deadline_in(LAZY_INTERVAL)
+            self._next_lazy_fetch = deadline_in(LAZY_FETCH_INTERVAL)
             fetched = await self.fetch(member.control_address)
             if not fetched:
                 FAILED.inc({})
-                self._ahead.pop(member.name, None)
+                self._peers_ahead.pop(member.name, None)
             await asyncio.sleep(FETCH_INTERVAL)
 
-    def _best(self):
+    def _most_advanced_peer(self):
         own = self._follower.as_of
-        self._ahead = {name: at for name, at in self._ahead.items() if at > own}
+        self._peers_ahead = {
+            name: at for name, at in self._peers_ahead.items() if at > own
+        }
         known = {m.name: m for m in self._members() if m.control_address}
-        names = [name for name in self._ahead if name in known]
+        names = [name for name in self._peers_ahead if name in known]
         if not names:
             return None
-        return known[max(names, key=lambda name: (self._ahead[name], name))]
+        return known[max(names, key=lambda name: (self._peers_ahead[name], name))]
 
     async def fetch(self, address):
         """Adopt the state of the peer at ``address``; True or ``Unavailable``."""
@@ -199,35 +197,35 @@
             stamp=EVENTS.clock.stamp(),
         )
         link.close()
-        return answer and self._take(answer)
+        return answer and self._apply_answer(answer)
 
-    def _take(self, answer):
+    def _apply_answer(self, answer):
         EVENTS.clock.observe(answer.stamp)
         if not answer.state:
-            return Unavailable("the peer knows no more")
+            return Unavailable("the peer has no newer state")
         try:
             document = json.loads(answer.state)
-            state = self._state_in(document)
+            state = self._parse_state(document)
         except (ValueError, KeyError, TypeError, AttributeError):
-            return Unavailable("the peer's state is unreadable")
+            return Unavailable("the peer sent a malformed state")
         at = messages.confirmed_at_from(answer)
         if self._adopt(state, answer.asOf, at, answer.confirmedHops + 1):
             FETCHED.inc({})
             EVENTS.add("state-fetched", as_of=answer.asOf)
         return True
 
-    def _state_in(self, document):
+    def _parse_state(self, document):
         own = self._follower.state.accepted
         if "accepted" in document:
             return Agreed.from_document(document)
-        state = Agreed.from_document({**document, "accepted": EMPTY})
+        state = Agreed.from_document({**document, "accepted": EMPTY_ACCEPTED})
         return Agreed(own, state.weights, state.leases)
 
-    def beyond(self, as_of, accepted):
-        """Return ``(as_of, state)`` for a peer at ``as_of``; empty if it has all.
+    def state_for_peer(self, as_of, accepted):
+        """Return ``(as_of, state)`` for a peer at ``as_of``; empty if not newer.
 
-        The table is left out if the peer's is the same: most changes are
-        renewals of leases, and a table of 300 rows has some 60 KB.
+        Omits the table if the peer has the same one: most changes are lease
+        renewals, and a table of 300 rows has some 60 KB.
         """
         own = self._follower.as_of
         if own <= as_of or self._follower.confirmed_at is None:
@@ -239,7 +237,7 @@
 
 
 class AcceptedDigest:
-    """Names what is known of the table by one number; kept while it stays."""
+    """Computes a digest of the accepted table, cached until it changes."""
 
     __slots__ = ("_accepted", "_digest")
 
@@ -248,7 +246,7 @@
         self._digest = 0
 
     def of(self, accepted):
-        """Return the number of an ``Accepted``."""
+        """Return the 64-bit digest of an ``Accepted``."""
         if accepted is not self._accepted:
             text = json.dumps(accepted.as_document(), sort_keys=True)
             digest = hashlib.blake2b(text.encode(), digest_size=8).digest()
--- a/sassafrasdoor/lease/tests/bench.py
+++ b/sassafrasdoor/lease/tests/fixtures.py
@@ -1,4 +1,4 @@
-"""Instances that share a lease over one log in memory, on a clock set by hand."""
+"""Instances that share a lease over one in-memory log, on a manual clock."""
 
 from unittest import mock
 
@@ -8,34 +8,40 @@
 from sassafrasdoor.log.follower import Follower
 from sassafrasdoor.log.memory import MemoryLog
 
-DURATION, RENEWAL, ORDER = 6.0, 2.0, 10.0
+LEASE_DURATION, RENEW_INTERVAL, ORDER_TIMEOUT = 6.0, 2.0, 10.0
 STREAM = "agreed"
 
 
-class HandClock:
-    """The monotonic clock of every process here; patches ``clock.now``."""
+class ManualClock:
+    """The monotonic clock of all nodes; patches ``clock.now``."""
 
     def __init__(self, case):
         self.time = 1000.0
         case.enterContext(mock.patch("sassafrasdoor.clock.now", lambda: self.time))
 
     def advance(self, seconds):
-        """Let time pass for everybody."""
+        """Advance the clock of all nodes."""
         self.time += seconds
 
 
 class Node:
-    """One instance: a follower and a holder, run turn by turn."""
+    """One instance: a follower and a holder, run step by step."""
 
-    def __init__(self, name, log, settle=None):
+    def __init__(self, name, log, max_order_duration=None):
         document = {"instance": {"name": name}}
         self.settings = settings.from_document(document)
         self.log = log
         self.follower = Follower(self.settings, log, agreed.fold, agreed.Agreed())
-        self.holder = Holder(self.settings, log, self.follower, "plan", settle=settle)
+        self.holder = Holder(
+            self.settings,
+            log,
+            self.follower,
+            "plan",
+            max_order_duration=max_order_duration,
+        )
 
-    async def turn(self):
-        """Read the log, claim if due, read again; return the fencing number."""
+    async def poll_and_claim(self):
+        """Read the log, claim if due and read again; return the fencing number."""
         await self.follower.poll(0)
         if self.holder.claim_due:
             await self.holder.claim()
@@ -43,18 +49,18 @@
         return self.holder.fence
 
 
-class Bench:
-    """A log, a clock and nodes."""
+class LeaseCluster:
+    """Nodes with a shared log and clock."""
 
     def __init__(self, case, names="ab"):
-        self.clock = HandClock(case)
+        self.clock = ManualClock(case)
         self.log = MemoryLog()
         self.nodes = [Node(name, self.log) for name in names]
 
     async def run(self, seconds, *nodes, step=1.0):
-        """Let time pass in steps in which the given nodes take turns."""
+        """Advance the clock in steps, and poll the given nodes after each."""
         while seconds > 0:
             self.clock.advance(min(step, seconds))
             seconds -= step
             for node in nodes:
-                await node.turn()
+                await node.poll_and_claim()
