--- a/sassafrasdoor/control/instances.py
+++ b/sassafrasdoor/control/instances.py
@@ -10,7 +10,7 @@
 from sassafrasdoor.view import Backend, Member, State
 
 UNREADABLE = metrics.counter(
-    "instances_unreadable_total", "Malformed entries of the instance list."
+    "instances_unreadable_total", "Entries of the instance list that made no sense."
 )
 ENTRY = "entry"
 MAX_TEXT_BYTES = 256
--- a/sassafrasdoor/control/link.py
+++ b/sassafrasdoor/control/link.py
@@ -20,12 +20,8 @@
 RETRY_DELAY = 0.1  # seconds
 RETRY_DELAY_MAX = 1.0  # seconds
 
-UPDATES = metrics.counter(
-    "control_updates_total", "Updates received from the control process."
-)
-LINK_LOSSES = metrics.counter(
-    "control_link_losses_total", "Losses of the link to the control process."
-)
+UPDATES = metrics.counter("control_updates_total", "Updates from control.")
+LINK_LOSSES = metrics.counter("control_link_losses_total", "Times control went away.")
 
 
 class ControlLink:
--- a/sassafrasdoor/lease/holder.py
+++ b/sassafrasdoor/lease/holder.py
@@ -29,7 +29,7 @@
 LONG_AGO = 0.0
 
 CLAIMS = counter("lease_claims_total", "Claims appended, by result.")
-PAUSES = counter("lease_pauses_total", "Pauses of its process that a holder detected.")
+PAUSES = counter("lease_pauses_total", "Times that a holder found it had not run.")
 
 
 class Holder:
