--- a/samples/measure_routing.py
+++ b/samples/measure_routing.py
@@ -116,7 +116,7 @@
 class Chosen:
     """The real ``Chooser``."""
 
-    draws = chooser.DRAWS
+    draws = chooser.DRAW_COUNT
 
     def __init__(self, view, seed):
         self._view = View(backends=view)
@@ -128,7 +128,7 @@
 
     def choose(self):
         """Return the chooser's choice."""
-        chooser.DRAWS = self.draws
+        chooser.DRAW_COUNT = self.draws
         return self._chooser.choose(self._view, "s")
 
 
--- a/sassafrasdoor/platform/configuration.py
+++ b/sassafrasdoor/platform/configuration.py
@@ -162,7 +162,7 @@
         identity = key.removeprefix("servers/")
         if not value:
             self._taken.pop(identity, None)
-            self._replicas.unlisted(identity)
+            self._replicas.remove_listing(identity)
             return
         # Nearly every record is a heartbeat in which the number alone differs. Parsing
         # each anew would take most of an idle instance's processor time.
@@ -176,6 +176,6 @@
             UNREADABLE.inc({"topic": SERVERS_TOPIC})
             reason = repr(error)[:REASON]
             note("replica.entry_unreadable", replica=identity, reason=reason)
-            self._replicas.refuse(identity)
+            self._replicas.discard(identity)
             return
-        self._replicas.listed(identity, listing)
+        self._replicas.update_listing(identity, listing)
--- a/sassafrasdoor/platform/front.py
+++ b/sassafrasdoor/platform/front.py
@@ -204,7 +204,7 @@
     async def _first_answer(self, reason):
         """Return the ``Reply`` of the first peer that has an answer, or None."""
         wait = _whole(self.request.headers.get(wire.WAIT), 0) / 1000
-        peers = self._parts.instances.peers_to_ask(MOST_PEERS)
+        peers = self._parts.instances.reader_candidates(MOST_PEERS)
         reply = await first_answer(
             peers,
             self._ask,
--- a/sassafrasdoor/platform/process.py
+++ b/sassafrasdoor/platform/process.py
@@ -6,6 +6,7 @@
 import uuid
 
 from tornado.httpserver import HTTPServer
+from weights.controller import WeightsController
 
 from sassafrasdoor.clock import deadline_in, now, passed, remaining
 from sassafrasdoor.decisions import note
@@ -26,7 +27,7 @@
 from sassafrasdoor.requests.crash_watch import TOPIC as CRASHES_TOPIC, CrashWatch
 from sassafrasdoor.requests.direct import DirectService
 from sassafrasdoor.requests.streaming import StreamService
-from sassafrasdoor.routing.instances import READERS_KEY, Instances
+from sassafrasdoor.routing.instances import STEP_READERS_KEY, Instances
 from sassafrasdoor.routing.replicas import Replicas
 from sassafrasdoor.steps.durable.outbox import Outbox
 from sassafrasdoor.steps.durable.runner import Runner
@@ -35,7 +36,6 @@
 from sassafrasdoor.steps.durable.state import Steps
 from sassafrasdoor.stopping import lasting
 from sassafrasdoor.table.routes import RoutesInForce
-from sassafrasdoor.weights.named import WeightsController
 
 LIST_PAUSE = 0.35
 """Seconds between reads of the replicas' list: a leaving replica is known well
@@ -115,7 +115,7 @@
             self._replicas,
             self._log,
             settings.name,
-            lambda: self._instances.ranking(CRASHES_TOPIC) == 0,
+            lambda: self._instances.rank(CRASHES_TOPIC) == 0,
         )
         self._crash_list = KeyedTail(
             self._log,
@@ -177,7 +177,9 @@
             self._instances,
         )
         self._build_weights()
-        keys = configuration.OperatorKeys(self._routes, self._weights.named)
+        keys = configuration.OperatorKeys(
+            self._routes, self._weights.set_target_version
+        )
         self._operator = KeyedTail(
             self._log,
             configuration.OPERATOR_TOPIC,
@@ -202,7 +204,7 @@
             self._weights.wake()
 
     def _relays(self):
-        return self._peers.relays(self._instances.controls())
+        return self._peers.relays(self._instances.peer_control_addresses())
 
     def _build_weights(self):
         self._weights = WeightsController(
@@ -366,7 +368,7 @@
             note(
                 "steps.reading",
                 ahead=ahead,
-                followers=self._instances.entry_points,
+                followers=self._instances.entry_point_count,
                 seconds=round(waited, 2),
             )
 
@@ -374,9 +376,9 @@
     def _unread_ahead(self):
         """How many read the steps before this instance; none if it is to run some."""
         keys = set(map(self._ranked_for, range(self._weights_shard + 1)))
-        if any(self._instances.unread_before(key) == 0 for key in keys):
+        if any(self._instances.unread_entry_points_before(key) == 0 for key in keys):
             return 0
-        return self._instances.unread_before(READERS_KEY)
+        return self._instances.unread_entry_points_before(STEP_READERS_KEY)
 
     def _rank(self, shard):
         """Return this instance's place among those that could run a shard.
@@ -385,7 +387,7 @@
         the items that wait have begun, and sends none to one that it loads. Apart, much
         of what is sent to engines is refused.
         """
-        rank = self._instances.ranking(self._ranked_for(shard))
+        rank = self._instances.rank(self._ranked_for(shard))
         if self._replicas.count > ALONE_UP_TO or shard == self._weights_shard:
             return rank
         if self._shards.runs_here(self._weights_shard):
@@ -400,14 +402,16 @@
         One process that runs all steps knows what every replica does, and its kept
         connections serve all of them. Before many replicas it lacks the processor.
         """
-        return f"shard-{shard}" if self._replicas.count > ALONE_UP_TO else READERS_KEY
+        return (
+            f"shard-{shard}" if self._replicas.count > ALONE_UP_TO else STEP_READERS_KEY
+        )
 
     def _pause_of(self, shard):
         """Return the pause between reads of a shard, as a function of no arguments."""
 
         def pause():
             shared = shared_pause(
-                self._instances.entry_points,
+                self._instances.entry_point_count,
                 len(self._steps.used_shards),
                 self._settings.reads_per_second,
             )
@@ -420,13 +424,13 @@
     def _backlog_share(self):
         # Any of them may begin to follow the steps, and others may not see it yet.
         return backlog_share(
-            self._instances.alive,
+            self._instances.alive_count,
             self._settings.read_bytes_per_second,
             self._settings.record_bytes,
         )
 
     def _retry_pause(self):
-        return retry_pause(self._instances.alive, self._settings.reads_per_second)
+        return retry_pause(self._instances.alive_count, self._settings.reads_per_second)
 
     def _fold_of(self, shard):
         return lambda offset, data: self._steps.fold(shard, offset, data)
--- a/sassafrasdoor/platform/servers.py
+++ b/sassafrasdoor/platform/servers.py
@@ -266,7 +266,7 @@
 def _take_load(replica, headers):
     parts = headers.get(wire.LOAD, "").split(",")
     if len(parts) == 3 and all(part.strip().isdigit() for part in parts):
-        replica.told_load(int(parts[0]), int(parts[1]))
+        replica.record_load(int(parts[0]), int(parts[1]))
 
 
 def _number(text, default=0):
--- a/sassafrasdoor/platform/settings.py
+++ b/sassafrasdoor/platform/settings.py
@@ -7,7 +7,7 @@
 import os
 
 from sassafrasdoor.outcomes import Finding, Rejected
-from sassafrasdoor.routing.instances import InstancePlace
+from sassafrasdoor.routing.instances import InstanceLocation
 
 PATH_VARIABLE = "SASSAFRASDOOR_BOOT"
 REQUIRED = (
@@ -71,7 +71,7 @@
     ``heartbeat`` the time between two heartbeats of a replica,
     ``fenced`` whether they do, ``results_kept`` how long a step's samples are read
     after its submission, ``cores`` how much processor the instance has, ``instance``
-    its ``InstancePlace``.
+    its ``InstanceLocation``.
     """
 
     __slots__ = (
@@ -175,7 +175,7 @@
     found.read_bytes_per_second = max(1.0, numbers["Platform.ReadMbS"]) * 1e6
     found.cores = numbers["Limits.CpuShare"] * numbers["Limits.Cores"]
     found.partitions = int(numbers["Platform.parts"])
-    found.instance = InstancePlace(
+    found.instance = InstanceLocation(
         name=found.name,
         host=fields["Ip"],
         availability_zone=fields["Zone"],
--- a/sassafrasdoor/platform/tests/test_foreign_records.py
+++ b/sassafrasdoor/platform/tests/test_foreign_records.py
@@ -74,7 +74,7 @@
         keys.take("other", json.dumps(document).encode())
         self.assertIn("good", [one.identity for one in replicas.of_service("x")])
         for one in replicas.of_service("x"):
-            self.assertIsInstance(one.load + one.room, int)
+            self.assertIsInstance(one.load + one.free_slots, int)
             host, _, port = one.listing.address.rpartition(":")
             self.assertTrue(host and port.isdigit())
 
@@ -93,11 +93,11 @@
     def test_instances(self, document):
         place = settings.from_document({"instance": {"name": "i"}})
         found = Instances(place, MemoryPartitionedLog(), "i:1", "i:1")
-        found._take("h:1", json.dumps(INSTANCE).encode())
-        found._take("other", json.dumps(document).encode())
+        found._apply_record("h:1", json.dumps(INSTANCE).encode())
+        found._apply_record("other", json.dumps(document).encode())
         self.assertIn("h:1", found.addresses("a"))
         found.peers()
-        found.ranking("shards")
+        found.rank("shards")
 
 
 class StepTopicTest(unittest.TestCase):
--- a/sassafrasdoor/platform/tests/test_front.py
+++ b/sassafrasdoor/platform/tests/test_front.py
@@ -87,7 +87,7 @@
     def addresses(self, zone):
         return [f"address-in-{zone}"]
 
-    def peers_to_ask(self, most):
+    def reader_candidates(self, most):
         return []
 
     def peers(self):
--- a/sassafrasdoor/platform/tests/test_health.py
+++ b/sassafrasdoor/platform/tests/test_health.py
@@ -31,7 +31,7 @@
             self.addAsyncCleanup(proxy.close)
             self.proxies.append(proxy)
             entry = {**standin.entry(SERVICE, []), "Address": proxy.address}
-            self.replicas.listed(standin.identity, listing_from(entry))
+            self.replicas.update_listing(standin.identity, listing_from(entry))
         self.client = WireReplicas()
         self.addCleanup(self.client.close)
         self.crashes = CrashWatch(self.client, self.replicas)
--- a/sassafrasdoor/platform/tests/test_translation.py
+++ b/sassafrasdoor/platform/tests/test_translation.py
@@ -152,7 +152,7 @@
         self.keys.take("i-1", json.dumps(ENTRY).encode())
         (replica,) = self.replicas.of_service("x")
         self.assertEqual(replica.versions, {"m": 3})
-        self.assertEqual((replica.identity, replica.room), ("i-1", 12))
+        self.assertEqual((replica.identity, replica.free_slots), ("i-1", 12))
 
     def test_leaving_replica_gets_nothing(self):
         self.keys.take("i-1", json.dumps({**ENTRY, "State": "draining"}).encode())
--- a/sassafrasdoor/platform/tests/test_unread_processes.py
+++ b/sassafrasdoor/platform/tests/test_unread_processes.py
@@ -9,7 +9,7 @@
 from sassafrasdoor.platform.standin import StoreStandin
 from sassafrasdoor.platform.tests.cases import MODEL, ProcessCase
 from sassafrasdoor.rendezvous import ranked
-from sassafrasdoor.routing.instances import READERS_KEY
+from sassafrasdoor.routing.instances import STEP_READERS_KEY
 from sassafrasdoor.steps.durable.records import Sample, encode
 from sassafrasdoor.steps.durable.service import TOPIC, shard_of
 
@@ -84,7 +84,7 @@
         await self.until(lambda: self.knows_peers(1, ENTRY_POINTS))
         named = await self.fetch(self.instances[1].directory, "/-/resolve?Zone=z")
         points = json.loads(named.body)["Addresses"]
-        first = next(iter(ranked(dict.fromkeys(points, 1.0), READERS_KEY)))
+        first = next(iter(ranked(dict.fromkeys(points, 1.0), STEP_READERS_KEY)))
         for instance in self.instances:
             instance.kill()
         self.instances = [one for one in self.instances if one.front != first]
--- a/sassafrasdoor/requests/attempts.py
+++ b/sassafrasdoor/requests/attempts.py
@@ -8,7 +8,7 @@
 from sassafrasdoor.decisions import note, note_routine
 from sassafrasdoor.metrics import counter
 from sassafrasdoor.outcomes import NotRun, Unknown
-from sassafrasdoor.routing.replicas import SUSPECT_FOR
+from sassafrasdoor.routing.replicas import SUSPECT_DURATION
 from sassafrasdoor.table.routes import Repeat
 
 RETRY_AFTER = 0.1
@@ -142,15 +142,15 @@
                 return result
             self.failures += result.status == SERVER_ERROR
             reason = f"status {result.status}"
-            replica.state.failed(SUSPECT_FOR)
+            replica.state.failed(SUSPECT_DURATION)
         elif isinstance(result, NotRun):
             reason = result.reason
             self._not_sent()
             if isinstance(result, WrongReplica):
-                replica.state.failed(SUSPECT_FOR)
+                replica.state.failed(SUSPECT_DURATION)
         else:
             reason = result.reason
-            replica.state.failed(SUSPECT_FOR)
+            replica.state.failed(SUSPECT_DURATION)
             if result.began:
                 self.may_have_run = True
             else:
--- a/sassafrasdoor/requests/tests/test_crash_watch.py
+++ b/sassafrasdoor/requests/tests/test_crash_watch.py
@@ -79,7 +79,7 @@
 
     async def test_replica_whose_entry_ends_has_crashed(self):
         self.broke(self.watch(Broken("connect timeout", began=False)))
-        self.replicas.unlisted("e0")
+        self.replicas.remove_listing("e0")
         await self.until(lambda: self.seen() == [["r1"]])
 
     async def test_replica_that_listens_or_answers_again_has_not_crashed(self):
@@ -178,7 +178,7 @@
         for born in range(1, 4):
             at = self.replicas.get("e0").listing
             listing = Listing(at.service, at.address, at.zone, 4, False, {}, born)
-            self.replicas.listed("e0", listing)
+            self.replicas.update_listing("e0", listing)
             await self.crash(self.here, "e0")
         self.assertIsInstance(self.here.refusal(self.request), Quarantined)
 
--- a/sassafrasdoor/routing/backend_state.py
+++ b/sassafrasdoor/routing/backend_state.py
@@ -8,8 +8,8 @@
 MAX_TRACKED = 4096
 MAX_FAILURES = 6
 MAX_SUSPICION_FACTOR = 8
-MISSED_REPORTS = 3
-FAILURES_WEIGH_FOR = 2.0
+MISSED_REPORT_LIMIT = 3
+RECENT_FAILURE_PERIOD = 2.0
 """Seconds beyond the suspicion in which failures still count as load: then one call,
 which may be repeated elsewhere, finds out whether the server is well again."""
 
@@ -21,7 +21,7 @@
         "_capacity",
         "_finished",
         "_in_flight",
-        "_missed",
+        "_missed_reports",
         "_reported",
         "_started",
         "_suspect_until",
@@ -36,7 +36,7 @@
         self._started = deque(maxlen=MAX_TRACKED)
         self._finished = deque(maxlen=MAX_TRACKED)
         self._in_flight = 0
-        self._missed = 0
+        self._missed_reports = 0
         self._reported = None
         self._suspect_until = 0.0
         self._taken_at = None
@@ -50,18 +50,20 @@
         return self._in_flight
 
     @property
-    def suspect(self):
+    def is_suspect(self):
         """Whether it failed so recently, or is silent, that it gets no work."""
-        return self._missed >= MISSED_REPORTS or not passed(self._suspect_until)
+        return self._missed_reports >= MISSED_REPORT_LIMIT or not passed(
+            self._suspect_until
+        )
 
     @property
-    def weighing_failures(self):
+    def recent_failures(self):
         """The failures in a row, while they are recent enough to count as load.
 
         For good they would keep a server that is well again without work for as long
         as the others have room.
         """
-        forgotten = passed(self._suspect_until + FAILURES_WEIGH_FOR)
+        forgotten = passed(self._suspect_until + RECENT_FAILURE_PERIOD)
         return 0 if forgotten else self.failures
 
     @property
@@ -83,7 +85,7 @@
             "load": round(self.score, 3),
             "in_flight": self._in_flight,
             "failures": self.failures,
-            "suspect": self.suspect,
+            "suspect": self.is_suspect,
             "says_leaving": self.leaving,
         }
 
@@ -107,24 +109,24 @@
         if self._reported is not None:
             self._finished.append(now())
 
-    def reported(self, load):
+    def record_report(self, load):
         """Take a load report that was true ``load.age`` seconds ago."""
         taken_at = now() - load.age
         for moments in (self._started, self._finished):
             while moments and moments[0] <= taken_at:
                 moments.popleft()
-        self._missed = 0
+        self._missed_reports = 0
         self._taken_at = taken_at
         self.versions = load.versions
         self._reported = load.running + load.queued
         self._capacity = max(1, load.capacity)
         self.leaving = load.leaving
 
-    def unreported(self):
+    def record_missed_report(self):
         """Count a load report that did not come; several in a row: it is silent."""
-        self._missed += 1
+        self._missed_reports += 1
 
-    def full(self):
+    def record_refusal(self):
         """Note that it refused work: count it as full until its next report."""
         self._reported = max(self._reported or 0, self._capacity)
 
--- a/sassafrasdoor/routing/chooser.py
+++ b/sassafrasdoor/routing/chooser.py
@@ -22,12 +22,12 @@
 # taken: for a nearer zone, for a prefix that is probably cached there.
 ZONE_SLACK = 0.1
 AFFINITY_SLACK = 0.25
-DRAWS = 2
+DRAW_COUNT = 2
 RETRY_AFTER = 1.0
-LEAVING = "leaving"
+LEAVING_REASON = "leaving"
 
 CHOSEN = metrics.counter("sassafrasdoor_routing_chosen_total", "Choices made.")
-NONE_LEFT = metrics.counter(
+NO_BACKEND = metrics.counter(
     "sassafrasdoor_routing_none_total", "Choices for which no server was left."
 )
 FAILURES = metrics.counter(
@@ -58,12 +58,12 @@
             for backend in self.subset(view, service, model)
             if backend.name not in exclude and not self._state(backend).leaving
         ]
-        healthy = [one for one in usable if not self._state(one).suspect]
+        healthy = [one for one in usable if not self._state(one).is_suspect]
         # With nothing but suspects left, one of them is tried all the same:
         # a single failure of a lone server must not refuse everybody.
         candidates = healthy or usable
         if not candidates:
-            NONE_LEFT.inc({})
+            NO_BACKEND.inc({})
             return NotRun(f"no backend server of {service} is available", RETRY_AFTER)
         CHOSEN.inc({})
         return self._pick(candidates, affinity)
@@ -74,13 +74,13 @@
         Connections and load polling must not grow as instances times servers.
         """
         if view is not self._view:
-            self._adopt(view)
+            self._update_view(view)
         key = (service, model)
         if key not in self._subsets:
             self._subsets[key] = self._make_subset(view, service, model)
         return self._subsets[key]
 
-    def in_use(self, view):
+    def backends_in_use(self, view):
         """Return every server of the subsets, each once: those worth polling."""
         keys = {
             (one.service, model) for one in view.backends for model in (*one.models, "")
@@ -101,18 +101,18 @@
         state = self._state(backend)
         state.finished()
         if outcome is not None:
-            _take_note(outcome, state, backend, self._settings)
+            _record_outcome(outcome, state, backend, self._settings)
 
     def report(self, backend, load):
         """Take a load report that lags by its own age."""
         state = self._state(backend)
         if load.leaving and not state.leaving:
             logs.changed("routing:leaving", backend=backend.name, by="report")
-        state.reported(load)
+        state.record_report(load)
 
-    def unreported(self, backend):
+    def record_missed_report(self, backend):
         """Note that a load report did not come."""
-        self._state(backend).unreported()
+        self._state(backend).record_missed_report()
 
     def load_of(self, backend):
         """Return the estimated load as a share of capacity."""
@@ -131,32 +131,32 @@
         return self._state(backend).status()
 
     def _pick(self, candidates, affinity):
-        best = min(self._drawn(candidates), key=self._cost)
+        best = min(self._draw_candidates(candidates), key=self._cost)
         if not affinity:
             return best
         preferred = ranked(candidates, affinity, name_of)[0]
         slack = self._cost(preferred) - self._cost(best)
         return preferred if slack <= AFFINITY_SLACK else best
 
-    def _drawn(self, candidates):
+    def _draw_candidates(self, candidates):
         """Return two servers of the own zone and one of the others.
 
         More draws than that come closer to the least loaded server of the
         reports, and with it to herding, the more the longer reports lag.
         """
-        near = [one for one in candidates if self._near(one)]
-        far = [one for one in candidates if not self._near(one)]
-        drawn = self._sample(near, DRAWS)
-        return drawn + self._sample(far, max(1, DRAWS - len(drawn)))
+        near = [one for one in candidates if self._is_near(one)]
+        far = [one for one in candidates if not self._is_near(one)]
+        drawn = self._sample(near, DRAW_COUNT)
+        return drawn + self._sample(far, max(1, DRAW_COUNT - len(drawn)))
 
     def _sample(self, candidates, count):
         return self._random.sample(candidates, min(count, len(candidates)))
 
-    def _near(self, backend):
+    def _is_near(self, backend):
         return backend.availability_zone == self._settings.instance.availability_zone
 
     def _cost(self, backend):
-        slack = 0.0 if self._near(backend) else ZONE_SLACK
+        slack = 0.0 if self._is_near(backend) else ZONE_SLACK
         return self._state(backend).score + slack
 
     def _state(self, backend):
@@ -166,7 +166,7 @@
             self._states[key] = BackendState(backend.capacity)
         return self._states[key]
 
-    def _adopt(self, view):
+    def _update_view(self, view):
         self._view = view
         self._subsets = {}
         known = {(one.name, one.address) for one in view.backends}
@@ -187,22 +187,22 @@
 
 
 @singledispatch
-def _take_note(outcome, state, backend, settings):
+def _record_outcome(outcome, state, backend, settings):
     """Learn from how a call ended; anything whole is an answer."""
     state.answered()
 
 
-@_take_note.register
+@_record_outcome.register
 def _(outcome: NotRun, state, backend, settings):
-    if LEAVING in outcome.reason:
+    if LEAVING_REASON in outcome.reason:
         logs.changed("routing:leaving", backend=backend.name, by="refusal")
         state.leaving = True
         return
-    state.full()
+    state.record_refusal()
 
 
-@_take_note.register(Broken)
-@_take_note.register(Unknown)
+@_record_outcome.register(Broken)
+@_record_outcome.register(Unknown)
 def _(outcome, state, backend, settings):
     FAILURES.inc({})
     if not state.failures:
--- a/sassafrasdoor/routing/discovery.py
+++ b/sassafrasdoor/routing/discovery.py
@@ -15,7 +15,7 @@
 
 name_of = attrgetter("name")
 
-MAX_ARGUMENT = 64
+MAX_ARGUMENT_LENGTH = 64
 RETRY_AFTER = 1
 
 ANSWERS = metrics.counter("sassafrasdoor_discovery_answers_total", "Answers given.")
@@ -59,8 +59,8 @@
 
     def get(self):
         """Answer with addresses, their validity and a prefix for keys."""
-        row = self.get_query_argument("row", "")[:MAX_ARGUMENT]
-        zone = self.get_query_argument("zone", "")[:MAX_ARGUMENT]
+        row = self.get_query_argument("row", "")[:MAX_ARGUMENT_LENGTH]
+        zone = self.get_query_argument("zone", "")[:MAX_ARGUMENT_LENGTH]
         caller = f"{row}/{self.request.remote_ip}"
         members = addresses_for(self._settings, self._view_getter(), caller, zone)
         if not members:
--- a/sassafrasdoor/routing/instance_view.py
+++ b/sassafrasdoor/routing/instance_view.py
@@ -11,19 +11,19 @@
 from sassafrasdoor.clock import deadline_in, now, passed
 from sassafrasdoor.rendezvous import ranked
 
-LAPSE_AFTER = 3.2
+LAPSE_TIMEOUT = 3.2
 """Seconds without renewal after which callers are not sent there: three missed."""
-RESERVE_LAPSE_AFTER = 16.0
+RESERVE_LAPSE_TIMEOUT = 16.0
 """Seconds without renewal after which an instance in reserve counts as gone."""
-USUAL_IN_ZONE, ZONE_PARTS = 4, 5
+MIN_ENTRY_POINTS, ZONE_CORES_DIVISOR = 4, 5
 """Callers of a zone are sent to four instances, or to as many as have a fifth of its
 processor: each keeps connections of its own to every replica."""
-ENTRY_KEY = "entry"
-MOST_STEPS = 10
-CALL_STEP = 2.0
+ENTRY_POINTS_KEY = "entry"
+MAX_PROMOTION_DOUBLINGS = 10
+PROMOTION_INTERVAL = 2.0
 """Seconds for an instance in reserve to say that it is an entry point now, after which
 others are called beside it."""
-VIEW_HOLDS = 0.2
+VIEW_LIFETIME = 0.2
 """Seconds that what was worked out of the list is used again: to order many instances
 for each question takes a part of the processor that grows with their number."""
 
@@ -38,7 +38,7 @@
 
     __slots__ = (
         "address",
-        "at",
+        "renewed_at",
         "control",
         "cores",
         "data",
@@ -53,17 +53,17 @@
     def __init__(self, data, is_renewed):
         document = json.loads(data)
         self.data = data
-        self.address = _text(document, "address")
-        self.zone = _text(document, "zone")
-        self.region = _text(document, "region")
+        self.address = _text_field(document, "address")
+        self.zone = _text_field(document, "zone")
+        self.region = _text_field(document, "region")
         self.cores = float(document["cores"])
         # Records of an earlier program name none.
-        self.control = _text({"control": "", **document}, "control")
-        self.process = _text({"process": "", **document}, "process")
+        self.control = _text_field({"control": "", **document}, "control")
+        self.process = _text_field({"process": "", **document}, "process")
         self.in_reserve = document.get("reserve") is True
         self.has_read = document["read"] is True if "read" in document else None
         self.is_renewed = is_renewed
-        self.at = now()
+        self.renewed_at = now()
 
     @property
     def is_reader(self):
@@ -71,18 +71,18 @@
         return bool(self.has_read and self.is_renewed)
 
     @property
-    def lapses_after(self):
+    def lapse_timeout(self):
         """Seconds without renewal after which the instance counts as gone."""
-        return RESERVE_LAPSE_AFTER if self.in_reserve else LAPSE_AFTER
+        return RESERVE_LAPSE_TIMEOUT if self.in_reserve else LAPSE_TIMEOUT
 
 
-def _text(document, name):
+def _text_field(document, name):
     if not isinstance(document[name], str):
         raise TypeError(f"{name} is not text")
     return document[name]
 
 
-class Shortages:
+class ZoneShortages:
     """Since when zones have had too few entry points, monotonic by zone.
 
     Load pattern: one entry point of a zone lapses, and each instance in reserve that
@@ -95,26 +95,26 @@
     def __init__(self):
         self._since = {}
 
-    def steps(self, zone):
+    def promotion_rounds(self, zone):
         """Return how many times those called before have let their time pass."""
         since = self._since.get(zone)
-        return 0 if since is None else int((now() - since) / CALL_STEP)
+        return 0 if since is None else int((now() - since) / PROMOTION_INTERVAL)
 
-    def note(self, zone, is_short):
+    def record(self, zone, is_short):
         """Note whether the zone has too few now."""
         if not is_short:
             self._since.pop(zone, None)
         else:
             self._since.setdefault(zone, now())
 
-    def forget_others(self, zones):
+    def retain_zones(self, zones):
         """Forget the zones that have no instance any more."""
         for zone in self._since.keys() - zones.keys():
             del self._since[zone]
 
-    def all_steps(self):
+    def all_promotion_rounds(self):
         """Return those of all zones that have too few."""
-        return {zone: self.steps(zone) for zone in self._since}
+        return {zone: self.promotion_rounds(zone) for zone in self._since}
 
 
 class InstanceView:
@@ -129,22 +129,22 @@
 
     __slots__ = ("_deadline", "alive", "called", "entry_points", "rankings")
 
-    def __init__(self, alive, short):
+    def __init__(self, alive, shortages):
         zones = {}
         for one in alive:
             zones.setdefault(one.zone, []).append(one)
-        self._deadline = deadline_in(VIEW_HOLDS)
+        self._deadline = deadline_in(VIEW_LIFETIME)
         self.alive = alive
         self.called = set()
         self.entry_points = {}
         for zone, near in zones.items():
-            chosen = _entry_points(near, short.steps(zone))
-            short.note(zone, any(one.in_reserve for one in chosen))
+            chosen = _select_entry_points(near, shortages.promotion_rounds(zone))
+            shortages.record(zone, any(one.in_reserve for one in chosen))
             self.called.update(one.address for one in chosen if one.in_reserve)
             self.entry_points[zone] = [
                 one.address for one in chosen if not one.in_reserve
             ]
-        short.forget_others(zones)
+        shortages.retain_zones(zones)
         self.rankings = {}
 
     @property
@@ -153,38 +153,38 @@
         return {address for part in self.entry_points.values() for address in part}
 
     @property
-    def holds(self):
+    def is_fresh(self):
         """Whether it is recent enough."""
         return not passed(self._deadline)
 
-    def confirm(self):
+    def extend(self):
         """Hold on: the same instances live, and their records are the same."""
-        self._deadline = deadline_in(VIEW_HOLDS)
+        self._deadline = deadline_in(VIEW_LIFETIME)
 
 
-def _entry_points(near, steps):
+def _select_entry_points(near, steps):
     """Return a zone's entry points, the largest first, as ``InstanceRecord``s.
 
     Those in reserve among them are to become entry points; they do not count, since
     nobody knows whether they still live. As many are called as are missing, and twice
     as many, and so on, after each of ``steps``.
     """
-    order = ranked(near, ENTRY_KEY, lambda one: one.address)
+    order = ranked(near, ENTRY_POINTS_KEY, lambda one: one.address)
     order.sort(key=lambda one: -one.cores)
-    wanted = sum(one.cores for one in near) / ZONE_PARTS
+    wanted = sum(one.cores for one in near) / ZONE_CORES_DIVISOR
     reserve = [one for one in order if one.in_reserve]
-    missing = sum(one.in_reserve for one in _enough(order, wanted, set(order)))
-    called = set(reserve[: missing << min(steps, MOST_STEPS)])
+    missing = sum(one.in_reserve for one in _take_sufficient(order, wanted, set(order)))
+    called = set(reserve[: missing << min(steps, MAX_PROMOTION_DOUBLINGS)])
     living = set(order).difference(reserve)
     eligible = called | living
-    return [one for one in _enough(order, wanted, living) if one in eligible]
+    return [one for one in _take_sufficient(order, wanted, living) if one in eligible]
 
 
-def _enough(order, wanted, counted):
+def _take_sufficient(order, wanted, counted):
     """Return the first in order, until those ``counted`` among them are enough."""
     chosen, count, cores = [], 0, 0.0
     for one in order:
-        if count >= USUAL_IN_ZONE and cores >= wanted:
+        if count >= MIN_ENTRY_POINTS and cores >= wanted:
             break
         chosen.append(one)
         if one in counted:
--- a/sassafrasdoor/routing/instances.py
+++ b/sassafrasdoor/routing/instances.py
@@ -20,45 +20,49 @@
 from sassafrasdoor.log.tail import KeyedTail
 from sassafrasdoor.outcomes import Outcome
 from sassafrasdoor.rendezvous import ranked
-from sassafrasdoor.routing.instance_view import InstanceRecord, InstanceView, Shortages
+from sassafrasdoor.routing.instance_view import (
+    InstanceRecord,
+    InstanceView,
+    ZoneShortages,
+)
 
 TOPIC = "keyed.instances"
 RENEW_INTERVAL = 1.0
 """Seconds between renewals."""
-FIRST_INTERVAL = 0.1
+READINESS_POLL_INTERVAL = 0.1
 """Seconds between looks whether the process serves: it claims nothing before it is
 listed, and after a start of all instances nothing runs until one of them has claimed."""
 RESERVE_INTERVAL = 5.0
 """Seconds between renewals of an instance in reserve."""
-CUT_OFF_AFTER = 0.6
+READ_FAILURE_TIMEOUT = 0.6
 """Seconds of failing reads, after the first was waited for in vain for 1.5."""
-READ_PAUSE = 0.7
+LIST_READ_INTERVAL = 0.7
 """Seconds between reads of the list: renewals are gathered in one answer."""
 WRITE_TIMEOUT = 1.5
-MOST_ADDRESSES = 64
-FEW = 12
+MAX_ADDRESSES = 64
+MAX_SHUFFLED_ENTRY_POINTS = 12
 """Entry points among which calls are handed on at random also after the own start."""
-READERS_KEY = "shards"
+STEP_READERS_KEY = "shards"
 """Orders the instances that read and run the steps."""
-YOUNG_FOR = 5.0
+STARTUP_PERIOD = 5.0
 """Seconds after the own start in which calls are handed to the first of each zone: where
 many instances started together only these have read what the log keeps, and the last of
 five in a zone begins after four."""
-HEARD_WITHIN = 2.0
+FIRST_RENEWAL_TIMEOUT = 2.0
 """Seconds after the own start within which each living entry point is heard of: it
 renews its record each second, and the list is read 0.7 s apart."""
-MALFORMED = (ValueError, KeyError, TypeError, OverflowError, RecursionError)
+RECORD_ERRORS = (ValueError, KeyError, TypeError, OverflowError, RecursionError)
 """What reading a record raises that another writer may have written."""
-LOOK_PAUSE = 0.1
+RESTART_CHECK_INTERVAL = 0.1
 """Seconds between looks whether an instance has started again, after the own start."""
-LOOK_TIMEOUT = 0.5
+RESTART_CHECK_TIMEOUT = 0.5
 """Seconds for a look whether an instance has started again; a slow log answers within
 0.25 s."""
-FEWEST_IN_ZONE = 2
+MIN_INSTANCES_IN_ZONE = 2
 """With fewer instances in the caller's zone it is sent to all zones."""
 
 
-class InstancePlace:
+class InstanceLocation:
     """Who and where an instance is; the product's settings have the same fields."""
 
     __slots__ = ("availability_zone", "host", "name", "region")
@@ -84,21 +88,21 @@
         "_control",
         "_cores",
         "_has_read",
-        "_heard_by",
+        "_first_renewal_deadline",
         "_key",
         "_leaving",
         "_log",
-        "_looking",
-        "_news",
+        "_restart_check",
+        "_renewal_requested",
         "_process",
-        "_renew_at",
-        "_seen",
+        "_renewal_deadline",
+        "_records",
         "_settings",
-        "_short",
-        "_short_steps",
-        "_told_read",
+        "_shortages",
+        "_promotion_rounds",
+        "_published_has_read",
         "_view",
-        "_young_until",
+        "_startup_deadline",
         "in_reserve",
         "is_listed",
         "tail",
@@ -124,19 +128,21 @@
         self._address = address
         self._key = key
         self._leaving = False
-        self._seen = {}
+        self._records = {}
         self._view = None
-        self._short = Shortages()
-        self._short_steps = {}
-        self._looking = None
+        self._shortages = ZoneShortages()
+        self._promotion_rounds = {}
+        self._restart_check = None
         self.is_listed = False
         self.in_reserve = False
-        self._renew_at = LONG_AGO
-        self._has_read = self._told_read = False
-        self._news = asyncio.Event()
-        self._young_until = deadline_in(YOUNG_FOR)
-        self._heard_by = deadline_in(HEARD_WITHIN)
-        self.tail = KeyedTail(log, TOPIC, self._take, READ_PAUSE, elsewhere, way)
+        self._renewal_deadline = LONG_AGO
+        self._has_read = self._published_has_read = False
+        self._renewal_requested = asyncio.Event()
+        self._startup_deadline = deadline_in(STARTUP_PERIOD)
+        self._first_renewal_deadline = deadline_in(FIRST_RENEWAL_TIMEOUT)
+        self.tail = KeyedTail(
+            log, TOPIC, self._apply_record, LIST_READ_INTERVAL, elsewhere, way
+        )
 
     @property
     def has_read(self):
@@ -147,7 +153,7 @@
     def has_read(self, value):
         if value != self._has_read:
             self._has_read = value
-            self._news.set()
+            self._renewal_requested.set()
 
     async def renew(self, is_ready):
         """Write the own record for as long as the process serves."""
@@ -156,80 +162,84 @@
             if serves and self._is_due:
                 self.in_reserve = not self.is_entry_point
                 pause = RESERVE_INTERVAL if self.in_reserve else RENEW_INTERVAL
-                self._renew_at = deadline_in(pause)
-                self._told_read = self._has_read
+                self._renewal_deadline = deadline_in(pause)
+                self._published_has_read = self._has_read
                 await self._write(self._document())
-            await self._rest(RENEW_INTERVAL if serves else FIRST_INTERVAL)
+            await self._wait_for_renewal(
+                RENEW_INTERVAL if serves else READINESS_POLL_INTERVAL
+            )
 
-    async def _rest(self, seconds):
+    async def _wait_for_renewal(self, seconds):
         """Wait until the own record may be due."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(seconds):
-                await self._news.wait()
-        self._news.clear()
+                await self._renewal_requested.wait()
+        self._renewal_requested.clear()
 
     @property
     def _is_due(self):
         """Whether the own record is to be written now."""
-        has_changed = self._told_read != self._has_read
+        has_changed = self._published_has_read != self._has_read
         is_misplaced = self.in_reserve == self.is_entry_point
-        return passed(self._renew_at) or has_changed or is_misplaced
+        return passed(self._renewal_deadline) or has_changed or is_misplaced
 
     async def leave(self):
         """Drop the own record: callers get other addresses from now on."""
         self._leaving = True
-        self._seen.pop(self._key, None)
+        self._records.pop(self._key, None)
         self._view = None
         await self._write(b"")
 
     def addresses(self, zone):
         """Return the addresses for a caller in ``zone``, its own zone's first."""
-        points = self._current.entry_points
+        points = self._current_view.entry_points
         if self._is_cut_off:
             points = {
                 name: [one for one in part if one != self._address]
                 for name, part in points.items()
             }
         near = points.get(zone, [])
-        if len(near) >= FEWEST_IN_ZONE:
-            return near[:MOST_ADDRESSES]
+        if len(near) >= MIN_INSTANCES_IN_ZONE:
+            return near[:MAX_ADDRESSES]
         names = sorted(points, key=lambda name: name != zone)
         found = [address for name in names for address in points[name]]
         if not found and not self._leaving:
             found = [self._address]
-        return found[:MOST_ADDRESSES]
+        return found[:MAX_ADDRESSES]
 
     def peers(self):
         """Return the addresses of other entry points, those of this zone first."""
         zone = self._settings.availability_zone
-        view = self._current
+        view = self._current_view
         zones = {
             one.address: one.zone for one in view.alive if one.address != self._address
         }
         points = view.all_entry_points
         found = [one for one in points if one in zones]
-        if passed(self._young_until) or len(points) <= FEW:
+        if passed(self._startup_deadline) or len(points) <= MAX_SHUFFLED_ENTRY_POINTS:
             random.shuffle(found)
         else:
-            found.sort(key=self._order(view, READERS_KEY).index)
+            found.sort(key=self._ranking(view, STEP_READERS_KEY).index)
         found.sort(key=lambda address: zones[address] != zone)
         return found
 
-    def peers_to_ask(self, most):
+    def reader_candidates(self, most):
         """Return the peers that may answer for steps which this instance has not read.
 
         The second is of another zone: all of one may be late together. Where none is
         known to have read the steps it is one: after a start of all, calls that reach
         nobody who knows would be multiplied.
         """
-        others = [one for one in self._current.alive if one.address != self._address]
+        others = [
+            one for one in self._current_view.alive if one.address != self._address
+        ]
         random.shuffle(others)
-        known = self._by_turns_of_zones([one for one in others if one.is_reader])
+        known = self._alternate_zones([one for one in others if one.is_reader])
         # Said before this process follows the list, it is true unless all have ended.
-        likely = self._by_turns_of_zones([one for one in others if one.has_read])
+        likely = self._alternate_zones([one for one in others if one.has_read])
         return known[:most] or (likely or self.peers())[:1]
 
-    def _by_turns_of_zones(self, found):
+    def _alternate_zones(self, found):
         """Return the addresses, one of this zone and one of another by turns."""
         zone = self._settings.availability_zone
         near = [one.address for one in found if one.zone == zone]
@@ -237,35 +247,36 @@
         pairs = itertools.zip_longest(near, far)
         return [one for pair in pairs for one in pair if one is not None]
 
-    def unread_before(self, key):
+    def unread_entry_points_before(self, key):
         """Return how many entry points come before this one for ``key`` and may still
         have to read the steps.
 
         Those that nothing was heard of since the own start, and those that do not tell,
         are not waited for.
         """
-        view = self._current
-        order = self._order(view, key)
+        view = self._current_view
+        order = self._ranking(view, key)
         before = view.all_entry_points.intersection(order[: order.index(self._address)])
         return sum(
-            one.address in before and self._may_have_to_read(one) for one in view.alive
+            one.address in before and self._may_still_be_reading(one)
+            for one in view.alive
         )
 
-    def _may_have_to_read(self, one):
+    def _may_still_be_reading(self, one):
         if one.has_read is None:
             return False
         if one.is_renewed:
             return not one.has_read
-        return not passed(self._heard_by)
+        return not passed(self._first_renewal_deadline)
 
-    def controls(self):
+    def peer_control_addresses(self):
         """Return where those peers serve other instances, by turns of this zone and of
         another."""
         # The list may change between two looks at it: the peers' addresses come first.
         peers = self.peers()
-        by_address = {one.address: one for one in self._current.alive}
+        by_address = {one.address: one for one in self._current_view.alive}
         found = [by_address[one] for one in peers if one in by_address]
-        order = self._by_turns_of_zones(found)
+        order = self._alternate_zones(found)
         return [by_address[one].control for one in order if by_address[one].control]
 
     @property
@@ -275,34 +286,34 @@
         Only entry points follow the steps: where many instances would, the log
         could not send every record to all of them.
         """
-        view = self._current
+        view = self._current_view
         known = any(one.address == self._address for one in view.alive)
         if not known or self._address in view.called:
             return True
         return self._address in view.all_entry_points
 
     @property
-    def entry_points(self):
+    def entry_point_count(self):
         """How many instances callers are sent to."""
-        return len(self._current.all_entry_points)
+        return len(self._current_view.all_entry_points)
 
     @property
-    def alive(self):
+    def alive_count(self):
         """How many instances there are, as far as is known."""
-        return len(self._current.alive)
+        return len(self._current_view.alive)
 
     @property
-    def _current(self):
-        if self._view is not None and self._view.holds:
+    def _current_view(self):
+        if self._view is not None and self._view.is_fresh:
             return self._view
-        alive = [one for one in self._seen.values() if self._is_alive(one)]
-        steps = self._short.all_steps()
+        alive = [one for one in self._records.values() if self._is_alive(one)]
+        steps = self._shortages.all_promotion_rounds()
         is_same = self._view is not None and self._view.alive == alive
-        if is_same and steps == self._short_steps:
-            self._view.confirm()
+        if is_same and steps == self._promotion_rounds:
+            self._view.extend()
         else:
-            self._view = InstanceView(alive, self._short)
-            self._short_steps = self._short.all_steps()
+            self._view = InstanceView(alive, self._shortages)
+            self._promotion_rounds = self._shortages.all_promotion_rounds()
         return self._view
 
     @property
@@ -315,7 +326,7 @@
         failing_since = self.tail.failing_since
         if failing_since is None:
             return self._log.is_away
-        return passed(failing_since + CUT_OFF_AFTER)
+        return passed(failing_since + READ_FAILURE_TIMEOUT)
 
     def has_ended(self, address, process, since):
         """Say whether an instance is known to run another process than ``process``.
@@ -326,7 +337,7 @@
         that may move a duty, which its fencing numbers allow.) Without this, whoever
         takes over waits for a lapse although all know that the former one is gone.
         """
-        seen = self._seen.get(address)
+        seen = self._records.get(address)
         if seen is None or seen.process == "":
             return False
         confirmed_at = self.tail.confirmed_at or LONG_AGO
@@ -334,32 +345,34 @@
         if is_other and confirmed_at >= since:
             return True
         # After a start of all instances the record that tells is about to be written.
-        is_awaited = not passed(self._young_until) and passed(confirmed_at + LOOK_PAUSE)
+        is_awaited = not passed(self._startup_deadline) and passed(
+            confirmed_at + RESTART_CHECK_INTERVAL
+        )
         if is_other or is_awaited:
-            self._look()
+            self._check_restarts()
         return False
 
-    def _look(self):
+    def _check_restarts(self):
         """Read the list to its end, once at a time."""
-        if self._looking is None or self._looking.done():
-            look = self.tail.confirm(deadline_in(LOOK_TIMEOUT))
-            self._looking = asyncio.ensure_future(look)
+        if self._restart_check is None or self._restart_check.done():
+            look = self.tail.confirm(deadline_in(RESTART_CHECK_TIMEOUT))
+            self._restart_check = asyncio.ensure_future(look)
 
-    def ranking(self, key):
+    def rank(self, key):
         """Return this instance's place among the living for ``key``, 0 for the first.
 
         Entry points come first, and of these the ones with the most processor: what
         ``key`` stands for is done by one of them. All agree on the order as far as
         they agree on who lives.
         """
-        return self._order(self._current, key).index(self._address)
+        return self._ranking(self._current_view, key).index(self._address)
 
-    def _order(self, view, key):
+    def _ranking(self, view, key):
         if key not in view.rankings:
-            view.rankings[key] = self._ranked(view, key)
+            view.rankings[key] = self._compute_ranking(view, key)
         return view.rankings[key]
 
-    def _ranked(self, view, key):
+    def _compute_ranking(self, view, key):
         cores = {one.address: one.cores for one in view.alive}
         cores[self._address] = self._cores
         points = view.all_entry_points
@@ -375,12 +388,12 @@
         on as from a renewal. Whoever had lapsed before stays so: after each lost read
         callers would be sent to instances that ended long ago.
         """
-        if self.tail.ended_at - one.at < one.lapses_after:
+        if self.tail.ended_at - one.renewed_at < one.lapse_timeout:
             return True
         silence = self.tail.silence
-        if silence is None or passed(silence.until + one.lapses_after):
+        if silence is None or passed(silence.until + one.lapse_timeout):
             return False
-        return silence.since - one.at < one.lapses_after
+        return silence.since - one.renewed_at < one.lapse_timeout
 
     def _document(self):
         document = {
@@ -403,19 +416,19 @@
         elif value:
             self.is_listed = True
 
-    def _take(self, key, value):
+    def _apply_record(self, key, value):
         if not value:
-            self._seen.pop(key, None)
+            self._records.pop(key, None)
             self._view = None
             return
-        known = self._seen.get(key)
+        known = self._records.get(key)
         if known is not None and known.data == value:
-            known.at = now()
+            known.renewed_at = now()
             known.is_renewed = known.is_renewed or self.tail.loaded
             return
         try:
-            self._seen[key] = InstanceRecord(value, is_renewed=self.tail.loaded)
-        except MALFORMED as error:
+            self._records[key] = InstanceRecord(value, is_renewed=self.tail.loaded)
+        except RECORD_ERRORS as error:
             note("instance.record_unreadable", key=key, reason=repr(error)[:200])
             return
         self._view = None
--- a/sassafrasdoor/routing/loads.py
+++ b/sassafrasdoor/routing/loads.py
@@ -9,7 +9,7 @@
 
 # Polls of all instances must not come at the same moment at one server.
 JITTER = 0.3
-MAX_POLLS_AT_ONCE = 32
+MAX_CONCURRENT_LOAD_POLLS = 32
 
 POLLS = metrics.counter("sassafrasdoor_load_polls_total", "Load reports asked for.")
 POLL_FAILURES = metrics.counter(
@@ -38,8 +38,8 @@
 
     async def poll_once(self):
         """Ask every server in use once."""
-        places = asyncio.Semaphore(MAX_POLLS_AT_ONCE)
-        in_use = self._chooser.in_use(self._view_getter())
+        places = asyncio.Semaphore(MAX_CONCURRENT_LOAD_POLLS)
+        in_use = self._chooser.backends_in_use(self._view_getter())
         await asyncio.gather(*[self._poll(one, places) for one in in_use])
 
     async def _poll(self, backend, places):
@@ -50,7 +50,7 @@
             self._chooser.report(backend, load)
         else:
             POLL_FAILURES.inc({})
-            self._chooser.unreported(backend)
+            self._chooser.record_missed_report(backend)
 
     async def _load(self, backend):
         # A frozen server takes the connection and never answers. Without this
--- a/sassafrasdoor/routing/placement.py
+++ b/sassafrasdoor/routing/placement.py
@@ -17,30 +17,30 @@
 
     ``load`` and ``slots`` count samples; ``pace`` is the seconds between two events of
     its samples, None while unknown. ``versions`` maps models to weight versions.
-    ``closed`` holds the models of which it takes no item now, as it loads them or has
+    ``unavailable_models`` holds the models of which it takes no item now, as it loads them or has
     refused one.
     """
 
     __slots__ = (
-        "closed",
+        "unavailable_models",
         "identity",
         "load",
         "pace",
         "replica",
         "slots",
-        "suspect",
+        "is_suspect",
         "versions",
     )
 
-    def __init__(self, replica, load, suspect, closed):
+    def __init__(self, replica, load, is_suspect, unavailable_models):
         self.replica = replica
         self.identity = replica.identity
         self.load = load
         self.slots = max(1, replica.listing.slots)
         self.pace = replica.pace
-        self.suspect = suspect
+        self.is_suspect = is_suspect
         self.versions = replica.versions
-        self.closed = closed
+        self.unavailable_models = unavailable_models
 
     @property
     def free_slots(self):
@@ -49,16 +49,16 @@
 
 
 class Requirement:
-    """What an item requires: weights of ``model`` not older than ``oldest``.
+    """What an item requires: weights of ``model`` not older than ``min_version``.
 
     ``avoid`` is the identity of the replica that its sample leaves, empty for none.
     """
 
-    __slots__ = ("avoid", "model", "oldest")
+    __slots__ = ("avoid", "model", "min_version")
 
-    def __init__(self, model, oldest, avoid=""):
+    def __init__(self, model, min_version, avoid=""):
         self.model = model
-        self.oldest = oldest
+        self.min_version = min_version
         self.avoid = avoid
 
 
@@ -82,25 +82,33 @@
     return slow.pace >= MIGRATION_THRESHOLD * better.pace and better.free_slots > 0
 
 
-def is_unresponsive(sent_at, heard_at, loading, moment):
+def is_unresponsive(sent_at, last_received_at, is_loading, moment):
     """Say whether an item without a first event should leave its replica.
 
-    ``sent_at``, ``heard_at`` (last byte on any of its streams) and ``moment`` are
-    monotonic seconds; ``loading`` says that the replica was ordered to load weights.
+    ``sent_at``, ``last_received_at`` (last byte on any of its streams) and ``moment`` are
+    monotonic seconds; ``is_loading`` says that the replica was ordered to load weights.
     """
-    return not loading and moment >= max(sent_at, heard_at) + UNRESPONSIVE_AFTER
+    return (
+        not is_loading and moment >= max(sent_at, last_received_at) + UNRESPONSIVE_AFTER
+    )
 
 
 def _takes(one, requirement):
-    if one.suspect or one.free_slots <= 0 or one.identity == requirement.avoid:
+    if one.is_suspect or one.free_slots <= 0 or one.identity == requirement.avoid:
         return False
     if not requirement.model:
         return True
     held = one.versions.get(requirement.model, 0)
-    return held >= requirement.oldest and requirement.model not in one.closed
+    return (
+        held >= requirement.min_version
+        and requirement.model not in one.unavailable_models
+    )
 
 
 def _cost(one, median):
     """Return the estimated pace with one more item there, then the identity."""
     pace = one.pace or median
-    return (pace * (1 + LOAD_WEIGHT * (one.load + 1) / one.slots), one.identity)
+    return (
+        pace * (1 + LOAD_WEIGHT * (one.load + 1) / one.slots),
+        one.identity,
+    )
--- a/sassafrasdoor/routing/replicas.py
+++ b/sassafrasdoor/routing/replicas.py
@@ -6,22 +6,22 @@
 from sassafrasdoor.routing.backend_state import BackendState
 from sassafrasdoor.routing.placement import Candidate
 
-SUSPECT_FOR = 1.0
+SUSPECT_DURATION = 1.0
 """Seconds without work after a failure, doubled with each in a row: a restarted
 replica is tried again soon, a dark one costs one call in eight seconds."""
-OUTAGE_GRACE = 2.3
+OUTAGE_GRACE_PERIOD = 2.3
 """Seconds after the list's return that a lapsed entry may need to come back: the
 platform names about two, and the list is read each third of a second; a replica is
 tried meanwhile, its calls name its identity."""
-USUAL_HEARTBEAT = 1.2
+DEFAULT_HEARTBEAT_INTERVAL = 1.2
 """Seconds between two heartbeats of a replica, unless the platform names others."""
-MISSED_TO_LAPSE = 2
+MIN_MISSED_HEARTBEATS = 2
 """Heartbeats that an outage must last before the entry of a living replica ends: the
 third one in a row that does not come ends it, and the first may be due at its begin."""
 ZONE_PENALTY = 0.25
 """Load, as a share of capacity, that a replica in another zone must be better by:
 a call of 1 KB across zones costs little, but a second kept connection does not pay."""
-LOAD_TRUSTED_FOR = 1.0
+LOAD_REPORT_LIFETIME = 1.0
 """Seconds that the load told beside an answer counts; calls last under a second."""
 
 PACE_WEIGHT = 0.03
@@ -58,16 +58,16 @@
     it may get an item again that it has refused.
 
     ``loading_until`` maps a model to when a load that this process ordered ends;
-    ``heard_at`` is when one of its streams last sent something,
+    ``last_received_at`` is when one of its streams last sent something,
     ``pace`` is the smoothed time between two events of its streams in seconds, None
     before the first.
     """
 
     __slots__ = (
-        "_others",
-        "_others_until",
+        "_other_callers_load",
+        "_other_callers_load_deadline",
         "absent_until",
-        "heard_at",
+        "last_received_at",
         "identity",
         "listing",
         "loading_until",
@@ -86,12 +86,12 @@
         self.loading_until = {}
         self.refused_until = {}
         self.pace = None
-        self.heard_at = LONG_AGO
-        self._others = 0
-        self._others_until = 0.0
+        self.last_received_at = LONG_AGO
+        self._other_callers_load = 0
+        self._other_callers_load_deadline = 0.0
 
     @property
-    def usable(self):
+    def is_usable(self):
         """Whether it may get new work."""
         return not self.listing.leaving and (
             self.absent_until is None or not passed(self.absent_until)
@@ -100,37 +100,43 @@
     @property
     def load(self):
         """Estimated places taken: own calls, and others' where told of late."""
-        others = 0 if passed(self._others_until) else self._others
+        others = (
+            0 if passed(self._other_callers_load_deadline) else self._other_callers_load
+        )
         return self.state.in_flight + others
 
     @property
-    def room(self):
+    def free_slots(self):
         """Estimated free places."""
         return self.listing.slots - self.load
 
     def candidate(self):
         """Return a ``Candidate``: its estimated state at this moment."""
-        closed = {model for model, at in self.loading_until.items() if not passed(at)}
-        closed |= {model for model, at in self.refused_until.items() if not passed(at)}
-        return Candidate(self, self.load, self.state.suspect, closed)
-
-    def told_load(self, running, waiting):
+        unavailable_models = {
+            model for model, at in self.loading_until.items() if not passed(at)
+        }
+        unavailable_models |= {
+            model for model, at in self.refused_until.items() if not passed(at)
+        }
+        return Candidate(self, self.load, self.state.is_suspect, unavailable_models)
+
+    def record_load(self, running, waiting):
         """Take the load told beside an answer; own calls are part of it."""
-        self._others = max(0, running + waiting - self.state.in_flight)
-        self._others_until = deadline_in(LOAD_TRUSTED_FOR)
+        self._other_callers_load = max(0, running + waiting - self.state.in_flight)
+        self._other_callers_load_deadline = deadline_in(LOAD_REPORT_LIFETIME)
 
     @property
-    def loading(self):
+    def is_loading(self):
         """Whether a load that this process ordered has not ended yet."""
         return any(not passed(at) for at in self.loading_until.values())
 
-    def told_gap(self, seconds):
+    def record_event_interval(self, seconds):
         """Take the time between two events of one of its streams."""
         if self.pace is None:
             self.pace = seconds
         self.pace += PACE_WEIGHT * (seconds - self.pace)
 
-    def told_version(self, model, version):
+    def record_version(self, model, version):
         """Take the weight version told beside an answer or by an order's reply."""
         self.versions[model] = version
 
@@ -151,7 +157,7 @@
         "list_tail",
     )
 
-    def __init__(self, zone, heartbeat=USUAL_HEARTBEAT):
+    def __init__(self, zone, heartbeat=DEFAULT_HEARTBEAT_INTERVAL):
         self._zone = zone
         self._heartbeat = heartbeat
         self._known = {}
@@ -177,14 +183,14 @@
         return [
             one
             for one in self._known.values()
-            if one.listing.service == service and one.usable
+            if one.listing.service == service and one.is_usable
         ]
 
     def get(self, identity):
         """Return the replica, or None."""
         return self._known.get(identity)
 
-    def listed(self, identity, listing):
+    def update_listing(self, identity, listing):
         """Take an entry of the platform's list.
 
         One of an earlier incarnation that comes late changes nothing.
@@ -194,7 +200,7 @@
             note("replica.entry_late", replica=identity, born=listing.born)
             return
         if known is not None and listing.born > known.listing.born:
-            known = self._restarted(known)
+            known = self._forget_incarnation(known)
         if known is None:
             known = self._known[identity] = Replica(identity, listing)
             self._note("listed", known)
@@ -209,7 +215,7 @@
         known.absent_until = None
         self._changed()
 
-    def _restarted(self, known):
+    def _forget_incarnation(self, known):
         """Forget an incarnation; its place is free for the next."""
         # A replica that starts again under its identity holds nothing and knows
         # nothing. Its former versions believed, steps would be sent to weights that
@@ -219,12 +225,12 @@
         for callback in self._restart_callbacks:
             callback(known)
 
-    def refuse(self, identity):
+    def discard(self, identity):
         """Drop a replica whose newest entry names none that could be used."""
         if self._known.pop(identity, None) is not None:
             self._changed()
 
-    def unlisted(self, identity):
+    def remove_listing(self, identity):
         """Take the end of an entry.
 
         Entries also lapse while the list itself is away, and come back within
@@ -234,16 +240,16 @@
         known = self._known.get(identity)
         if known is None:
             return
-        tried_until = self._lapses_until
+        tried_until = self._lapse_deadline
         if passed(tried_until):
             del self._known[identity]
             self._note("gone", known)
         else:
             known.absent_until = tried_until
-            self._note("absent", known, **self._silence_fields(tried_until))
+            self._note("absent", known, **self._outage_fields(tried_until))
         self._changed()
 
-    def sweep(self):
+    def remove_lapsed(self):
         """Forget replicas whose entry did not come back."""
         for identity, one in list(self._known.items()):
             if one.absent_until is not None and passed(one.absent_until):
@@ -251,7 +257,7 @@
                 self._note("gone", one)
 
     @property
-    def _lapses_until(self):
+    def _lapse_deadline(self):
         """Until when the end of an entry may be a lapse of the list's last outage.
 
         Counted from the entry's end instead of from the list's return, or after any lost
@@ -260,9 +266,9 @@
         silence = self.list_tail.silence if self.list_tail is not None else None
         if silence is None:
             return LONG_AGO
-        if silence.until - silence.since < MISSED_TO_LAPSE * self._heartbeat:
+        if silence.until - silence.since < MIN_MISSED_HEARTBEATS * self._heartbeat:
             return LONG_AGO
-        return silence.until + OUTAGE_GRACE
+        return silence.until + OUTAGE_GRACE_PERIOD
 
     def choose(self, service, avoid=()):
         """Return the least loaded replica of a service, or None.
@@ -271,15 +277,15 @@
         kept connections are used again and no bytes cross zones.
         """
         found = [one for one in self.of_service(service) if one.identity not in avoid]
-        sound = [one for one in found if not one.state.suspect] or found
+        sound = [one for one in found if not one.state.is_suspect] or found
         return min(sound, key=self._cost, default=None)
 
     def _cost(self, one):
-        share = (one.load + one.state.weighing_failures) / max(1, one.listing.slots)
+        share = (one.load + one.state.recent_failures) / max(1, one.listing.slots)
         away = 0.0 if one.listing.zone == self._zone else ZONE_PENALTY
         return (share + away, one.identity)
 
-    def _silence_fields(self, until):
+    def _outage_fields(self, until):
         """Return what decided for how long a lapsed entry is believed on."""
         fields = {"tried_seconds": round(remaining(until), 3)}
         silence = self.list_tail.silence
--- a/sassafrasdoor/routing/tests/test_chooser.py
+++ b/sassafrasdoor/routing/tests/test_chooser.py
@@ -127,7 +127,9 @@
             (
                 "three load reports did not come",
                 view(count=2),
-                lambda chooser, one: [chooser.unreported(one) for _ in range(3)],
+                lambda chooser, one: [
+                    chooser.record_missed_report(one) for _ in range(3)
+                ],
             ),
         ]
         for name, seen, tell in cases:
--- a/sassafrasdoor/routing/tests/test_instances.py
+++ b/sassafrasdoor/routing/tests/test_instances.py
@@ -45,7 +45,7 @@
         self.assertNotIn("i1:80", self.all[0].addresses("c"))
 
     async def test_instance_that_stopped_renewing_is_left_out(self):
-        self.all[0]._seen["i1:80"].at = LONG_AGO
+        self.all[0]._records["i1:80"].renewed_at = LONG_AGO
         self.assertNotIn("i1:80", self.all[0].addresses("c"))
 
     async def test_nobody_lapses_while_the_log_is_away(self):
@@ -55,8 +55,8 @@
         were taken for lapsed although nobody could renew them.
         """
         tail = self.all[0].tail
-        for one in self.all[0]._seen.values():
-            one.at = now() - instance_view.LAPSE_AFTER + 0.5
+        for one in self.all[0]._records.values():
+            one.renewed_at = now() - instance_view.LAPSE_TIMEOUT + 0.5
         tail.failing_since = now()
         await asyncio.sleep(0.6)
         others = {"i1:80", "i2:80", "i3:80", "i4:80"}
@@ -69,8 +69,8 @@
         """Guards against new entry points that read all steps as the log falls silent."""
         tail, peers = self.all[0].tail, {f"i{at}:80" for at in range(1, 5)}
         tail.ended_at = now() - 2.0
-        for one in self.all[0]._seen.values():
-            one.at = tail.ended_at - instance_view.LAPSE_AFTER + 0.5
+        for one in self.all[0]._records.values():
+            one.renewed_at = tail.ended_at - instance_view.LAPSE_TIMEOUT + 0.5
         for tail.failing_since in (None, now()):
             self.all[0]._view = None
             self.assertLessEqual(peers, set(self.all[0].addresses("c")))
@@ -82,8 +82,8 @@
     async def test_part_of_what_came_in_a_silence_makes_nobody_lapse(self):
         """Guards against peers that lapse by the first of several answers."""
         tail, peers = self.all[0].tail, {f"i{at}:80" for at in range(1, 5)}
-        for one in self.all[0]._seen.values():
-            one.at = tail.ended_at - instance_view.LAPSE_AFTER + 0.1
+        for one in self.all[0]._records.values():
+            one.renewed_at = tail.ended_at - instance_view.LAPSE_TIMEOUT + 0.1
         for one in self.all:
             await one._write(one._document())
         await asyncio.sleep(0.2)
@@ -101,7 +101,7 @@
         heard of counted as living for three seconds.
         """
         tail = self.all[0].tail
-        self.all[0]._seen["i1:80"].at = now() - 60.0
+        self.all[0]._records["i1:80"].renewed_at = now() - 60.0
         self.assertNotIn("i1:80", self.all[0].addresses("c"))
         tail.silence = Silence(now() - 2.0, now())
         tail.restored_at = tail.silence.until
@@ -114,12 +114,12 @@
         Sequence: the instance is cut off from the log, not from callers, and goes on
         naming itself. Cause: its own reads were not looked at.
         """
-        self.all[0].tail.failing_since = now() - module.CUT_OFF_AFTER - 0.1
+        self.all[0].tail.failing_since = now() - module.READ_FAILURE_TIMEOUT - 0.1
         self.assertNotIn("i0:80", self.all[0].addresses("c"))
         self.assertNotIn("i0:80", self.all[0].addresses("a"))
 
     async def test_all_agree_on_one_ranking(self):
-        ranks = sorted(one.ranking("x") for one in self.all)
+        ranks = sorted(one.rank("x") for one in self.all)
         self.assertEqual(ranks, [0, 1, 2, 3, 4])
 
     async def test_each_zone_has_a_first_and_calls_are_handed_to_it_after_a_start(self):
@@ -129,11 +129,11 @@
         the others hand a trainer's reads on. Cause: they handed them to a neighbour
         picked at random, which had not read the steps either.
         """
-        few, module.FEW = module.FEW, 0
-        self.addCleanup(setattr, module, "FEW", few)
+        few, module.MAX_SHUFFLED_ENTRY_POINTS = module.MAX_SHUFFLED_ENTRY_POINTS, 0
+        self.addCleanup(setattr, module, "MAX_SHUFFLED_ENTRY_POINTS", few)
         zones = {"a": [0, 2, 4], "b": [1, 3]}
         for members in zones.values():
-            first = min(members, key=lambda at: self.all[at].ranking("shards"))
+            first = min(members, key=lambda at: self.all[at].rank("shards"))
             for at in set(members) - {first}:
                 self.assertEqual(self.all[at].peers()[0], f"i{first}:80")
 
@@ -148,13 +148,13 @@
         await self.tell_read(1)
         for at in (0, 2, 3, 4):
             for _ in range(5):
-                self.assertEqual(self.all[at].peers_to_ask(3), ["i1:80"])
+                self.assertEqual(self.all[at].reader_candidates(3), ["i1:80"])
 
     async def test_calls_are_handed_to_another_zone_too(self):
         """Guards against callers of a zone whose instances are all late."""
         await self.tell_read(1, 2, 3, 4)
         for _ in range(5):
-            near, far, *rest = self.all[0].peers_to_ask(3)
+            near, far, *rest = self.all[0].reader_candidates(3)
             self.assertIn(near, ("i2:80", "i4:80"))
             self.assertIn(far, ("i1:80", "i3:80"))
             self.assertEqual(len(rest), 1)
@@ -164,7 +164,7 @@
         self.all[1].in_reserve = True
         await self.tell_read(1)
         self.assertNotIn("i1:80", self.all[0].peers())
-        self.assertEqual(self.all[0].peers_to_ask(3), ["i1:80"])
+        self.assertEqual(self.all[0].reader_candidates(3), ["i1:80"])
 
     async def test_submissions_are_not_all_handed_to_the_one_reader(self):
         """Guards against retries that all meet the same instance."""
@@ -174,56 +174,60 @@
 
     async def test_calls_are_not_multiplied_while_nobody_has_read(self):
         """Guards against three calls for each one after a start of all instances."""
-        self.assertEqual(len(self.all[0].peers_to_ask(3)), 1)
+        self.assertEqual(len(self.all[0].reader_candidates(3)), 1)
         await self.tell_read(1, 2, 3)
-        self.assertEqual(len(self.all[0].peers_to_ask(3)), 3)
+        self.assertEqual(len(self.all[0].reader_candidates(3)), 3)
 
     async def test_record_of_before_the_start_tells_nothing_of_reading(self):
         """Guards against trust in what instances had read before all lost power."""
         await self.tell_read(0, 1, 2, 3, 4)
         started = instance(self.log, "i4", "a")
         await started.tail.poll(0)
-        self.assertEqual(len(started.peers_to_ask(3)), 1)
-        self.assertEqual(started.unread_before("x"), started.ranking("x"))
+        self.assertEqual(len(started.reader_candidates(3)), 1)
+        self.assertEqual(started.unread_entry_points_before("x"), started.rank("x"))
         document = json.loads(self.all[2]._document())
         record = keyed_record("i2:80", json.dumps({**document, "read": False}).encode())
         await self.log.append(module.TOPIC, 0, [record], deadline_in(1))
         await started.tail.poll(0)
-        asked = {started.peers_to_ask(3)[0] for _ in range(30)}
+        asked = {started.reader_candidates(3)[0] for _ in range(30)}
         self.assertEqual(asked, {"i0:80"})
         await self.tell_read(1)
         await started.tail.poll(0)
-        self.assertEqual(started.peers_to_ask(3), ["i1:80"])
+        self.assertEqual(started.reader_candidates(3), ["i1:80"])
 
     async def test_those_that_have_read_are_not_waited_for(self):
         """Guards against turns that a restarted instance waits for in vain."""
-        by_rank = sorted(self.all, key=lambda one: one.ranking("x"))
+        by_rank = sorted(self.all, key=lambda one: one.rank("x"))
         for one in self.all:
             await one._write(one._document())
         await self.read()
-        self.assertEqual([one.unread_before("x") for one in by_rank], [0, 1, 2, 3, 4])
+        self.assertEqual(
+            [one.unread_entry_points_before("x") for one in by_rank], [0, 1, 2, 3, 4]
+        )
         await self.tell_read(self.all.index(by_rank[0]), self.all.index(by_rank[2]))
-        self.assertEqual([one.unread_before("x") for one in by_rank], [0, 0, 1, 1, 2])
+        self.assertEqual(
+            [one.unread_entry_points_before("x") for one in by_rank], [0, 0, 1, 1, 2]
+        )
 
     async def test_those_that_say_nothing_are_not_waited_for(self):
         """Guards against a fleet that waits for instances without power."""
-        by_rank = sorted(self.all, key=lambda one: one.ranking("x"))
+        by_rank = sorted(self.all, key=lambda one: one.rank("x"))
         last = by_rank[-1]
-        for seen in last._seen.values():
+        for seen in last._records.values():
             seen.is_renewed = False
-        self.assertEqual(last.unread_before("x"), 4)
-        last._heard_by = LONG_AGO
-        self.assertEqual(last.unread_before("x"), 0)
+        self.assertEqual(last.unread_entry_points_before("x"), 4)
+        last._first_renewal_deadline = LONG_AGO
+        self.assertEqual(last.unread_entry_points_before("x"), 0)
 
     async def test_records_of_an_earlier_program_are_not_waited_for(self):
         """Guards against an update that waits for instances which cannot tell."""
-        by_rank = sorted(self.all, key=lambda one: one.ranking("x"))
+        by_rank = sorted(self.all, key=lambda one: one.rank("x"))
         first = by_rank[0]
         document = json.loads(first._document())
         del document["read"]
         await first._write(json.dumps(document).encode())
         await self.read()
-        self.assertEqual(by_rank[1].unread_before("x"), 0)
+        self.assertEqual(by_rank[1].unread_entry_points_before("x"), 0)
 
     async def test_reading_is_told_at_once(self):
         """Guards against callers that are refused for the time between renewals."""
@@ -272,17 +276,17 @@
         put in the order of the list as it is now. Cause: two looks at a list that is
         worked out anew each fifth of a second.
         """
-        few, module.FEW = module.FEW, 0
-        self.addCleanup(setattr, module, "FEW", few)
-        holds, instance_view.VIEW_HOLDS = instance_view.VIEW_HOLDS, 0.0
-        self.addCleanup(setattr, instance_view, "VIEW_HOLDS", holds)
+        few, module.MAX_SHUFFLED_ENTRY_POINTS = module.MAX_SHUFFLED_ENTRY_POINTS, 0
+        self.addCleanup(setattr, module, "MAX_SHUFFLED_ENTRY_POINTS", few)
+        holds, instance_view.VIEW_LIFETIME = instance_view.VIEW_LIFETIME, 0.0
+        self.addCleanup(setattr, instance_view, "VIEW_LIFETIME", holds)
         one = self.all[0]
         alive = [True] * 4 + [False] * 100
         with mock.patch.object(Instances, "_is_alive", lambda _, seen: alive.pop(0)):
             self.assertEqual(len(one.peers()), 3)
         alive = [True] * 5 + [False] * 100
         with mock.patch.object(Instances, "_is_alive", lambda _, seen: alive.pop(0)):
-            self.assertLessEqual(one.unread_before("shards"), 3)
+            self.assertLessEqual(one.unread_entry_points_before("shards"), 3)
 
     async def test_process_has_ended_once_its_instance_lists_another(self):
         """Symptom: a living process is taken for ended, or an ended one waited for.
@@ -317,9 +321,9 @@
         while not reader.has_ended("i0:80", "i0:80/first", reader.tail.confirmed_at):
             self.assertLess(now(), limit)
             await asyncio.sleep(0.01)
-        reader._young_until = LONG_AGO
+        reader._startup_deadline = LONG_AGO
         reader.has_ended("i0:80", "i0:80/second", reader.tail.confirmed_at)
-        self.assertTrue(reader._looking.done())
+        self.assertTrue(reader._restart_check.done())
 
     async def test_one_order_serves_many_questions(self):
         """Symptom: with 300 instances each spends a seventh of a core on nothing.
@@ -333,13 +337,13 @@
             mock.patch.object(instance_view, "ranked", ordering),
         ):
             for _ in range(100):
-                self.all[0].ranking("x")
+                self.all[0].rank("x")
                 self.assertTrue(self.all[0].is_entry_point)
         self.assertLess(ordering.call_count, 100)
 
     async def test_different_duties_have_different_first_places(self):
         firsts = {
-            next(at for at, one in enumerate(self.all) if one.ranking(f"x-{key}") == 0)
+            next(at for at, one in enumerate(self.all) if one.rank(f"x-{key}") == 0)
             for key in range(20)
         }
         self.assertGreater(len(firsts), 1)
@@ -348,8 +352,8 @@
         self.all[3]._cores = 2.0
         await self.all[3]._write(self.all[3]._document())
         await self.read()
-        self.assertEqual(self.all[3].ranking("x"), 0)
-        self.assertEqual(sorted(one.ranking("x") for one in self.all), [0, 1, 2, 3, 4])
+        self.assertEqual(self.all[3].rank("x"), 0)
+        self.assertEqual(sorted(one.rank("x") for one in self.all), [0, 1, 2, 3, 4])
 
     async def test_callers_of_a_large_zone_share_some_instances(self):
         """Symptom: each call opens a connection to a replica.
@@ -362,7 +366,7 @@
             await one._write(one._document())
         await self.read()
         named = [tuple(one.addresses("d")) for one in self.all]
-        self.assertEqual(len(named[0]), instance_view.USUAL_IN_ZONE)
+        self.assertEqual(len(named[0]), instance_view.MIN_ENTRY_POINTS)
         self.assertEqual(len(set(named)), 1)
         self.assertLessEqual(set(named[0]), {*self.all[0].peers()})
         self.assertTrue(all(one.is_entry_point for one in self.all))
@@ -372,7 +376,7 @@
         entries = [one._address for one in newcomers if one.is_entry_point]
         self.assertEqual(set(entries), set(named[0]))
         self.assertTrue(
-            all(one.ranking("x") >= 9 for one in newcomers if not one.is_entry_point)
+            all(one.rank("x") >= 9 for one in newcomers if not one.is_entry_point)
         )
 
     async def test_few_large_instances_have_a_fifth_of_a_zones_processor(self):
@@ -381,12 +385,14 @@
             one = instance(self.log, f"i{10 + at}", "d", cores)
             await one._write(one._document())
         await self.read()
-        self.assertEqual(len(self.all[0].addresses("d")), instance_view.USUAL_IN_ZONE)
+        self.assertEqual(
+            len(self.all[0].addresses("d")), instance_view.MIN_ENTRY_POINTS
+        )
 
     async def test_lonely_instance_names_itself(self):
         alone = instance(MemoryPartitionedLog(), "x", "a")
         self.assertEqual(alone.addresses("a"), ["x:80"])
-        self.assertEqual(alone.ranking("x"), 0)
+        self.assertEqual(alone.rank("x"), 0)
 
 
 class ReserveTest(unittest.IsolatedAsyncioTestCase):
@@ -395,7 +401,10 @@
     async def asyncSetUp(self):
         self.log = MemoryPartitionedLog()
         self.all = [instance(self.log, f"i{at}", "a") for at in range(12)]
-        for where, name in ((module, "RENEW_INTERVAL"), (instance_view, "VIEW_HOLDS")):
+        for where, name in (
+            (module, "RENEW_INTERVAL"),
+            (instance_view, "VIEW_LIFETIME"),
+        ):
             self.addCleanup(setattr, where, name, getattr(where, name))
             setattr(where, name, 0.0)
         for one in self.all:
@@ -426,7 +435,7 @@
         await asyncio.sleep(0)
         await self.read()
         for other in self.all:
-            other._seen[one._address].at = LONG_AGO
+            other._records[one._address].renewed_at = LONG_AGO
 
     async def test_instances_in_reserve_renew_seldom(self):
         """Guards against a list whose reading costs grow with the square of a fleet."""
@@ -471,7 +480,7 @@
         for _ in range(4):
             found.append(len(self.called()))
             for one in self.all:
-                one._short._since["a"] -= instance_view.CALL_STEP
+                one._shortages._since["a"] -= instance_view.PROMOTION_INTERVAL
         self.assertEqual(found, [1, 2, 4, 8])
 
     async def test_calls_begin_anew_once_a_zone_has_had_enough(self):
@@ -480,10 +489,10 @@
         await self.ends(ended)
         self.called()
         for one in self.all:
-            one._short._since["a"] -= 3 * instance_view.CALL_STEP
+            one._shortages._since["a"] -= 3 * instance_view.PROMOTION_INTERVAL
         self.assertGreater(len(self.called()), 1)
         for one in self.all:
-            one._seen[ended._address].at = now()
+            one._records[ended._address].renewed_at = now()
         self.assertEqual(self.called(), [])
         await self.ends(ended)
         self.assertEqual(len(self.called()), 1)
--- a/sassafrasdoor/routing/tests/test_placement.py
+++ b/sassafrasdoor/routing/tests/test_placement.py
@@ -15,11 +15,19 @@
 from sassafrasdoor.routing.replicas import Listing, Replica
 
 
-def make(identity, load=0, pace=0.04, slots=12, closed=(), version=1, suspect=False):
+def make(
+    identity,
+    load=0,
+    pace=0.04,
+    slots=12,
+    closed=(),
+    version=1,
+    is_suspect=False,
+):
     listing = Listing("s", f"{identity}:80", "z", slots, False, {"m": version})
     replica = Replica(identity, listing)
     replica.pace = pace
-    return Candidate(replica, load, suspect, set(closed))
+    return Candidate(replica, load, is_suspect, set(closed))
 
 
 class PlaceTest(unittest.TestCase):
@@ -38,7 +46,7 @@
             ("full", [make("a", 12)], {}, None),
             ("older weights", [make("a"), make("b", 9, version=2)], {"oldest": 2}, "b"),
             ("loading", [make("a", closed="m"), make("b", 9)], {}, "b"),
-            ("suspect", [make("a", suspect=True), make("b", 9)], {}, "b"),
+            ("suspect", [make("a", is_suspect=True), make("b", 9)], {}, "b"),
             ("unknown pace is usual", [make("a", 2, None), make("b", 3)], {}, "a"),
             ("left out", [make("a"), make("b", 11)], {"avoid": "a"}, "b"),
             ("nothing else", [make("a")], {"avoid": "a"}, None),
@@ -48,7 +56,10 @@
                 self.assertEqual(self.placed(found, **want), wanted)
 
     def test_only_much_slower_ones_are_left(self):
-        slow, usual = make("a", pace=0.15).replica, make("b", pace=0.08).replica
+        slow, usual = (
+            make("a", pace=0.15).replica,
+            make("b", pace=0.08).replica,
+        )
         free, full = make("c", pace=0.04), make("c", load=12)
         self.assertTrue(should_migrate(slow, free))
         self.assertTrue(should_migrate(usual, free))
@@ -65,10 +76,10 @@
             ("others get theirs", 8.0, 9.9, False, False),
             ("loads", 8.0, 8.5, True, False),
         ]
-        for name, sent_at, heard_at, loading, wanted in cases:
+        for name, sent_at, last_received_at, loading, wanted in cases:
             with self.subTest(name):
                 self.assertEqual(
-                    is_unresponsive(sent_at, heard_at, loading, 10.0), wanted
+                    is_unresponsive(sent_at, last_received_at, loading, 10.0), wanted
                 )
 
 
--- a/sassafrasdoor/routing/tests/test_replicas.py
+++ b/sassafrasdoor/routing/tests/test_replicas.py
@@ -21,7 +21,7 @@
 
     def listed(self, identity, zone="a", leaving=False, versions=None):
         listing = Listing("s", f"{identity}:80", zone, 4, leaving, versions or {})
-        self.replicas.listed(identity, listing)
+        self.replicas.update_listing(identity, listing)
         return self.replicas.get(identity)
 
     def names(self):
@@ -31,17 +31,17 @@
         for name in "xyz":
             self.listed(name)
         self.listed("x", leaving=True)
-        self.replicas.unlisted("y")
+        self.replicas.remove_listing("y")
         self.assertEqual(self.names(), ["z"])
 
     def test_entries_that_lapse_in_an_outage_are_tried_on(self):
         """Guards against lapsed entries taken for ended replicas in an outage."""
         self.listed("x")
         self.tail.silence = Silence(now() - 6.0, now())
-        self.replicas.unlisted("x")
+        self.replicas.remove_listing("x")
         self.assertEqual(self.names(), ["x"])
         self.replicas.get("x").absent_until = LONG_AGO
-        self.replicas.sweep()
+        self.replicas.remove_lapsed()
         self.assertEqual(self.names(), [])
 
     def test_end_of_an_entry_is_believed_from_the_return_on(self):
@@ -49,21 +49,21 @@
         self.listed("x")
         returned_at = now() - 2.0
         self.tail.silence = Silence(returned_at - 6.0, returned_at)
-        self.replicas.unlisted("x")
+        self.replicas.remove_listing("x")
         used_until = getattr(self.replicas.get("x"), "absent_until", returned_at)
-        self.assertLessEqual(used_until, returned_at + module.OUTAGE_GRACE)
+        self.assertLessEqual(used_until, returned_at + module.OUTAGE_GRACE_PERIOD)
 
     def test_short_silence_ends_no_entry(self):
         """Guards against a lost read of the list that extends ended entries."""
         self.listed("x")
         self.tail.silence = Silence(now() - 2.0, now())
-        self.replicas.unlisted("x")
+        self.replicas.remove_listing("x")
         self.assertEqual(self.names(), [])
 
     def test_entry_that_comes_back_is_whole_again(self):
         self.listed("x")
         self.tail.silence = Silence(now() - 6.0, now())
-        self.replicas.unlisted("x")
+        self.replicas.remove_listing("x")
         self.assertIsNotNone(self.replicas.get("x").absent_until)
         self.listed("x")
         self.assertIsNone(self.replicas.get("x").absent_until)
@@ -77,7 +77,7 @@
 
     def test_failed_replica_is_avoided_but_used_alone(self):
         bad = self.listed("bad")
-        bad.state.failed(module.SUSPECT_FOR)
+        bad.state.failed(module.SUSPECT_DURATION)
         self.assertIs(self.replicas.choose("s"), bad)
         good = self.listed("good", zone="b")
         self.assertIs(self.replicas.choose("s"), good)
@@ -86,14 +86,14 @@
     def test_load_told_beside_answers_counts_others(self):
         one = self.listed("x")
         one.state.started()
-        one.told_load(3, 1)
-        self.assertEqual((one.load, one.room), (4, 0))
-        one._others_until = LONG_AGO
+        one.record_load(3, 1)
+        self.assertEqual((one.load, one.free_slots), (4, 0))
+        one._other_callers_load_deadline = LONG_AGO
         self.assertEqual(one.load, 1)
 
     def test_versions_told_are_kept_while_the_list_says_nothing_new(self):
         one = self.listed("x", versions={"m": 1})
-        one.told_version("m", 2)
+        one.record_version("m", 2)
         self.listed("x", versions={"m": 1})
         self.assertEqual(one.versions, {"m": 2})
         self.listed("x", versions={"m": 3})
@@ -111,23 +111,23 @@
 
     def listed(self, born, version=1, leaving=False):
         listing = Listing("s", "h:80", "a", 4, leaving, {"m": version}, born)
-        self.replicas.listed("x", listing)
+        self.replicas.update_listing("x", listing)
         return self.replicas.get("x")
 
     def test_nothing_is_remembered_of_the_one_before(self):
         """Guards against state of a former incarnation kept for the new one."""
         before = self.listed(1000, version=3)
-        before.told_version("m", 7)
-        before.told_load(4, 2)
-        before.told_gap(0.5)
+        before.record_version("m", 7)
+        before.record_load(4, 2)
+        before.record_event_interval(0.5)
         before.state.failed(60.0)
         before.state.started()
         before.loading_until["m"] = before.refused_until["m"] = now() + 60
         found = self.listed(2000, version=0)
         self.assertIsNot(found, before)
-        self.assertEqual((found.versions, found.room), ({"m": 0}, 4))
+        self.assertEqual((found.versions, found.free_slots), ({"m": 0}, 4))
         self.assertIsNone(found.pace)
-        self.assertFalse(found.state.suspect)
+        self.assertFalse(found.state.is_suspect)
         self.assertEqual((found.loading_until, found.refused_until), ({}, {}))
         self.assertEqual(self.restarted, [before])
 
@@ -136,15 +136,15 @@
         self.listed(1000, version=1, leaving=True)
         self.assertIs(self.replicas.get("x"), found)
         self.assertEqual(found.versions, {"m": 5})
-        self.assertTrue(found.usable)
+        self.assertTrue(found.is_usable)
         self.assertEqual(self.restarted, [])
 
     def test_same_one_is_the_same(self):
         found = self.listed(1000)
-        found.told_version("m", 4)
+        found.record_version("m", 4)
         self.assertIs(self.listed(1000), found)
         self.assertEqual(found.versions, {"m": 4})
 
     def test_one_that_left_may_start_again(self):
         self.listed(1000, leaving=True)
-        self.assertTrue(self.listed(2000).usable)
+        self.assertTrue(self.listed(2000).is_usable)
--- a/sassafrasdoor/steps/durable/rewards.py
+++ b/sassafrasdoor/steps/durable/rewards.py
@@ -94,7 +94,7 @@
         slots = sum(
             one.listing.slots
             for one in self._replicas.of_service(service)
-            if not one.state.suspect
+            if not one.state.is_suspect
         )
         return reward_order.free_slots(slots, self._in_flight.get(service, 0))
 
--- a/sassafrasdoor/steps/durable/runner.py
+++ b/sassafrasdoor/steps/durable/runner.py
@@ -17,7 +17,7 @@
 from sassafrasdoor.requests.crash_watch import CrashWatch
 from sassafrasdoor.requests.direct import DirectService
 from sassafrasdoor.routing import placement
-from sassafrasdoor.routing.replicas import SUSPECT_FOR
+from sassafrasdoor.routing.replicas import SUSPECT_DURATION
 from sassafrasdoor.steps.durable.jobs import Job
 from sassafrasdoor.steps.durable.order import ordered
 from sassafrasdoor.steps.durable.records import (
@@ -133,7 +133,7 @@
             except TimeoutError:
                 pass
             self._wake.clear()
-            self._replicas.sweep()
+            self._replicas.remove_lapsed()
             self._end_silent()
             self._keep_progress()
             self._dispatch()
@@ -344,7 +344,9 @@
         if job.last_event_at is not None:
             return passed(job.last_event_at + GAP_TIMEOUT)
         one = job.replica
-        return placement.is_unresponsive(job.sent_at, one.heard_at, one.loading, now())
+        return placement.is_unresponsive(
+            job.sent_at, one.last_received_at, one.is_loading, now()
+        )
 
     async def _attempt(self, job, replica):
         replica.state.started()
@@ -377,14 +379,14 @@
         """Take one event; return whether the stream is to go on."""
         if event.version and event.version < job.step.spec.min_version:
             job.why = OLD
-            job.replica.told_version(job.step.spec.model, event.version)
+            job.replica.record_version(job.step.spec.model, event.version)
             job.task.cancel()
             return False
         timeout.reschedule(None)
         if job.last_event_at is not None:
-            job.replica.told_gap(now() - job.last_event_at)
+            job.replica.record_event_interval(now() - job.last_event_at)
         job.take(event)
-        job.replica.heard_at = job.last_event_at
+        job.replica.last_received_at = job.last_event_at
         return True
 
     def _judge(self, job, replica, route, result):
@@ -402,7 +404,7 @@
             self._refused(job, replica, result)
         else:
             if job.why != MOVED:
-                replica.state.failed(SUSPECT_FOR)
+                replica.state.failed(SUSPECT_DURATION)
             if job.why not in ENDED_HERE:
                 job.broke_at = now()
                 self._crashes.judged(_ItemRun(job), replica, result)
@@ -437,7 +439,7 @@
         model = job.step.spec.model
         replica.refused_until[model] = deadline_in(REFUSED_PAUSE)
         if isinstance(result, WrongReplica):
-            replica.state.failed(SUSPECT_FOR)
+            replica.state.failed(SUSPECT_DURATION)
         self._again(job, replica, result.reason)
 
     def _again(self, job, replica, reason):
--- a/sassafrasdoor/steps/durable/tests/fixtures.py
+++ b/sassafrasdoor/steps/durable/tests/fixtures.py
@@ -76,7 +76,7 @@
         listing = Listing(
             SERVICE, f"10.0.0.{at}:80", "zone-a", slots, False, {MODEL: version}
         )
-        found.listed(f"e{at}", listing)
+        found.update_listing(f"e{at}", listing)
     return found
 
 
@@ -85,7 +85,7 @@
     for at in range(count):
         address = f"10.0.1.{at}:80"
         listing = Listing(SCORER, address, "zone-a", slots, False, {})
-        found.listed(f"s{at}", listing)
+        found.update_listing(f"s{at}", listing)
     return found
 
 
--- a/sassafrasdoor/steps/durable/tests/test_runner.py
+++ b/sassafrasdoor/steps/durable/tests/test_runner.py
@@ -166,7 +166,7 @@
         await self.start(ScriptedClient(), items=1, min_version=2)
         await asyncio.sleep(0)
         self.assertEqual(self.client.sent, [])
-        self.replicas.get("e0").told_version(MODEL, 2)
+        self.replicas.get("e0").record_version(MODEL, 2)
         self.client.script = [[(0, "x", 2)]]
         await self.samples(1)
 
@@ -231,7 +231,7 @@
         self.assertEqual(sample.text, "a\nb")
         sent = [(name, after) for name, _, after in self.client.sent]
         self.assertEqual(sent, [(begun, None), (other[begun], 0)])
-        self.assertFalse(found.get(begun).state.suspect)
+        self.assertFalse(found.get(begun).state.is_suspect)
 
     async def test_item_that_is_placed_is_not_moved_before_it_has_begun(self):
         """Guards against an item lost by cancelling an attempt that has not begun."""
--- a/sassafrasdoor/tests/test_pure_decisions.py
+++ b/sassafrasdoor/tests/test_pure_decisions.py
@@ -10,7 +10,7 @@
     "log/turns.py": "who reads first after all instances started together",
     "routing/placement.py": "which replica gets an item, which samples leave a slow one",
     "steps/durable/order.py": "in which order the items of a step begin",
-    "weights/pace.py": "how many replicas of a model load at the same time",
+    "weights/load_policy.py": "how many replicas of a model load at the same time",
     "steps/durable/reward_order.py": "which reward calls are sent, when, for how long",
 }
 ALLOWED = {"sassafrasdoor.steps.durable.records"}
--- a/sassafrasdoor/weights/named.py
+++ b/sassafrasdoor/weights/controller.py
@@ -12,7 +12,7 @@
 from sassafrasdoor.clock import LONG_AGO, deadline_in, now, passed
 from sassafrasdoor.decisions import note
 from sassafrasdoor.metrics import counter, histogram
-from sassafrasdoor.weights import pace
+from sassafrasdoor.weights import load_policy
 
 # Durations in seconds.
 POLL_INTERVAL = 0.1
@@ -28,7 +28,7 @@
 FIRST_FENCE = 1  # of the first holder ever, which takes over from nobody
 
 ORDERS = counter("weights_named_orders_total", "Orders to replicas, by result.")
-WAITED = histogram(
+ORDER_DELAY = histogram(
     "weights_named_wait_seconds",
     "Seconds from a version's name to an accepted order of it.",
     buckets=[0.1, 0.3, 0.6, 1, 1.5, 2.5, 4, 8],
@@ -67,8 +67,8 @@
         "_fence",
         "_handover",
         "_holder",
-        "_named",
-        "_named_at",
+        "_target_versions",
+        "_target_set_at",
         "_replicas",
         "_routes",
         "_last_orders",
@@ -85,8 +85,8 @@
         self._routes = routes
         self._handover = handover
         self._work = work
-        self._named = {}
-        self._named_at = {}
+        self._target_versions = {}
+        self._target_set_at = {}
         self._demand = {}
         self._assigned = {}
         self._last_orders = {}
@@ -96,11 +96,11 @@
         self._tasks = set()
         self._wake = asyncio.Event()
 
-    def named(self, model, version):
+    def set_target_version(self, model, version):
         """Take a version that a trainer has named; older ones change nothing."""
-        if version > self._named.get(model, 0):
-            self._named[model] = version
-            self._named_at[model] = now()
+        if version > self._target_versions.get(model, 0):
+            self._target_versions[model] = version
+            self._target_set_at[model] = now()
             note("weights.named", model=model, version=version)
             self._wake.set()
 
@@ -124,7 +124,7 @@
             except TimeoutError:
                 pass
             self._wake.clear()
-            if self._named and self._may_act():
+            if self._target_versions and self._may_act():
                 self._order_loads()
 
     def _may_act(self):
@@ -161,10 +161,12 @@
             for model in self._assigned.get(replica.identity, ()):
                 if loading >= most:
                     return
-                version = self._named.get(model, 0)
+                version = self._target_versions.get(model, 0)
                 if not self._is_due(replica, model, version):
                     continue
-                if not self._defers(replica, model) and self._may_load(replica, model):
+                if not self._should_defer(replica, model) and self._may_load(
+                    replica, model
+                ):
                     loading += 1
                     self._start_order(replica, model, version)
                     break
@@ -186,19 +188,21 @@
             one.model == model and not passed(one.load_deadline)
             for one in self._last_orders.values()
         )
-        return pace.may_load(own, loading, self._serves(replica, model))
+        return load_policy.may_load(
+            own, loading, self._serves_open_steps(replica, model)
+        )
 
-    def _serves(self, replica, model):
+    def _serves_open_steps(self, replica, model):
         """Say whether the weights of a replica are new enough for all open steps."""
         return replica.versions.get(model, 0) >= self._work.oldest_allowed(model)
 
-    def _defers(self, replica, model):
+    def _should_defer(self, replica, model):
         """Say whether a load is deferred, so that its replica serves queued items."""
-        return pace.should_defer(
-            self._named_at[model],
+        return load_policy.should_defer(
+            self._target_set_at[model],
             now(),
             bool(self._work.waiting(model)),
-            self._serves(replica, model),
+            self._serves_open_steps(replica, model),
         )
 
     def _start_order(self, replica, model, version):
@@ -214,7 +218,7 @@
             version,
             self._holder.identity,
             self._fence,
-            self._finish_first(replica),
+            self._must_finish_first(replica),
             deadline_in(ORDER_TIMEOUT),
         )
         result = await self._client.order(replica, order)
@@ -226,7 +230,7 @@
             model=model,
             version=version,
             believed=replica.versions.get(model, 0),
-            seconds_since_named=round(now() - self._named_at[model], 2),
+            seconds_since_named=round(now() - self._target_set_at[model], 2),
             fence=order.fence,
             outcome=outcome,
             reason="" if result is True else result.reason,
@@ -234,7 +238,7 @@
         if result is True:
             sent.retry_deadline = deadline_in(REPORT_LAG)
             replica.loading_until[model] = deadline_in(MIN_LOAD_TIME)
-            WAITED.observe({}, now() - self._named_at[model])
+            ORDER_DELAY.observe({}, now() - self._target_set_at[model])
             return
         sent.retry_deadline = deadline_in(RETRY_DELAY)
         if isinstance(result, OrderRefused):
@@ -243,7 +247,7 @@
             # Another process holds the lease already.
             self._stale_fence = max(self._stale_fence, order.fence)
 
-    def _finish_first(self, replica):
+    def _must_finish_first(self, replica):
         """Say whether samples must end under the weights that they began with."""
         routes = self._routes.current.routes
         return any(
@@ -254,7 +258,7 @@
 
     def _assign(self, replicas, models):
         """Assign the replicas to the models; each keeps its own where possible."""
-        wanted = shares(len(replicas), models, self._demand)
+        wanted = allocate_replicas(len(replicas), models, self._demand)
         left = {one.identity: one for one in replicas}
         if len(replicas) < len(models):
             order = sorted(left)
@@ -266,7 +270,9 @@
             return
         taken = {}
         for model in models:
-            mine = sorted(left.values(), key=lambda one: self._distance(one, model))
+            mine = sorted(
+                left.values(), key=lambda one: self._assignment_cost(one, model)
+            )
             for one in mine[: wanted[model]]:
                 if self._is_assigned(one, model):
                     taken[one.identity] = (model,)
@@ -274,7 +280,9 @@
             del left[identity]
         for model in models:
             have = sum(found == (model,) for found in taken.values())
-            mine = sorted(left.values(), key=lambda one: self._distance(one, model))
+            mine = sorted(
+                left.values(), key=lambda one: self._assignment_cost(one, model)
+            )
             for one in mine[: max(0, wanted[model] - have)]:
                 taken[one.identity] = (model,)
                 del left[one.identity]
@@ -288,12 +296,12 @@
     def _is_assigned(self, replica, model):
         return self._assigned.get(replica.identity) == (model,)
 
-    def _distance(self, replica, model):
+    def _assignment_cost(self, replica, model):
         kept = 0 if self._is_assigned(replica, model) else 1
         return (kept, -replica.versions.get(model, 0), replica.identity)
 
 
-def shares(count, models, demand):
+def allocate_replicas(count, models, demand):
     """Return how many of ``count`` replicas each model gets, by its demand.
 
     Every model gets one; each further one goes to the largest shortfall.
--- a/sassafrasdoor/weights/rollout.py
+++ b/sassafrasdoor/weights/rollout.py
@@ -23,16 +23,16 @@
 from sassafrasdoor.view import BackendKind, State
 from sassafrasdoor.weights.plan import EngineState, Phase, next_swaps
 
-TICK = 0.1
-SHORTEST_TICK = 0.05
+POLL_INTERVAL = 0.1
+MIN_POLL_INTERVAL = 0.05
 CONFIRM_INTERVAL = 0.25
 """Reports lag, so one asked for at once would show the old version."""
-READS_AT_ONCE = 32
-ORDERS_IN_A_ROW = 3
-MOST_DOUBLINGS = 16
-CHECKS_A_SECOND = 20
+MAX_CONCURRENT_READS = 32
+MAX_ORDER_ATTEMPTS = 3
+MAX_BACKOFF_DOUBLINGS = 16
+MAX_CHECKS_PER_SECOND = 20
 """Bounds the processor time of checks however many engines there are."""
-SHORTER_CHECKS = 3
+UNFENCED_CHECK_FACTOR = 3
 """Engines that ignore fencing numbers are read that many times as often."""
 
 ORDERS = counter("weights_orders_total", "Orders to engines, by result.")
@@ -41,7 +41,7 @@
 
 def backoff(weights, failures):
     """Return the seconds to wait after so many failures in a row, with jitter."""
-    doublings = min(failures - 1, MOST_DOUBLINGS)
+    doublings = min(failures - 1, MAX_BACKOFF_DOUBLINGS)
     longest = min(weights.retry_limit, weights.retry_interval * 2**doublings)
     return longest * random.uniform(0.5, 1.0)
 
@@ -79,7 +79,7 @@
         self._fence = 0
         self._stale_fence = 0
         self._tasks = set()
-        self._reads = asyncio.Semaphore(READS_AT_ONCE)
+        self._reads = asyncio.Semaphore(MAX_CONCURRENT_READS)
         self._wake = asyncio.Event()
 
     @property
@@ -92,8 +92,8 @@
         try:
             while True:
                 if self._may_act():
-                    self._step()
-                await self._pause()
+                    self._run_iteration()
+                await self._wait()
         finally:
             for task in self._tasks:
                 task.cancel()
@@ -108,7 +108,7 @@
         self._draining = True
         limit = clock.deadline_in(self._settings.weights.order_timeout)
         while self._swapping and not clock.passed(limit):  # noqa: ASYNC110
-            await asyncio.sleep(TICK)
+            await asyncio.sleep(POLL_INTERVAL)
         return not self._swapping
 
     @property
@@ -125,31 +125,31 @@
             # engines that ignore the fence an old order may still land. Only
             # fresh reports count.
             self._fence = fence
-            self._check_all()
+            self._expire_reports()
         return True
 
-    def _step(self):
+    def _run_iteration(self):
         view = self._view()
-        self._follow(view)
+        self._apply_view(view)
         engines = list(self._engines.values())
         for engine in engines:
             if clock.passed(engine.check_deadline) and not engine.reading:
-                self._start(self._read(engine))
+                self._start_task(self._read(engine))
         for swap in next_swaps(self._settings, view, engines):
-            self._begin(swap)
-        self._count(view, engines)
+            self._start_swap(swap)
+        self._update_metrics(view, engines)
 
-    def _follow(self, view):
+    def _apply_view(self, view):
         """Take over the view's engines and its newest versions."""
         if view.backends is not self._backends:
             self._backends = view.backends
-            self._take_engines(view)
+            self._update_engines(view)
         if self._targets != view.weights:
             self._targets = dict(view.weights)
             # Swaps begin with the least busy, which needs reports of now.
-            self._check_all()
+            self._expire_reports()
 
-    def _take_engines(self, view):
+    def _update_engines(self, view):
         present = {}
         for backend in view.backends:
             if backend.kind is BackendKind.ENGINE and backend.state is State.ALIVE:
@@ -160,7 +160,7 @@
                 present[backend.name] = known
         self._engines = present
 
-    def _check_all(self):
+    def _expire_reports(self):
         for engine in self._engines.values():
             engine.check_deadline = clock.LONG_AGO
 
@@ -189,13 +189,13 @@
         """Return the seconds to the engine's next report when nothing happens."""
         interval = self._settings.weights.check_interval
         if not engine.backend.checks_fencing:
-            interval /= SHORTER_CHECKS
-        interval = max(interval, len(self._engines) / CHECKS_A_SECOND)
+            interval /= UNFENCED_CHECK_FACTOR
+        interval = max(interval, len(self._engines) / MAX_CHECKS_PER_SECOND)
         return interval * random.uniform(0.8, 1.2)
 
-    def _begin(self, swap):
+    def _start_swap(self, swap):
         swap.engine.phase = Phase.SWAPPING
-        self._start(self._swap(swap))
+        self._start_task(self._swap(swap))
 
     async def _swap(self, swap):
         """Order one swap and see it through; the engine is idle again after it."""
@@ -210,7 +210,7 @@
                 confirmed = await self._confirm(swap, limit)
             elif isinstance(outcome, ReplyLost):
                 confirmed = await self._confirm(swap, clock.LONG_AGO)
-            self._judge(swap, confirmed)
+            self._record_swap_result(swap, confirmed)
         finally:
             engine.phase = Phase.IDLE
             self._wake.set()
@@ -223,7 +223,7 @@
         share the store with it and be slower yet. The same order sent again
         waits for the swap that runs.
         """
-        for _ in range(ORDERS_IN_A_ROW):
+        for _ in range(MAX_ORDER_ATTEMPTS):
             # Checked here and not where the swap was planned: the lease may
             # have lapsed in between, and a successor may order otherwise.
             if not self._may_act():
@@ -231,7 +231,7 @@
             limit = clock.deadline_in(self._settings.weights.order_timeout)
             order = Order(self._fence, swap.model, swap.version, "", limit)
             outcome = await self._client.order(swap.engine.backend, order)
-            self._note(swap, order, outcome)
+            self._record_order(swap, order, outcome)
             if not isinstance(outcome, ReplyLost):
                 return outcome
             if await self._confirm(swap, clock.LONG_AGO):
@@ -253,7 +253,7 @@
             if clock.passed(limit):
                 return False
 
-    def _judge(self, swap, confirmed):
+    def _record_swap_result(self, swap, confirmed):
         engine, weights = swap.engine, self._settings.weights
         if confirmed:
             engine.attempts = 0
@@ -264,7 +264,7 @@
         engine.retry_deadline = clock.deadline_in(wait)
         engine.check_deadline = clock.LONG_AGO
 
-    def _note(self, swap, order, outcome):
+    def _record_order(self, swap, order, outcome):
         result = "done" if outcome else type(outcome).__name__
         ORDERS.inc({"result": result})
         EVENTS.add(
@@ -281,7 +281,7 @@
             self._stale_fence = max(self._stale_fence, order.fence)
             changed("weights.fenced_off", fence=order.fence, newest=outcome.fence)
 
-    def _count(self, view, engines):
+    def _update_metrics(self, view, engines):
         for model, version in view.weights.items():
             behind = sum(
                 model in engine.backend.models
@@ -293,17 +293,17 @@
             self._behind[model] = behind
             BEHIND.set({"model": model}, behind)
 
-    def _start(self, coroutine):
+    def _start_task(self, coroutine):
         task = asyncio.create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _pause(self):
+    async def _wait(self):
         """Wait a tick, or less if an engine changed."""
         # Not ``wait_for``: on Python 3.11 it swallows a cancellation that comes in
         # the moment of the wake-up, and the task would run on for ever.
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(TICK):
+            async with asyncio.timeout(POLL_INTERVAL):
                 await self._wake.wait()
-        await asyncio.sleep(SHORTEST_TICK)
+        await asyncio.sleep(MIN_POLL_INTERVAL)
         self._wake.clear()
--- a/sassafrasdoor/weights/tests/test_named.py
+++ b/sassafrasdoor/weights/tests/test_controller.py
@@ -10,8 +10,8 @@
 from sassafrasdoor.routing.replicas import Listing, Replicas
 from sassafrasdoor.steps.durable.tests.fixtures import SERVICE, route
 from sassafrasdoor.table.routes import Configuration, Limits, RoutesInForce
-from sassafrasdoor.weights import named as module
-from sassafrasdoor.weights.named import WeightsController, shares
+from sassafrasdoor.weights import controller as module
+from sassafrasdoor.weights.controller import WeightsController, allocate_replicas
 
 
 class Holder:
@@ -45,7 +45,7 @@
         self.fences = [order.fence]
         answer = self.answers.pop(0) if self.answers else True
         if answer is True:
-            replica.told_version(order.model, order.version)
+            replica.record_version(order.model, order.version)
         return answer
 
 
@@ -56,7 +56,7 @@
         for at in range(5):
             versions = dict.fromkeys(self.models, 1)
             listing = Listing(SERVICE, f"h{at}:1", "z", 4, False, versions)
-            self.replicas.listed(f"e{at}", listing)
+            self.replicas.update_listing(f"e{at}", listing)
         self.routes = RoutesInForce()
         self.configure()
         self.client, self.holder, self.work = Client(), Holder(), Work()
@@ -107,7 +107,7 @@
         share, module.CONCURRENT_LOAD_SHARE = module.CONCURRENT_LOAD_SHARE, 1.0
         self.addCleanup(setattr, module, "CONCURRENT_LOAD_SHARE", share)
         self.run_controller()
-        self.controller.named("a", 2)
+        self.controller.set_target_version("a", 2)
         await self.until(lambda: len(self.client.orders) == 2)
         await asyncio.sleep(3 * module.POLL_INTERVAL)
         self.assertEqual(len(self.client.orders), 2)
@@ -117,8 +117,8 @@
     async def test_only_a_models_own_replicas_follow_it(self):
         """Guards against loads at replicas of other models."""
         self.run_controller()
-        self.controller.named("a", 2)
-        self.controller.named("b", 2)
+        self.controller.set_target_version("a", 2)
+        self.controller.set_target_version("b", 2)
         await self.until(lambda: len(self.client.orders) == 5)
         await asyncio.sleep(0.3)
         self.assertEqual(len(self.client.orders), 5)
@@ -126,10 +126,10 @@
 
     async def test_replicas_keep_their_model(self):
         self.run_controller()
-        self.controller.named("a", 2)
+        self.controller.set_target_version("a", 2)
         await self.until(lambda: len(self.at("a", 2)) >= 2)
         before = self.at("a", 2)
-        self.controller.named("a", 3)
+        self.controller.set_target_version("a", 3)
         await self.until(lambda: self.at("a", 3) == before)
 
     async def test_restarted_replica_is_ordered_at_once(self):
@@ -139,17 +139,17 @@
         self.models = ["a"]
         self.configure(version=2)
         self.run_controller()
-        self.controller.named("a", 2)
+        self.controller.set_target_version("a", 2)
         await self.until(lambda: len(self.at("a", 2)) == 5)
         reborn = Listing(SERVICE, "h0:1", "z", 4, False, {"a": 1}, born=5)
-        self.replicas.listed("e0", reborn)
+        self.replicas.update_listing("e0", reborn)
         await self.until(lambda: len(self.at("a", 2)) == 5)
         self.assertEqual(self.client.orders.count(("e0", "a", 2)), 2)
 
     async def test_without_the_duty_nothing_is_ordered(self):
         self.holder.fence = 0
         self.run_controller()
-        self.controller.named("a", 2)
+        self.controller.set_target_version("a", 2)
         await asyncio.sleep(0.3)
         self.assertEqual(self.client.orders, [])
 
@@ -157,7 +157,7 @@
         self.holder.fence = 7
         self.controller = self.make(1000.0)
         self.run_controller()
-        self.controller.named("a", 2)
+        self.controller.set_target_version("a", 2)
         await asyncio.sleep(0.3)
         self.assertEqual(self.client.orders, [])
 
@@ -166,7 +166,7 @@
         self.client.answers = [Stale("old", 9)] * 2
         self.work.oldest = 2
         self.run_controller()
-        self.controller.named("a", 2)
+        self.controller.set_target_version("a", 2)
         await self.until(lambda: len(self.client.orders) == 2)
         await asyncio.sleep(0.4)
         self.assertEqual(len(self.client.orders), 2)
@@ -176,24 +176,24 @@
     async def test_refused_and_lost_orders_are_sent_again(self):
         self.client.answers = [OrderRefused("busy"), ReplyLost("lost")]
         self.run_controller()
-        self.controller.named("a", 2)
+        self.controller.set_target_version("a", 2)
         await self.until(lambda: len(self.at("a", 2)) >= 2)
 
     async def test_replica_that_went_back_is_ordered_again(self):
         """Guards against a replica that went back to an older version unnoticed."""
         self.run_controller()
-        self.controller.named("a", 2)
+        self.controller.set_target_version("a", 2)
         await self.until(lambda: self.at("a", 2))
         (replica, *_) = self.at("a", 2)
         for sent in self.controller._last_orders.values():
             sent.retry_deadline = sent.load_deadline = LONG_AGO
-        self.replicas.get(replica).told_version("a", 1)
+        self.replicas.get(replica).record_version("a", 1)
         await self.until(lambda: replica in self.at("a", 2))
 
     async def test_load_waits_while_items_need_the_version_before(self):
         self.work.queue, self.work.oldest = 3, 1
         self.run_controller()
-        self.controller.named("a", 2)
+        self.controller.set_target_version("a", 2)
         await asyncio.sleep(0.3)
         self.assertEqual(self.client.orders, [])
         self.work.queue = 0
@@ -202,14 +202,14 @@
     async def test_load_does_not_wait_where_items_need_it(self):
         self.work.queue, self.work.oldest = 3, 2
         self.run_controller()
-        self.controller.named("a", 2)
+        self.controller.set_target_version("a", 2)
         await self.until(lambda: self.client.orders)
 
     async def test_few_load_at_once(self):
         module.LOAD_TIME = 1000.0
         self.run_controller()
-        self.controller.named("a", 2)
-        self.controller.named("b", 2)
+        self.controller.set_target_version("a", 2)
+        self.controller.set_target_version("b", 2)
         await self.until(lambda: len(self.client.orders) == module.MIN_CONCURRENT_LOADS)
         await asyncio.sleep(0.3)
         self.assertEqual(len(self.client.orders), module.MIN_CONCURRENT_LOADS)
@@ -218,11 +218,11 @@
         """Guards against a bound on loads that ignores the size of the service."""
         for at in range(5, 20):
             listing = Listing(SERVICE, f"h{at}:1", "z", 4, False, {"a": 1, "b": 1})
-            self.replicas.listed(f"e{at}", listing)
+            self.replicas.update_listing(f"e{at}", listing)
         module.LOAD_TIME = 1000.0
         self.run_controller()
-        self.controller.named("a", 2)
-        self.controller.named("b", 2)
+        self.controller.set_target_version("a", 2)
+        self.controller.set_target_version("b", 2)
         await self.until(lambda: len(self.client.orders) == 8)
         await asyncio.sleep(0.3)
         self.assertEqual(len(self.client.orders), 8)
@@ -239,4 +239,6 @@
         ]
         for count, demand, expected in cases:
             with self.subTest(count=count, demand=demand):
-                self.assertEqual(shares(count, list(expected), demand), expected)
+                self.assertEqual(
+                    allocate_replicas(count, list(expected), demand), expected
+                )
--- a/sassafrasdoor/weights/tests/test_pace.py
+++ b/sassafrasdoor/weights/tests/test_load_policy.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from sassafrasdoor.weights.pace import MAX_DEFERRAL, may_load, should_defer
+from sassafrasdoor.weights.load_policy import MAX_DEFERRAL, may_load, should_defer
 
 REPLICAS, PLACES = 8, 8
 LOAD = 0.9
@@ -37,24 +37,36 @@
     def test_step_that_follows_a_version_begins_at_once(self):
         """Guards against a step that waits while all replicas load its next version."""
         longest = max(SAMPLES)
-        before = whole_at(lambda replicas, loading, serves: True)
+        before = whole_at(lambda replicas, loading, serves_open_steps: True)
         self.assertAlmostEqual(before, longest + LOAD - ASKED_AT)
         self.assertAlmostEqual(whole_at(may_load), longest)
 
     def test_load_waits_for_the_step_that_follows(self):
         """Guards against loads that begin just before the step that follows."""
-        self.assertTrue(should_defer(10.0, 10.0, items_wait=False, serves=True))
+        self.assertTrue(
+            should_defer(10.0, 10.0, has_queued_items=False, serves_open_steps=True)
+        )
         asked_at = 10.0 + ASKED_AT
-        self.assertTrue(should_defer(10.0, asked_at, items_wait=True, serves=True))
         self.assertTrue(
-            should_defer(10.0, asked_at + LOAD, items_wait=True, serves=True)
+            should_defer(10.0, asked_at, has_queued_items=True, serves_open_steps=True)
+        )
+        self.assertTrue(
+            should_defer(
+                10.0, asked_at + LOAD, has_queued_items=True, serves_open_steps=True
+            )
         )
 
     def test_load_does_not_wait_for_long_or_for_nobody(self):
         late = 10.0 + MAX_DEFERRAL
-        self.assertFalse(should_defer(10.0, late, items_wait=True, serves=True))
-        self.assertFalse(should_defer(10.0, 10.5, items_wait=False, serves=True))
-        self.assertFalse(should_defer(10.0, 10.0, items_wait=True, serves=False))
+        self.assertFalse(
+            should_defer(10.0, late, has_queued_items=True, serves_open_steps=True)
+        )
+        self.assertFalse(
+            should_defer(10.0, 10.5, has_queued_items=False, serves_open_steps=True)
+        )
+        self.assertFalse(
+            should_defer(10.0, 10.0, has_queued_items=True, serves_open_steps=False)
+        )
 
     def test_replicas_that_can_run_nothing_load_together(self):
         self.assertTrue(all(may_load(4, loading, False) for loading in range(4)))
--- a/sassafrasdoor/weights/tests/test_rollout.py
+++ b/sassafrasdoor/weights/tests/test_rollout.py
@@ -273,7 +273,7 @@
         for turns in range(5):
             with self.subTest(turns=turns):
                 rollout = Rollout(self.settings, self.engine, self.holder, View)
-                task = asyncio.create_task(rollout._pause())
+                task = asyncio.create_task(rollout._wait())
                 await asyncio.sleep(0)
                 rollout._wake.set()
                 for _ in range(turns):
