--- a/sassafrasdoor/routing/chooser.py
+++ b/sassafrasdoor/routing/chooser.py
@@ -58,7 +58,7 @@
             for backend in self.subset(view, service, model)
             if backend.name not in exclude and not self._state(backend).leaving
         ]
-        healthy = [one for one in usable if not self._state(one).is_suspect]
+        healthy = [backend for backend in usable if not self._state(backend).is_suspect]
         # With nothing but suspects left, one of them is tried all the same:
         # a single failure of a lone server must not refuse everybody.
         candidates = healthy or usable
@@ -83,14 +83,16 @@
     def backends_in_use(self, view):
         """Return every server of the subsets, each once: those worth polling."""
         keys = {
-            (one.service, model) for one in view.backends for model in (*one.models, "")
+            (backend.service, model)
+            for backend in view.backends
+            for model in (*backend.models, "")
         }
-        found = {
-            one.name: one
+        backends = {
+            backend.name: backend
             for service, model in sorted(keys)
-            for one in self.subset(view, service, model)
+            for backend in self.subset(view, service, model)
         }
-        return list(found.values())
+        return list(backends.values())
 
     def started(self, backend):
         """Count a call or stream that begins on ``backend``."""
@@ -144,10 +146,10 @@
         More draws than that come closer to the least loaded server of the
         reports, and with it to herding, the more the longer reports lag.
         """
-        near = [one for one in candidates if self._is_near(one)]
-        far = [one for one in candidates if not self._is_near(one)]
-        drawn = self._sample(near, DRAW_COUNT)
-        return drawn + self._sample(far, max(1, DRAW_COUNT - len(drawn)))
+        own_zone = [backend for backend in candidates if self._is_near(backend)]
+        other_zones = [backend for backend in candidates if not self._is_near(backend)]
+        drawn = self._sample(own_zone, DRAW_COUNT)
+        return drawn + self._sample(other_zones, max(1, DRAW_COUNT - len(drawn)))
 
     def _sample(self, candidates, count):
         return self._random.sample(candidates, min(count, len(candidates)))
@@ -169,7 +171,7 @@
     def _update_view(self, view):
         self._view = view
         self._subsets = {}
-        known = {(one.name, one.address) for one in view.backends}
+        known = {(backend.name, backend.address) for backend in view.backends}
         for key in [key for key in self._states if key not in known]:
             if not self._states[key].in_flight:
                 del self._states[key]
--- a/sassafrasdoor/routing/discovery.py
+++ b/sassafrasdoor/routing/discovery.py
@@ -34,11 +34,11 @@
         if member.state is State.ALIVE and member.entry_address
     ]
     order = ranked(alive, caller, name_of)
-    near = [member for member in order if member.availability_zone == zone]
-    far = [member for member in order if member.availability_zone != zone]
+    own_zone = [member for member in order if member.availability_zone == zone]
+    other_zones = [member for member in order if member.availability_zone != zone]
     size = settings.routing.discovery_size
-    kept = near[: size - 1] if far and size > 1 else near[:size]
-    return kept + far[: size - len(kept)]
+    chosen = own_zone[: size - 1] if other_zones and size > 1 else own_zone[:size]
+    return chosen + other_zones[: size - len(chosen)]
 
 
 class AddressesHandler(tornado.web.RequestHandler):
@@ -80,12 +80,12 @@
 
 def handlers(settings, view_getter, requests):
     """Return the handlers of discovery for the application."""
-    parts = {
+    arguments = {
         "settings": settings,
         "view_getter": view_getter,
         "requests": requests,
     }
-    return [("/v1/addresses", AddressesHandler, parts)]
+    return [("/v1/addresses", AddressesHandler, arguments)]
 
 
 def _address(member):
--- a/sassafrasdoor/routing/instance_view.py
+++ b/sassafrasdoor/routing/instance_view.py
@@ -131,18 +131,18 @@
 
     def __init__(self, alive, shortages):
         zones = {}
-        for one in alive:
-            zones.setdefault(one.zone, []).append(one)
+        for record in alive:
+            zones.setdefault(record.zone, []).append(record)
         self._deadline = deadline_in(VIEW_LIFETIME)
         self.alive = alive
         self.called = set()
         self.entry_points = {}
-        for zone, near in zones.items():
-            chosen = _select_entry_points(near, shortages.promotion_rounds(zone))
-            shortages.record(zone, any(one.in_reserve for one in chosen))
-            self.called.update(one.address for one in chosen if one.in_reserve)
+        for zone, records in zones.items():
+            chosen = _select_entry_points(records, shortages.promotion_rounds(zone))
+            shortages.record(zone, any(record.in_reserve for record in chosen))
+            self.called.update(record.address for record in chosen if record.in_reserve)
             self.entry_points[zone] = [
-                one.address for one in chosen if not one.in_reserve
+                record.address for record in chosen if not record.in_reserve
             ]
         shortages.retain_zones(zones)
         self.rankings = {}
@@ -162,32 +162,38 @@
         self._deadline = deadline_in(VIEW_LIFETIME)
 
 
-def _select_entry_points(near, steps):
+def _select_entry_points(records, rounds):
     """Return a zone's entry points, the largest first, as ``InstanceRecord``s.
 
     Those in reserve among them are to become entry points; they do not count, since
     nobody knows whether they still live. As many are called as are missing, and twice
     as many, and so on, after each of ``steps``.
     """
-    order = ranked(near, ENTRY_POINTS_KEY, lambda one: one.address)
-    order.sort(key=lambda one: -one.cores)
-    wanted = sum(one.cores for one in near) / ZONE_CORES_DIVISOR
-    reserve = [one for one in order if one.in_reserve]
-    missing = sum(one.in_reserve for one in _take_sufficient(order, wanted, set(order)))
-    called = set(reserve[: missing << min(steps, MAX_PROMOTION_DOUBLINGS)])
+    order = ranked(records, ENTRY_POINTS_KEY, lambda record: record.address)
+    order.sort(key=lambda record: -record.cores)
+    min_cores = sum(record.cores for record in records) / ZONE_CORES_DIVISOR
+    reserve = [record for record in order if record.in_reserve]
+    missing = sum(
+        record.in_reserve for record in _take_sufficient(order, min_cores, set(order))
+    )
+    called = set(reserve[: missing << min(rounds, MAX_PROMOTION_DOUBLINGS)])
     living = set(order).difference(reserve)
     eligible = called | living
-    return [one for one in _take_sufficient(order, wanted, living) if one in eligible]
+    return [
+        record
+        for record in _take_sufficient(order, min_cores, living)
+        if record in eligible
+    ]
 
 
-def _take_sufficient(order, wanted, counted):
+def _take_sufficient(order, min_cores, counted):
     """Return the first in order, until those ``counted`` among them are enough."""
     chosen, count, cores = [], 0, 0.0
-    for one in order:
-        if count >= MIN_ENTRY_POINTS and cores >= wanted:
+    for record in order:
+        if count >= MIN_ENTRY_POINTS and cores >= min_cores:
             break
-        chosen.append(one)
-        if one in counted:
+        chosen.append(record)
+        if record in counted:
             count += 1
-            cores += one.cores
+            cores += record.cores
     return chosen
--- a/sassafrasdoor/routing/instances.py
+++ b/sassafrasdoor/routing/instances.py
@@ -195,35 +195,39 @@
         points = self._current_view.entry_points
         if self._is_cut_off:
             points = {
-                name: [one for one in part if one != self._address]
-                for name, part in points.items()
+                name: [
+                    address for address in zone_addresses if address != self._address
+                ]
+                for name, zone_addresses in points.items()
             }
-        near = points.get(zone, [])
-        if len(near) >= MIN_INSTANCES_IN_ZONE:
-            return near[:MAX_ADDRESSES]
+        own_zone = points.get(zone, [])
+        if len(own_zone) >= MIN_INSTANCES_IN_ZONE:
+            return own_zone[:MAX_ADDRESSES]
         names = sorted(points, key=lambda name: name != zone)
-        found = [address for name in names for address in points[name]]
-        if not found and not self._leaving:
-            found = [self._address]
-        return found[:MAX_ADDRESSES]
+        addresses = [address for name in names for address in points[name]]
+        if not addresses and not self._leaving:
+            addresses = [self._address]
+        return addresses[:MAX_ADDRESSES]
 
     def peers(self):
         """Return the addresses of other entry points, those of this zone first."""
         zone = self._settings.availability_zone
         view = self._current_view
         zones = {
-            one.address: one.zone for one in view.alive if one.address != self._address
+            record.address: record.zone
+            for record in view.alive
+            if record.address != self._address
         }
         points = view.all_entry_points
-        found = [one for one in points if one in zones]
+        addresses = [address for address in points if address in zones]
         if passed(self._startup_deadline) or len(points) <= MAX_SHUFFLED_ENTRY_POINTS:
-            random.shuffle(found)
+            random.shuffle(addresses)
         else:
-            found.sort(key=self._ranking(view, STEP_READERS_KEY).index)
-        found.sort(key=lambda address: zones[address] != zone)
-        return found
+            addresses.sort(key=self._ranking(view, STEP_READERS_KEY).index)
+        addresses.sort(key=lambda address: zones[address] != zone)
+        return addresses
 
-    def reader_candidates(self, most):
+    def reader_candidates(self, limit):
         """Return the peers that may answer for steps which this instance has not read.
 
         The second is of another zone: all of one may be late together. Where none is
@@ -231,21 +235,25 @@
         nobody who knows would be multiplied.
         """
         others = [
-            one for one in self._current_view.alive if one.address != self._address
+            record
+            for record in self._current_view.alive
+            if record.address != self._address
         ]
         random.shuffle(others)
-        known = self._alternate_zones([one for one in others if one.is_reader])
+        readers = self._alternate_zones(
+            [record for record in others if record.is_reader]
+        )
         # Said before this process follows the list, it is true unless all have ended.
-        likely = self._alternate_zones([one for one in others if one.has_read])
-        return known[:most] or (likely or self.peers())[:1]
+        likely = self._alternate_zones([record for record in others if record.has_read])
+        return readers[:limit] or (likely or self.peers())[:1]
 
-    def _alternate_zones(self, found):
+    def _alternate_zones(self, records):
         """Return the addresses, one of this zone and one of another by turns."""
         zone = self._settings.availability_zone
-        near = [one.address for one in found if one.zone == zone]
-        far = [one.address for one in found if one.zone != zone]
-        pairs = itertools.zip_longest(near, far)
-        return [one for pair in pairs for one in pair if one is not None]
+        own_zone = [record.address for record in records if record.zone == zone]
+        other_zones = [record.address for record in records if record.zone != zone]
+        pairs = itertools.zip_longest(own_zone, other_zones)
+        return [address for pair in pairs for address in pair if address is not None]
 
     def unread_entry_points_before(self, key):
         """Return how many entry points come before this one for ``key`` and may still
@@ -256,17 +264,19 @@
         """
         view = self._current_view
         order = self._ranking(view, key)
-        before = view.all_entry_points.intersection(order[: order.index(self._address)])
+        preceding = view.all_entry_points.intersection(
+            order[: order.index(self._address)]
+        )
         return sum(
-            one.address in before and self._may_still_be_reading(one)
-            for one in view.alive
+            record.address in preceding and self._may_still_be_reading(record)
+            for record in view.alive
         )
 
-    def _may_still_be_reading(self, one):
-        if one.has_read is None:
+    def _may_still_be_reading(self, record):
+        if record.has_read is None:
             return False
-        if one.is_renewed:
-            return not one.has_read
+        if record.is_renewed:
+            return not record.has_read
         return not passed(self._first_renewal_deadline)
 
     def peer_control_addresses(self):
@@ -274,10 +284,14 @@
         another."""
         # The list may change between two looks at it: the peers' addresses come first.
         peers = self.peers()
-        by_address = {one.address: one for one in self._current_view.alive}
-        found = [by_address[one] for one in peers if one in by_address]
-        order = self._alternate_zones(found)
-        return [by_address[one].control for one in order if by_address[one].control]
+        by_address = {record.address: record for record in self._current_view.alive}
+        records = [by_address[address] for address in peers if address in by_address]
+        order = self._alternate_zones(records)
+        return [
+            by_address[address].control
+            for address in order
+            if by_address[address].control
+        ]
 
     @property
     def is_entry_point(self):
@@ -287,8 +301,8 @@
         could not send every record to all of them.
         """
         view = self._current_view
-        known = any(one.address == self._address for one in view.alive)
-        if not known or self._address in view.called:
+        is_recorded = any(record.address == self._address for record in view.alive)
+        if not is_recorded or self._address in view.called:
             return True
         return self._address in view.all_entry_points
 
@@ -306,10 +320,10 @@
     def _current_view(self):
         if self._view is not None and self._view.is_fresh:
             return self._view
-        alive = [one for one in self._records.values() if self._is_alive(one)]
-        steps = self._shortages.all_promotion_rounds()
+        alive = [record for record in self._records.values() if self._is_alive(record)]
+        rounds = self._shortages.all_promotion_rounds()
         is_same = self._view is not None and self._view.alive == alive
-        if is_same and steps == self._promotion_rounds:
+        if is_same and rounds == self._promotion_rounds:
             self._view.extend()
         else:
             self._view = InstanceView(alive, self._shortages)
@@ -337,11 +351,11 @@
         that may move a duty, which its fencing numbers allow.) Without this, whoever
         takes over waits for a lapse although all know that the former one is gone.
         """
-        seen = self._records.get(address)
-        if seen is None or seen.process == "":
+        record = self._records.get(address)
+        if record is None or record.process == "":
             return False
         confirmed_at = self.tail.confirmed_at or LONG_AGO
-        is_other = seen.process != process
+        is_other = record.process != process
         if is_other and confirmed_at >= since:
             return True
         # After a start of all instances the record that tells is about to be written.
@@ -373,14 +387,14 @@
         return view.rankings[key]
 
     def _compute_ranking(self, view, key):
-        cores = {one.address: one.cores for one in view.alive}
+        cores = {record.address: record.cores for record in view.alive}
         cores[self._address] = self._cores
         points = view.all_entry_points
         order = ranked(cores, key)
         order.sort(key=lambda address: (address not in points, -cores[address]))
         return order
 
-    def _is_alive(self, one):
+    def _is_alive(self, record):
         """Say whether an instance had renewed its record when the list was last read.
 
         Since then nobody could see it: a read that the log does not answer fails only
@@ -388,12 +402,12 @@
         on as from a renewal. Whoever had lapsed before stays so: after each lost read
         callers would be sent to instances that ended long ago.
         """
-        if self.tail.ended_at - one.renewed_at < one.lapse_timeout:
+        if self.tail.ended_at - record.renewed_at < record.lapse_timeout:
             return True
         silence = self.tail.silence
-        if silence is None or passed(silence.until + one.lapse_timeout):
+        if silence is None or passed(silence.until + record.lapse_timeout):
             return False
-        return silence.since - one.renewed_at < one.lapse_timeout
+        return silence.since - record.renewed_at < record.lapse_timeout
 
     def _document(self):
         document = {
--- a/sassafrasdoor/routing/loads.py
+++ b/sassafrasdoor/routing/loads.py
@@ -38,12 +38,12 @@
 
     async def poll_once(self):
         """Ask every server in use once."""
-        places = asyncio.Semaphore(MAX_CONCURRENT_LOAD_POLLS)
-        in_use = self._chooser.backends_in_use(self._view_getter())
-        await asyncio.gather(*[self._poll(one, places) for one in in_use])
+        slots = asyncio.Semaphore(MAX_CONCURRENT_LOAD_POLLS)
+        backends = self._chooser.backends_in_use(self._view_getter())
+        await asyncio.gather(*[self._poll(backend, slots) for backend in backends])
 
-    async def _poll(self, backend, places):
-        async with places:
+    async def _poll(self, backend, slots):
+        async with slots:
             POLLS.inc({})
             load = await self._load(backend)
         if load:
--- a/sassafrasdoor/routing/placement.py
+++ b/sassafrasdoor/routing/placement.py
@@ -64,15 +64,17 @@
 
 def median_pace(candidates):
     """Return the median pace of the replicas, or ``DEFAULT_PACE``."""
-    known = sorted(one.pace for one in candidates if one.pace)
+    known = sorted(candidate.pace for candidate in candidates if candidate.pace)
     return known[len(known) // 2] if known else DEFAULT_PACE
 
 
 def place(candidates, requirement):
     """Return the ``Candidate`` with the earliest estimated finish, or None."""
     median = median_pace(candidates)
-    found = [one for one in candidates if _takes(one, requirement)]
-    return min(found, key=lambda one: _cost(one, median), default=None)
+    eligible = [
+        candidate for candidate in candidates if _is_eligible(candidate, requirement)
+    ]
+    return min(eligible, key=lambda candidate: _cost(candidate, median), default=None)
 
 
 def should_migrate(slow, better):
@@ -93,22 +95,26 @@
     )
 
 
-def _takes(one, requirement):
-    if one.is_suspect or one.free_slots <= 0 or one.identity == requirement.avoid:
+def _is_eligible(candidate, requirement):
+    if (
+        candidate.is_suspect
+        or candidate.free_slots <= 0
+        or candidate.identity == requirement.avoid
+    ):
         return False
     if not requirement.model:
         return True
-    held = one.versions.get(requirement.model, 0)
+    held = candidate.versions.get(requirement.model, 0)
     return (
         held >= requirement.min_version
-        and requirement.model not in one.unavailable_models
+        and requirement.model not in candidate.unavailable_models
     )
 
 
-def _cost(one, median):
+def _cost(candidate, median):
     """Return the estimated pace with one more item there, then the identity."""
-    pace = one.pace or median
+    pace = candidate.pace or median
     return (
-        pace * (1 + LOAD_WEIGHT * (one.load + 1) / one.slots),
-        one.identity,
+        pace * (1 + LOAD_WEIGHT * (candidate.load + 1) / candidate.slots),
+        candidate.identity,
     )
--- a/sassafrasdoor/routing/replicas.py
+++ b/sassafrasdoor/routing/replicas.py
@@ -181,9 +181,9 @@
     def of_service(self, service):
         """Return the replicas of a service that may get work."""
         return [
-            one
-            for one in self._known.values()
-            if one.listing.service == service and one.is_usable
+            replica
+            for replica in self._known.values()
+            if replica.listing.service == service and replica.is_usable
         ]
 
     def get(self, identity):
@@ -195,35 +195,35 @@
 
         One of an earlier incarnation that comes late changes nothing.
         """
-        known = self._known.get(identity)
-        if known is not None and listing.born < known.listing.born:
+        replica = self._known.get(identity)
+        if replica is not None and listing.born < replica.listing.born:
             note("replica.entry_late", replica=identity, born=listing.born)
             return
-        if known is not None and listing.born > known.listing.born:
-            known = self._forget_incarnation(known)
-        if known is None:
-            known = self._known[identity] = Replica(identity, listing)
-            self._note("listed", known)
-        elif known.listing.leaving != listing.leaving:
-            self._note("leaving", known)
-        elif known.absent_until is not None:
-            self._note("back", known)
+        if replica is not None and listing.born > replica.listing.born:
+            replica = self._forget_incarnation(replica)
+        if replica is None:
+            replica = self._known[identity] = Replica(identity, listing)
+            self._note("listed", replica)
+        elif replica.listing.leaving != listing.leaving:
+            self._note("leaving", replica)
+        elif replica.absent_until is not None:
+            self._note("back", replica)
         for model, version in listing.versions.items():
-            if listing.versions != known.listing.versions:
-                known.versions[model] = version
-        known.listing = listing
-        known.absent_until = None
+            if listing.versions != replica.listing.versions:
+                replica.versions[model] = version
+        replica.listing = listing
+        replica.absent_until = None
         self._changed()
 
-    def _forget_incarnation(self, known):
+    def _forget_incarnation(self, replica):
         """Forget an incarnation; its place is free for the next."""
         # A replica that starts again under its identity holds nothing and knows
         # nothing. Its former versions believed, steps would be sent to weights that
         # are not there; its former failures believed, it would stand idle.
-        del self._known[known.identity]
-        self._note("restarted", known)
+        del self._known[replica.identity]
+        self._note("restarted", replica)
         for callback in self._restart_callbacks:
-            callback(known)
+            callback(replica)
 
     def discard(self, identity):
         """Drop a replica whose newest entry names none that could be used."""
@@ -237,24 +237,24 @@
         seconds if the replica lives: dropping all of them at once would refuse
         every request after each outage of the platform.
         """
-        known = self._known.get(identity)
-        if known is None:
+        replica = self._known.get(identity)
+        if replica is None:
             return
-        tried_until = self._lapse_deadline
-        if passed(tried_until):
+        deadline = self._lapse_deadline
+        if passed(deadline):
             del self._known[identity]
-            self._note("gone", known)
+            self._note("gone", replica)
         else:
-            known.absent_until = tried_until
-            self._note("absent", known, **self._outage_fields(tried_until))
+            replica.absent_until = deadline
+            self._note("absent", replica, **self._outage_fields(deadline))
         self._changed()
 
     def remove_lapsed(self):
         """Forget replicas whose entry did not come back."""
-        for identity, one in list(self._known.items()):
-            if one.absent_until is not None and passed(one.absent_until):
+        for identity, replica in list(self._known.items()):
+            if replica.absent_until is not None and passed(replica.absent_until):
                 del self._known[identity]
-                self._note("gone", one)
+                self._note("gone", replica)
 
     @property
     def _lapse_deadline(self):
@@ -276,14 +276,22 @@
         One in this zone is preferred while its load is close to the best: its
         kept connections are used again and no bytes cross zones.
         """
-        found = [one for one in self.of_service(service) if one.identity not in avoid]
-        sound = [one for one in found if not one.state.is_suspect] or found
-        return min(sound, key=self._cost, default=None)
-
-    def _cost(self, one):
-        share = (one.load + one.state.recent_failures) / max(1, one.listing.slots)
-        away = 0.0 if one.listing.zone == self._zone else ZONE_PENALTY
-        return (share + away, one.identity)
+        candidates = [
+            replica
+            for replica in self.of_service(service)
+            if replica.identity not in avoid
+        ]
+        healthy = [
+            replica for replica in candidates if not replica.state.is_suspect
+        ] or candidates
+        return min(healthy, key=self._cost, default=None)
+
+    def _cost(self, replica):
+        share = (replica.load + replica.state.recent_failures) / max(
+            1, replica.listing.slots
+        )
+        zone_penalty = 0.0 if replica.listing.zone == self._zone else ZONE_PENALTY
+        return (share + zone_penalty, replica.identity)
 
     def _outage_fields(self, until):
         """Return what decided for how long a lapsed entry is believed on."""
@@ -296,14 +304,14 @@
         fields["list_back_seconds"] = round(now() - silence.until, 3)
         return fields
 
-    def _note(self, kind, one, **fields):
+    def _note(self, kind, replica, **fields):
         LISTED.inc({"kind": kind})
         note(
             f"replica.{kind}",
-            replica=one.identity,
-            service=one.listing.service,
-            address=one.listing.address,
-            zone=one.listing.zone,
+            replica=replica.identity,
+            service=replica.listing.service,
+            address=replica.listing.address,
+            zone=replica.listing.zone,
             **fields,
         )
 
--- a/sassafrasdoor/routing/tests/test_discovery.py
+++ b/sassafrasdoor/routing/tests/test_discovery.py
@@ -27,39 +27,41 @@
 
 
 class AddressesForTest(unittest.TestCase):
-    def names(self, seen, caller="caller", zone="zone-a", size=4):
+    def names(self, current_view, caller="caller", zone="zone-a", size=4):
         """Return the names answered."""
-        made = settings(routing={"discovery_size": size})
-        found = discovery.addresses_for(made, seen, caller, zone)
-        return [member.name for member in found]
+        configuration = settings(routing={"discovery_size": size})
+        chosen = discovery.addresses_for(configuration, current_view, caller, zone)
+        return [member.name for member in chosen]
 
     def test_own_zone_first_and_one_of_another(self):
-        seen = View(members=members(12))
-        names = self.names(seen)
+        current_view = View(members=members(12))
+        names = self.names(current_view)
         zones = [ZONES[int(name[1:]) % 3] for name in names]
         self.assertEqual(zones[:3], ["zone-a"] * 3)
         self.assertNotEqual(zones[3], "zone-a")
 
-    def test_same_answer_everywhere_and_callers_spread(self):
-        seen = View(members=members(60))
-        mixed = View(members=list(reversed(seen.members)))
-        self.assertEqual(self.names(seen), self.names(mixed))
+    def test_answer_does_not_depend_on_order_and_callers_are_spread(self):
+        current_view = View(members=members(60))
+        mixed = View(members=list(reversed(current_view.members)))
+        self.assertEqual(self.names(current_view), self.names(mixed))
         used = {
-            name for number in range(200) for name in self.names(seen, f"c{number}")
+            name
+            for number in range(200)
+            for name in self.names(current_view, f"c{number}")
         }
         self.assertGreater(len(used), 50)
 
-    def test_who_is_never_named(self):
+    def test_only_living_members_with_an_address_are_returned(self):
         for state in (State.SUSPECT, State.LEAVING, State.DEAD):
             with self.subTest(state=state):
-                seen = View(members=members(3, e0=state))
-                self.assertNotIn("e0", self.names(seen))
+                current_view = View(members=members(3, e0=state))
+                self.assertNotIn("e0", self.names(current_view))
         silent = Member("e9", availability_zone="zone-a")
         self.assertNotIn("e9", self.names(View(members=[*members(3), silent])))
 
-    def test_no_zone_left_empty_handed(self):
-        seen = View(members=members(2))
-        self.assertEqual(len(self.names(seen, zone="zone-c")), 2)
+    def test_zone_without_members_gets_those_of_others(self):
+        current_view = View(members=members(2))
+        self.assertEqual(len(self.names(current_view, zone="zone-c")), 2)
 
 
 class _Requests:
@@ -70,8 +72,8 @@
 class AddressesHandlerTest(tornado.testing.AsyncHTTPTestCase):
     def get_app(self):
         self.seen = View(members=members(3))
-        parts = (settings(), lambda: self.seen, _Requests())
-        return tornado.web.Application(discovery.handlers(*parts))
+        arguments = (settings(), lambda: self.seen, _Requests())
+        return tornado.web.Application(discovery.handlers(*arguments))
 
     def test_answer(self):
         answer = json.loads(self.fetch("/v1/addresses?row=r&zone=zone-b").body)
@@ -84,7 +86,7 @@
         self.assertEqual(answer["valid_for_ms"], 5000)
         self.assertEqual(answer["key_prefix"], _Requests().key_prefix())
 
-    def test_nobody_known(self):
+    def test_no_known_instance(self):
         self.seen = View()
         response = self.fetch("/v1/addresses")
         self.assertEqual(response.code, 503)
--- a/sassafrasdoor/routing/tests/test_placement.py
+++ b/sassafrasdoor/routing/tests/test_placement.py
@@ -15,55 +15,96 @@
 from sassafrasdoor.routing.replicas import Listing, Replica
 
 
-def make(
+def make_candidate(
     identity,
     load=0,
     pace=0.04,
     slots=12,
-    closed=(),
+    unavailable_models=(),
     version=1,
     is_suspect=False,
 ):
     listing = Listing("s", f"{identity}:80", "z", slots, False, {"m": version})
     replica = Replica(identity, listing)
     replica.pace = pace
-    return Candidate(replica, load, is_suspect, set(closed))
+    return Candidate(replica, load, is_suspect, set(unavailable_models))
 
 
 class PlaceTest(unittest.TestCase):
-    def placed(self, found, **want):
+    def placed(self, candidates, **options):
         chosen = place(
-            found, Requirement("m", want.get("oldest", 1), want.get("avoid", ""))
+            candidates,
+            Requirement("m", options.get("oldest", 1), options.get("avoid", "")),
         )
         return chosen.identity if chosen else None
 
     def test_cases(self):
         cases = [
-            ("less load", [make("a", 5), make("b", 2)], {}, "b"),
-            ("pace counts", [make("a", 2, 0.12), make("b", 5, 0.04)], {}, "b"),
-            ("slow, empty", [make("a", 0, 0.15), make("b", 11, 0.04)], {}, "b"),
-            ("usual spread", [make("a", 2, 0.05), make("b", 8, 0.04)], {}, "a"),
-            ("full", [make("a", 12)], {}, None),
-            ("older weights", [make("a"), make("b", 9, version=2)], {"oldest": 2}, "b"),
-            ("loading", [make("a", closed="m"), make("b", 9)], {}, "b"),
-            ("suspect", [make("a", is_suspect=True), make("b", 9)], {}, "b"),
-            ("unknown pace is usual", [make("a", 2, None), make("b", 3)], {}, "a"),
-            ("left out", [make("a"), make("b", 11)], {"avoid": "a"}, "b"),
-            ("nothing else", [make("a")], {"avoid": "a"}, None),
+            ("less load", [make_candidate("a", 5), make_candidate("b", 2)], {}, "b"),
+            (
+                "pace counts",
+                [make_candidate("a", 2, 0.12), make_candidate("b", 5, 0.04)],
+                {},
+                "b",
+            ),
+            (
+                "slow, empty",
+                [make_candidate("a", 0, 0.15), make_candidate("b", 11, 0.04)],
+                {},
+                "b",
+            ),
+            (
+                "usual spread",
+                [make_candidate("a", 2, 0.05), make_candidate("b", 8, 0.04)],
+                {},
+                "a",
+            ),
+            ("full", [make_candidate("a", 12)], {}, None),
+            (
+                "older weights",
+                [make_candidate("a"), make_candidate("b", 9, version=2)],
+                {"oldest": 2},
+                "b",
+            ),
+            (
+                "loading",
+                [make_candidate("a", unavailable_models="m"), make_candidate("b", 9)],
+                {},
+                "b",
+            ),
+            (
+                "suspect",
+                [make_candidate("a", is_suspect=True), make_candidate("b", 9)],
+                {},
+                "b",
+            ),
+            (
+                "unknown pace is usual",
+                [make_candidate("a", 2, None), make_candidate("b", 3)],
+                {},
+                "a",
+            ),
+            (
+                "left out",
+                [make_candidate("a"), make_candidate("b", 11)],
+                {"avoid": "a"},
+                "b",
+            ),
+            ("nothing else", [make_candidate("a")], {"avoid": "a"}, None),
         ]
-        for name, found, want, wanted in cases:
+        for name, candidates, options, expected in cases:
             with self.subTest(name):
-                self.assertEqual(self.placed(found, **want), wanted)
+                self.assertEqual(self.placed(candidates, **options), expected)
 
-    def test_only_much_slower_ones_are_left(self):
+    def test_samples_leave_only_much_slower_replicas(self):
         slow, usual = (
-            make("a", pace=0.15).replica,
-            make("b", pace=0.08).replica,
+            make_candidate("a", pace=0.15).replica,
+            make_candidate("b", pace=0.08).replica,
         )
-        free, full = make("c", pace=0.04), make("c", load=12)
+        free, full = make_candidate("c", pace=0.04), make_candidate("c", load=12)
         self.assertTrue(should_migrate(slow, free))
         self.assertTrue(should_migrate(usual, free))
-        self.assertFalse(should_migrate(usual, make("c", pace=0.05)))
+        self.assertFalse(should_migrate(usual, make_candidate("c", pace=0.05)))
         self.assertFalse(should_migrate(slow, full))
         self.assertFalse(should_migrate(slow, None))
 
@@ -76,30 +117,31 @@
             ("others get theirs", 8.0, 9.9, False, False),
             ("loads", 8.0, 8.5, True, False),
         ]
-        for name, sent_at, last_received_at, loading, wanted in cases:
+        for name, sent_at, last_received_at, is_loading, expected in cases:
             with self.subTest(name):
                 self.assertEqual(
-                    is_unresponsive(sent_at, last_received_at, loading, 10.0), wanted
+                    is_unresponsive(sent_at, last_received_at, is_loading, 10.0),
+                    expected,
                 )
 
 
 class SlowReplicaReplay(unittest.TestCase):
     """Guards against a migrated sample that goes back to the slow replica."""
 
-    def moved(self, seed, leave_out):
+    def count_returned(self, seed, is_avoided):
         """Return how many of 120 moves lead back to the slow replica."""
-        draw = random.Random(seed)
-        back = 0
+        source = random.Random(seed)
+        returned = 0
         for _ in range(120):
-            loads = draw.choices((11, 12, 12, 12, 12), k=5)
-            found = [make(f"e{at}", load) for at, load in enumerate(loads)]
-            slow = make("slow", draw.randrange(0, 3), 0.04 * 3.8)
-            avoid = "slow" if leave_out else ""
-            back += place([*found, slow], Requirement("m", 1, avoid)) is slow
-        return back
+            loads = source.choices((11, 12, 12, 12, 12), k=5)
+            others = [make_candidate(f"e{at}", load) for at, load in enumerate(loads)]
+            slow = make_candidate("slow", source.randrange(0, 3), 0.04 * 3.8)
+            avoid = "slow" if is_avoided else ""
+            returned += place([*others, slow], Requirement("m", 1, avoid)) is slow
+        return returned
 
-    def test_moved_samples_do_not_come_back(self):
+    def test_migrated_samples_do_not_return(self):
         for seed in range(5):
             with self.subTest(seed):
-                self.assertGreater(self.moved(seed, leave_out=False), 20)
-                self.assertEqual(self.moved(seed, leave_out=True), 0)
+                self.assertGreater(self.count_returned(seed, is_avoided=False), 20)
+                self.assertEqual(self.count_returned(seed, is_avoided=True), 0)
--- a/sassafrasdoor/routing/tests/test_replicas.py
+++ b/sassafrasdoor/routing/tests/test_replicas.py
@@ -25,16 +25,16 @@
         return self.replicas.get(identity)
 
     def names(self):
-        return sorted(one.identity for one in self.replicas.of_service("s"))
+        return sorted(replica.identity for replica in self.replicas.of_service("s"))
 
-    def test_leaving_and_gone_replicas_get_nothing(self):
+    def test_leaving_and_removed_replicas_get_no_work(self):
         for name in "xyz":
             self.listed(name)
         self.listed("x", leaving=True)
         self.replicas.remove_listing("y")
         self.assertEqual(self.names(), ["z"])
 
-    def test_entries_that_lapse_in_an_outage_are_tried_on(self):
+    def test_entries_that_lapse_in_an_outage_stay_usable(self):
         """Guards against lapsed entries taken for ended replicas in an outage."""
         self.listed("x")
         self.tail.silence = Silence(now() - 6.0, now())
@@ -44,7 +44,7 @@
         self.replicas.remove_lapsed()
         self.assertEqual(self.names(), [])
 
-    def test_end_of_an_entry_is_believed_from_the_return_on(self):
+    def test_lapsed_entry_is_used_no_longer_than_the_grace_period(self):
         """Guards against use of a replica that ended after an outage of the list."""
         self.listed("x")
         returned_at = now() - 2.0
@@ -53,14 +53,14 @@
         used_until = getattr(self.replicas.get("x"), "absent_until", returned_at)
         self.assertLessEqual(used_until, returned_at + module.OUTAGE_GRACE_PERIOD)
 
-    def test_short_silence_ends_no_entry(self):
+    def test_short_outage_extends_no_entry(self):
         """Guards against a lost read of the list that extends ended entries."""
         self.listed("x")
         self.tail.silence = Silence(now() - 2.0, now())
         self.replicas.remove_listing("x")
         self.assertEqual(self.names(), [])
 
-    def test_entry_that_comes_back_is_whole_again(self):
+    def test_returned_entry_is_no_longer_absent(self):
         self.listed("x")
         self.tail.silence = Silence(now() - 6.0, now())
         self.replicas.remove_listing("x")
@@ -75,7 +75,7 @@
             near.state.started()
         self.assertIs(self.replicas.choose("s"), far)
 
-    def test_failed_replica_is_avoided_but_used_alone(self):
+    def test_failed_replica_is_used_only_without_alternative(self):
         bad = self.listed("bad")
         bad.state.failed(module.SUSPECT_DURATION)
         self.assertIs(self.replicas.choose("s"), bad)
@@ -83,21 +83,21 @@
         self.assertIs(self.replicas.choose("s"), good)
         self.assertIsNone(self.replicas.choose("s", {"good", "bad"}))
 
-    def test_load_told_beside_answers_counts_others(self):
-        one = self.listed("x")
-        one.state.started()
-        one.record_load(3, 1)
-        self.assertEqual((one.load, one.free_slots), (4, 0))
-        one._other_callers_load_deadline = LONG_AGO
-        self.assertEqual(one.load, 1)
-
-    def test_versions_told_are_kept_while_the_list_says_nothing_new(self):
-        one = self.listed("x", versions={"m": 1})
-        one.record_version("m", 2)
+    def test_load_of_other_callers_counts(self):
+        replica = self.listed("x")
+        replica.state.started()
+        replica.record_load(3, 1)
+        self.assertEqual((replica.load, replica.free_slots), (4, 0))
+        replica._other_callers_load_deadline = LONG_AGO
+        self.assertEqual(replica.load, 1)
+
+    def test_recorded_versions_are_kept_until_the_list_changes(self):
+        replica = self.listed("x", versions={"m": 1})
+        replica.record_version("m", 2)
         self.listed("x", versions={"m": 1})
-        self.assertEqual(one.versions, {"m": 2})
+        self.assertEqual(replica.versions, {"m": 2})
         self.listed("x", versions={"m": 3})
-        self.assertEqual(one.versions, {"m": 3})
+        self.assertEqual(replica.versions, {"m": 3})
 
 
 class IncarnationTest(unittest.TestCase):
@@ -114,7 +114,7 @@
         self.replicas.update_listing("x", listing)
         return self.replicas.get("x")
 
-    def test_nothing_is_remembered_of_the_one_before(self):
+    def test_new_incarnation_has_no_state_of_the_former(self):
         """Guards against state of a former incarnation kept for the new one."""
         before = self.listed(1000, version=3)
         before.record_version("m", 7)
@@ -123,28 +123,28 @@
         before.state.failed(60.0)
         before.state.started()
         before.loading_until["m"] = before.refused_until["m"] = now() + 60
-        found = self.listed(2000, version=0)
-        self.assertIsNot(found, before)
-        self.assertEqual((found.versions, found.free_slots), ({"m": 0}, 4))
-        self.assertIsNone(found.pace)
-        self.assertFalse(found.state.is_suspect)
-        self.assertEqual((found.loading_until, found.refused_until), ({}, {}))
+        replica = self.listed(2000, version=0)
+        self.assertIsNot(replica, before)
+        self.assertEqual((replica.versions, replica.free_slots), ({"m": 0}, 4))
+        self.assertIsNone(replica.pace)
+        self.assertFalse(replica.state.is_suspect)
+        self.assertEqual((replica.loading_until, replica.refused_until), ({}, {}))
         self.assertEqual(self.restarted, [before])
 
-    def test_late_entry_of_an_earlier_one_changes_nothing(self):
-        found = self.listed(2000, version=5)
+    def test_late_entry_of_an_earlier_incarnation_is_ignored(self):
+        replica = self.listed(2000, version=5)
         self.listed(1000, version=1, leaving=True)
-        self.assertIs(self.replicas.get("x"), found)
-        self.assertEqual(found.versions, {"m": 5})
-        self.assertTrue(found.is_usable)
+        self.assertIs(self.replicas.get("x"), replica)
+        self.assertEqual(replica.versions, {"m": 5})
+        self.assertTrue(replica.is_usable)
         self.assertEqual(self.restarted, [])
 
-    def test_same_one_is_the_same(self):
-        found = self.listed(1000)
-        found.record_version("m", 4)
-        self.assertIs(self.listed(1000), found)
-        self.assertEqual(found.versions, {"m": 4})
+    def test_same_incarnation_keeps_its_state(self):
+        replica = self.listed(1000)
+        replica.record_version("m", 4)
+        self.assertIs(self.listed(1000), replica)
+        self.assertEqual(replica.versions, {"m": 4})
 
-    def test_one_that_left_may_start_again(self):
+    def test_replica_that_left_may_start_again(self):
         self.listed(1000, leaving=True)
         self.assertTrue(self.listed(2000).is_usable)
--- a/sassafrasdoor/weights/controller.py
+++ b/sassafrasdoor/weights/controller.py
@@ -154,12 +154,14 @@
 
     def _order_due(self, replicas):
         loading = sum(
-            not passed(one.load_deadline) for one in self._last_orders.values()
+            not passed(order.load_deadline) for order in self._last_orders.values()
         )
-        most = max(MIN_CONCURRENT_LOADS, int(CONCURRENT_LOAD_SHARE * len(replicas)))
-        for replica in sorted(replicas, key=lambda one: one.state.in_flight):
+        max_loads = max(
+            MIN_CONCURRENT_LOADS, int(CONCURRENT_LOAD_SHARE * len(replicas))
+        )
+        for replica in sorted(replicas, key=lambda replica: replica.state.in_flight):
             for model in self._assigned.get(replica.identity, ()):
-                if loading >= most:
+                if loading >= max_loads:
                     return
                 version = self._target_versions.get(model, 0)
                 if not self._is_due(replica, model, version):
@@ -174,22 +176,22 @@
     def _is_due(self, replica, model, version):
         if replica.versions.get(model, 0) >= version:
             return False
-        sent = self._last_orders.get(replica.identity)
-        if sent is None or sent.replica is not replica:
+        last_order = self._last_orders.get(replica.identity)
+        if last_order is None or last_order.replica is not replica:
             return True
-        if not passed(sent.load_deadline):
+        if not passed(last_order.load_deadline):
             return False
-        same = (sent.model, sent.version) == (model, version)
-        return not same or passed(sent.retry_deadline)
+        same = (last_order.model, last_order.version) == (model, version)
+        return not same or passed(last_order.retry_deadline)
 
     def _may_load(self, replica, model):
-        own = sum(model in models for models in self._assigned.values())
+        assigned = sum(model in models for models in self._assigned.values())
         loading = sum(
-            one.model == model and not passed(one.load_deadline)
-            for one in self._last_orders.values()
+            order.model == model and not passed(order.load_deadline)
+            for order in self._last_orders.values()
         )
         return load_policy.may_load(
-            own, loading, self._serves_open_steps(replica, model)
+            assigned, loading, self._serves_open_steps(replica, model)
         )
 
     def _serves_open_steps(self, replica, model):
@@ -212,7 +214,7 @@
         task.add_done_callback(self._tasks.discard)
 
     async def _order(self, replica, model, version):
-        sent = self._last_orders[replica.identity]
+        last_order = self._last_orders[replica.identity]
         order = VersionOrder(
             model,
             version,
@@ -236,13 +238,13 @@
             reason="" if result is True else result.reason,
         )
         if result is True:
-            sent.retry_deadline = deadline_in(REPORT_LAG)
+            last_order.retry_deadline = deadline_in(REPORT_LAG)
             replica.loading_until[model] = deadline_in(MIN_LOAD_TIME)
             ORDER_DELAY.observe({}, now() - self._target_set_at[model])
             return
-        sent.retry_deadline = deadline_in(RETRY_DELAY)
+        last_order.retry_deadline = deadline_in(RETRY_DELAY)
         if isinstance(result, OrderRefused):
-            sent.load_deadline = sent.retry_deadline
+            last_order.load_deadline = last_order.retry_deadline
         if isinstance(result, Stale):
             # Another process holds the lease already.
             self._stale_fence = max(self._stale_fence, order.fence)
@@ -258,40 +260,44 @@
 
     def _assign(self, replicas, models):
         """Assign the replicas to the models; each keeps its own where possible."""
-        wanted = allocate_replicas(len(replicas), models, self._demand)
-        left = {one.identity: one for one in replicas}
+        targets = allocate_replicas(len(replicas), models, self._demand)
+        unassigned = {replica.identity: replica for replica in replicas}
         if len(replicas) < len(models):
-            order = sorted(left)
+            order = sorted(unassigned)
             for number, model in enumerate(models):
                 identity = order[number % len(order)]
                 if number < len(order):
                     self._assigned[identity] = ()
                 self._assigned[identity] += (model,)
             return
-        taken = {}
+        assigned = {}
         for model in models:
-            mine = sorted(
-                left.values(), key=lambda one: self._assignment_cost(one, model)
+            preferred = sorted(
+                unassigned.values(),
+                key=lambda replica: self._assignment_cost(replica, model),
             )
-            for one in mine[: wanted[model]]:
-                if self._is_assigned(one, model):
-                    taken[one.identity] = (model,)
-        for identity in taken:
-            del left[identity]
+            for replica in preferred[: targets[model]]:
+                if self._is_assigned(replica, model):
+                    assigned[replica.identity] = (model,)
+        for identity in assigned:
+            del unassigned[identity]
         for model in models:
-            have = sum(found == (model,) for found in taken.values())
-            mine = sorted(
-                left.values(), key=lambda one: self._assignment_cost(one, model)
+            assigned_count = sum(
+                assigned_models == (model,) for assigned_models in assigned.values()
+            )
+            preferred = sorted(
+                unassigned.values(),
+                key=lambda replica: self._assignment_cost(replica, model),
             )
-            for one in mine[: max(0, wanted[model] - have)]:
-                taken[one.identity] = (model,)
-                del left[one.identity]
-        if taken != {key: self._assigned.get(key) for key in taken}:
+            for replica in preferred[: max(0, targets[model] - assigned_count)]:
+                assigned[replica.identity] = (model,)
+                del unassigned[replica.identity]
+        if assigned != {key: self._assigned.get(key) for key in assigned}:
             note(
                 "weights.assigned",
-                replicas={key: value[0] for key, value in taken.items()},
+                replicas={key: value[0] for key, value in assigned.items()},
             )
-        self._assigned = {**self._assigned, **taken}
+        self._assigned = {**self._assigned, **assigned}
 
     def _is_assigned(self, replica, model):
         return self._assigned.get(replica.identity) == (model,)
@@ -313,8 +319,10 @@
         weights = dict.fromkeys(models, 1)
     total = sum(weights.values())
     exact = {model: count * weight / total for model, weight in weights.items()}
-    found = dict.fromkeys(models, 1)
-    while sum(found.values()) < count:
-        least = max(exact, key=lambda model: (exact[model] - found[model], model))
-        found[least] += 1
-    return found
+    allocated = dict.fromkeys(models, 1)
+    while sum(allocated.values()) < count:
+        neediest = max(
+            exact, key=lambda model: (exact[model] - allocated[model], model)
+        )
+        allocated[neediest] += 1
+    return allocated
--- a/sassafrasdoor/weights/plan.py
+++ b/sassafrasdoor/weights/plan.py
@@ -109,14 +109,18 @@
     if free <= 0:
         return []
     for model, version in sorted(view.weights.items()):
-        mine = [engine for engine in engines if model in engine.backend.models]
-        out = sum(e.phase is not Phase.IDLE or e in chosen for e in mine)
+        model_engines = [engine for engine in engines if model in engine.backend.models]
+        out_of_service = sum(
+            engine.phase is not Phase.IDLE or engine in chosen
+            for engine in model_engines
+        )
         allowed = (
-            max_concurrent_swaps(settings, preference(view.table, model), mine) - out
+            max_concurrent_swaps(settings, preference(view.table, model), model_engines)
+            - out_of_service
         )
         ready = [
             engine
-            for engine in mine
+            for engine in model_engines
             if engine.is_ready
             and engine not in chosen
             and engine.is_behind(model, version)
--- a/sassafrasdoor/weights/rollout.py
+++ b/sassafrasdoor/weights/rollout.py
@@ -106,14 +106,14 @@
         orders and ours meet at an engine that ignores fencing numbers.
         """
         self._draining = True
-        limit = clock.deadline_in(self._settings.weights.order_timeout)
-        while self._swapping and not clock.passed(limit):  # noqa: ASYNC110
+        deadline = clock.deadline_in(self._settings.weights.order_timeout)
+        while self._swapping and not clock.passed(deadline):  # noqa: ASYNC110
             await asyncio.sleep(POLL_INTERVAL)
         return not self._swapping
 
     @property
     def _swapping(self):
-        return any(one.phase is Phase.SWAPPING for one in self._engines.values())
+        return any(engine.phase is Phase.SWAPPING for engine in self._engines.values())
 
     def _may_act(self):
         """Say whether the lease is ours, and start afresh if it is newly ours."""
@@ -206,8 +206,8 @@
             if outcome:
                 engine.phase = Phase.CONFIRMING
                 self._wake.set()
-                limit = clock.deadline_in(self._settings.weights.confirm_timeout)
-                confirmed = await self._confirm(swap, limit)
+                deadline = clock.deadline_in(self._settings.weights.confirm_timeout)
+                confirmed = await self._confirm(swap, deadline)
             elif isinstance(outcome, ReplyLost):
                 confirmed = await self._confirm(swap, clock.LONG_AGO)
             self._record_swap_result(swap, confirmed)
@@ -228,8 +228,8 @@
             # have lapsed in between, and a successor may order otherwise.
             if not self._may_act():
                 return Unavailable("no lease")
-            limit = clock.deadline_in(self._settings.weights.order_timeout)
-            order = Order(self._fence, swap.model, swap.version, "", limit)
+            deadline = clock.deadline_in(self._settings.weights.order_timeout)
+            order = Order(self._fence, swap.model, swap.version, "", deadline)
             outcome = await self._client.order(swap.engine.backend, order)
             self._record_order(swap, order, outcome)
             if not isinstance(outcome, ReplyLost):
@@ -240,7 +240,7 @@
                 return outcome
         return outcome
 
-    async def _confirm(self, swap, limit):
+    async def _confirm(self, swap, deadline):
         """Read reports, one at least, until one shows the version or ``limit``."""
         while True:
             await asyncio.sleep(CONFIRM_INTERVAL)
@@ -250,7 +250,7 @@
                 swap.model, swap.version
             ):
                 return True
-            if clock.passed(limit):
+            if clock.passed(deadline):
                 return False
 
     def _record_swap_result(self, swap, confirmed):
--- a/sassafrasdoor/weights/tests/test_controller.py
+++ b/sassafrasdoor/weights/tests/test_controller.py
@@ -33,7 +33,7 @@
         return self.oldest
 
 
-class Client:
+class RecordingClient:
     """Carries orders out at once, unless told to answer otherwise."""
 
     def __init__(self):
@@ -59,18 +59,18 @@
             self.replicas.update_listing(f"e{at}", listing)
         self.routes = RoutesInForce()
         self.configure()
-        self.client, self.holder, self.work = Client(), Holder(), Work()
+        self.client, self.holder, self.work = RecordingClient(), Holder(), Work()
         self.controller = self.make(0.0)
-        load, module.LOAD_TIME = module.LOAD_TIME, 0.05
-        self.addCleanup(setattr, module, "LOAD_TIME", load)
-        pause, module.RETRY_DELAY = module.RETRY_DELAY, 0.05
-        self.addCleanup(setattr, module, "RETRY_DELAY", pause)
+        load_time, module.LOAD_TIME = module.LOAD_TIME, 0.05
+        self.addCleanup(setattr, module, "LOAD_TIME", load_time)
+        retry_delay, module.RETRY_DELAY = module.RETRY_DELAY, 0.05
+        self.addCleanup(setattr, module, "RETRY_DELAY", retry_delay)
 
     def configure(self, version=1, **fields):
         limits = Limits(1, 1, 1)
         rows = [route(**fields)]
-        found = Configuration(version, rows, {SERVICE: self.models}, limits)
-        self.routes.take(found)
+        configuration = Configuration(version, rows, {SERVICE: self.models}, limits)
+        self.routes.take(configuration)
 
     def make(self, handover):
         return WeightsController(
@@ -87,19 +87,19 @@
         self.addCleanup(task.cancel)
 
     async def until(self, condition):
-        limit = deadline_in(20)
+        deadline = deadline_in(20)
         while not condition():
-            self.assertFalse(passed(limit), "condition never came true")
+            self.assertFalse(passed(deadline), "condition never came true")
             await asyncio.sleep(0.01)
 
     def at(self, model, version):
         return [
-            one.identity
-            for one in self.replicas.of_service(SERVICE)
-            if one.versions.get(model) == version
+            replica.identity
+            for replica in self.replicas.of_service(SERVICE)
+            if replica.versions.get(model) == version
         ]
 
-    async def test_half_of_a_models_replicas_go_on_while_the_others_load(self):
+    async def test_half_of_a_models_replicas_keep_serving_while_the_others_load(self):
         """Guards against all replicas of a model that load at once."""
         self.models = ["a"]
         self.configure(2)
@@ -114,7 +114,7 @@
         self.work.oldest = 2
         await self.until(lambda: len(self.client.orders) == 5)
 
-    async def test_only_a_models_own_replicas_follow_it(self):
+    async def test_only_replicas_assigned_to_a_model_load_it(self):
         """Guards against loads at replicas of other models."""
         self.run_controller()
         self.controller.set_target_version("a", 2)
@@ -146,14 +146,14 @@
         await self.until(lambda: len(self.at("a", 2)) == 5)
         self.assertEqual(self.client.orders.count(("e0", "a", 2)), 2)
 
-    async def test_without_the_duty_nothing_is_ordered(self):
+    async def test_no_orders_without_the_lease(self):
         self.holder.fence = 0
         self.run_controller()
         self.controller.set_target_version("a", 2)
         await asyncio.sleep(0.3)
         self.assertEqual(self.client.orders, [])
 
-    async def test_new_holder_waits_for_the_former_ones_orders(self):
+    async def test_new_holder_waits_for_orders_of_the_former_holder(self):
         self.holder.fence = 7
         self.controller = self.make(1000.0)
         self.run_controller()
@@ -179,7 +179,7 @@
         self.controller.set_target_version("a", 2)
         await self.until(lambda: len(self.at("a", 2)) >= 2)
 
-    async def test_replica_that_went_back_is_ordered_again(self):
+    async def test_replica_that_reverted_is_ordered_again(self):
         """Guards against a replica that went back to an older version unnoticed."""
         self.run_controller()
         self.controller.set_target_version("a", 2)
@@ -190,7 +190,7 @@
         self.replicas.get(replica).record_version("a", 1)
         await self.until(lambda: replica in self.at("a", 2))
 
-    async def test_load_waits_while_items_need_the_version_before(self):
+    async def test_load_is_deferred_while_items_are_queued(self):
         self.work.queue, self.work.oldest = 3, 1
         self.run_controller()
         self.controller.set_target_version("a", 2)
@@ -199,13 +199,13 @@
         self.work.queue = 0
         await self.until(lambda: self.client.orders)
 
-    async def test_load_does_not_wait_where_items_need_it(self):
+    async def test_load_is_not_deferred_where_queued_items_need_it(self):
         self.work.queue, self.work.oldest = 3, 2
         self.run_controller()
         self.controller.set_target_version("a", 2)
         await self.until(lambda: self.client.orders)
 
-    async def test_few_load_at_once(self):
+    async def test_concurrent_loads_are_bounded(self):
         module.LOAD_TIME = 1000.0
         self.run_controller()
         self.controller.set_target_version("a", 2)
@@ -214,7 +214,7 @@
         await asyncio.sleep(0.3)
         self.assertEqual(len(self.client.orders), module.MIN_CONCURRENT_LOADS)
 
-    async def test_more_load_at_once_where_there_are_more(self):
+    async def test_bound_on_loads_grows_with_the_service(self):
         """Guards against a bound on loads that ignores the size of the service."""
         for at in range(5, 20):
             listing = Listing(SERVICE, f"h{at}:1", "z", 4, False, {"a": 1, "b": 1})
@@ -228,8 +228,8 @@
         self.assertEqual(len(self.client.orders), 8)
 
 
-class SharesTest(unittest.TestCase):
-    def test_shares_follow_demand_and_leave_nobody_out(self):
+class AllocateReplicasTest(unittest.TestCase):
+    def test_allocation_follows_demand_and_includes_every_model(self):
         cases = [
             (5, {"a": 60, "b": 40}, {"a": 3, "b": 2}),
             (5, {"a": 100, "b": 1, "c": 1}, {"a": 3, "b": 1, "c": 1}),
--- a/sassafrasdoor/weights/tests/test_load_policy.py
+++ b/sassafrasdoor/weights/tests/test_load_policy.py
@@ -4,59 +4,62 @@
 
 from sassafrasdoor.weights.load_policy import MAX_DEFERRAL, may_load, should_defer
 
-REPLICAS, PLACES = 8, 8
+REPLICAS, SLOTS = 8, 8
 LOAD = 0.9
 """Seconds that a load takes a replica."""
-ASKED_AT = 0.1
+STEP_DELAY = 0.1
 """Seconds from the name of a version to the step that follows it."""
 SAMPLES = (6.5, 5.0, 4.5) + (2.0,) * 10 + (0.7,) * 47
 """Seconds of a step's samples, longest first, as they are handed out."""
 
 
-def whole_at(rule):
+def step_duration(rule):
     """Return when a step's last sample is whole, from its submission.
 
     A version is named at 0 and ``rule(replicas, loading, serves)`` lets replicas load.
     """
-    free_at = [[0.0] * PLACES for _ in range(REPLICAS)]
+    free_at = [[0.0] * SLOTS for _ in range(REPLICAS)]
     loading = 0
-    for places in free_at:
+    for slots in free_at:
         if rule(REPLICAS, loading, True):
             loading += 1
-            places[:] = [LOAD] * PLACES
-    last = 0.0
+            slots[:] = [LOAD] * SLOTS
+    finished_at = 0.0
     for seconds in SAMPLES:
-        places = min(free_at, key=min)
-        begins = max(ASKED_AT, min(places))
-        places[places.index(min(places))] = begins + seconds
-        last = max(last, begins + seconds)
-    return last - ASKED_AT
+        slots = min(free_at, key=min)
+        started_at = max(STEP_DELAY, min(slots))
+        slots[slots.index(min(slots))] = started_at + seconds
+        finished_at = max(finished_at, started_at + seconds)
+    return finished_at - STEP_DELAY
 
 
 class PaceTest(unittest.TestCase):
     def test_step_that_follows_a_version_begins_at_once(self):
         """Guards against a step that waits while all replicas load its next version."""
         longest = max(SAMPLES)
-        before = whole_at(lambda replicas, loading, serves_open_steps: True)
-        self.assertAlmostEqual(before, longest + LOAD - ASKED_AT)
-        self.assertAlmostEqual(whole_at(may_load), longest)
+        without_limit = step_duration(lambda replicas, loading, serves_open_steps: True)
+        self.assertAlmostEqual(without_limit, longest + LOAD - STEP_DELAY)
+        self.assertAlmostEqual(step_duration(may_load), longest)
 
-    def test_load_waits_for_the_step_that_follows(self):
+    def test_load_is_deferred_for_the_step_that_follows(self):
         """Guards against loads that begin just before the step that follows."""
         self.assertTrue(
             should_defer(10.0, 10.0, has_queued_items=False, serves_open_steps=True)
         )
-        asked_at = 10.0 + ASKED_AT
+        step_at = 10.0 + STEP_DELAY
         self.assertTrue(
-            should_defer(10.0, asked_at, has_queued_items=True, serves_open_steps=True)
+            should_defer(10.0, step_at, has_queued_items=True, serves_open_steps=True)
         )
         self.assertTrue(
             should_defer(
-                10.0, asked_at + LOAD, has_queued_items=True, serves_open_steps=True
+                10.0,
+                step_at + LOAD,
+                has_queued_items=True,
+                serves_open_steps=True,
             )
         )
 
-    def test_load_does_not_wait_for_long_or_for_nobody(self):
+    def test_deferral_is_bounded(self):
         late = 10.0 + MAX_DEFERRAL
         self.assertFalse(
             should_defer(10.0, late, has_queued_items=True, serves_open_steps=True)
@@ -68,7 +71,7 @@
             should_defer(10.0, 10.0, has_queued_items=True, serves_open_steps=False)
         )
 
-    def test_replicas_that_can_run_nothing_load_together(self):
+    def test_replicas_that_serve_no_step_all_load(self):
         self.assertTrue(all(may_load(4, loading, False) for loading in range(4)))
 
     def test_a_single_replica_loads(self):
--- a/sassafrasdoor/weights/tests/test_plan.py
+++ b/sassafrasdoor/weights/tests/test_plan.py
@@ -21,12 +21,12 @@
 
 def engine(name, version=1, in_flight=0, model="model", phase=Phase.IDLE):
     """Return an engine with its report; ``version`` None for one without."""
-    made = EngineState(Backend(name, "", "engine", "engines", models=[model]))
-    made.versions = None if version is None else {model: version}
-    made.in_flight = in_flight
-    made.phase = phase
-    made.check_deadline = math.inf
-    return made
+    state = EngineState(Backend(name, "", "engine", "engines", models=[model]))
+    state.versions = None if version is None else {model: version}
+    state.in_flight = in_flight
+    state.phase = phase
+    state.check_deadline = math.inf
+    return state
 
 
 def table(*prefers):
@@ -37,11 +37,11 @@
             "kind": "trainer",
             "service": "engines",
             "model": "model",
-            "prefers": wanted,
+            "prefers": preferred,
             "weight": weight,
             "key_hashes": [KEY],
         }
-        for index, (wanted, weight) in enumerate(prefers)
+        for index, (preferred, weight) in enumerate(prefers)
     ]
     return table_from({"rows": rows})
 
@@ -52,14 +52,14 @@
 
 
 class PlanTest(unittest.TestCase):
-    def test_least_busy_first_within_the_stores_limit(self):
+    def test_least_busy_first_within_store_concurrency(self):
         engines = [engine(f"e{n}", in_flight=9 - n) for n in range(10)]
         view = View(weights={"model": 2})
         swaps = next_swaps(configured(store_concurrency=3), view, engines)
         self.assertEqual([s.engine.backend.name for s in swaps], ["e9", "e8", "e7"])
 
-    def test_who_is_not_ordered(self):
-        for reason, made in (
+    def test_engines_that_get_no_order(self):
+        for reason, state in (
             ("at the version", engine("e", 2)),
             ("ahead of our view", engine("e", 3)),
             ("without a report", engine("e", None)),
@@ -69,7 +69,7 @@
         ):
             with self.subTest(reason):
                 view = View(weights={"model": 2})
-                self.assertEqual(next_swaps(configured(), view, [made]), [])
+                self.assertEqual(next_swaps(configured(), view, [state]), [])
 
     def test_the_share_that_serves_follows_the_tables_preference(self):
         engines = [engine(f"e{n}") for n in range(10)]
@@ -80,9 +80,9 @@
             ([], Preference.STALENESS, 5),
         ):
             with self.subTest(rows=rows):
-                known = table(*rows)
-                self.assertEqual(preference(known, "model"), wanted)
-                view = View(table=known, weights={"model": 2})
+                trainers = table(*rows)
+                self.assertEqual(preference(trainers, "model"), wanted)
+                view = View(table=trainers, weights={"model": 2})
                 swaps = next_swaps(configured(store_concurrency=99), view, engines)
                 self.assertEqual(len(swaps), allowed)
 
@@ -115,15 +115,23 @@
         ]
         view = View(weights={"model": 2, "other": 2})
         swaps = next_swaps(configuration, view, engines)
-        swapping = sum(one.phase is Phase.SWAPPING for one in engines)
+        swapping = sum(engine_state.phase is Phase.SWAPPING for engine_state in engines)
         self.assertLessEqual(len(swaps), max(0, concurrency - swapping))
         self.assertEqual(len({id(swap.engine) for swap in swaps}), len(swaps))
         for model in ("model", "other"):
-            mine = [one for one in engines if model in one.backend.models]
-            begun = sum(swap.model == model for swap in swaps)
-            out = sum(one.phase is not Phase.IDLE for one in mine)
-            allowed = max_concurrent_swaps(configuration, Preference.STALENESS, mine)
-            self.assertLessEqual(begun, max(0, allowed - out))
+            model_engines = [
+                engine_state
+                for engine_state in engines
+                if model in engine_state.backend.models
+            ]
+            started = sum(swap.model == model for swap in swaps)
+            out_of_service = sum(
+                engine_state.phase is not Phase.IDLE for engine_state in model_engines
+            )
+            allowed = max_concurrent_swaps(
+                configuration, Preference.STALENESS, model_engines
+            )
+            self.assertLessEqual(started, max(0, allowed - out_of_service))
 
 
 if __name__ == "__main__":
--- a/sassafrasdoor/weights/tests/test_rollout.py
+++ b/sassafrasdoor/weights/tests/test_rollout.py
@@ -17,7 +17,7 @@
 from sassafrasdoor.weights.plan import EngineState
 from sassafrasdoor.weights.rollout import Rollout
 
-QUICK = {
+FAST_SETTINGS = {
     "store_concurrency": 4,
     "order_timeout": 1.0,
     "confirm_timeout": 0.5,
@@ -60,7 +60,7 @@
     """Counts who reads at once; ``broken`` refuses all."""
 
     broken = False
-    reading = most = 0
+    reading = max_reading = 0
 
     async def get(self):
         store = type(self)
@@ -68,7 +68,7 @@
             self.send_error(503)
             return
         store.reading += 1
-        store.most = max(store.most, store.reading)
+        store.max_reading = max(store.max_reading, store.reading)
         await asyncio.sleep(0.05)
         store.reading -= 1
         self.finish(b"weights")
@@ -84,7 +84,7 @@
 
     def configure(self, **weights):
         """Change settings of the rollout."""
-        document = {"weights": {**QUICK, **weights}}
+        document = {"weights": {**FAST_SETTINGS, **weights}}
         self.settings = settings.from_document(document)
 
     def add(self, count=1, **options):
@@ -121,16 +121,18 @@
         self.addAsyncCleanup(end)
         return rollout
 
-    async def all_at(self, version):
+    async def wait_for_version(self, version):
         """Wait until every engine truly has that version."""
         await until(
-            lambda: all(one.batch.versions[MODEL] == version for one in self.engines),
+            lambda: all(
+                engine.batch.versions[MODEL] == version for engine in self.engines
+            ),
             what=f"version {version} on all engines",
         )
 
 
 class RolloutTest(RolloutTestCase):
-    async def test_engines_reach_the_version_whatever_the_reply_said(self):
+    async def test_engines_reach_the_version_whatever_the_reply(self):
         """Guards against a reply to an order taken for the engine's version."""
         self.configure(check_interval=600.0)
         for version, (faults, orders) in enumerate(FAULTS, 1):
@@ -140,28 +142,30 @@
                 self.engines[0].set_faults(faults)
                 self.announce(version)
                 rollout = self.run_rollout(view=lambda v=self.view: v)
-                await self.all_at(version)
+                await self.wait_for_version(version)
                 await until(lambda r=rollout: r.behind == {MODEL: 0})
                 truth = self.engines[0].truth()["orders"]
                 self.assertEqual(len(truth), orders)
                 self.assertEqual(sum(order["applied"] for order in truth), 1)
 
-    async def test_an_order_is_waited_for_and_not_forgotten(self):
+    async def test_an_order_without_reply_keeps_its_slot(self):
         """Guards against an order without reply taken for one that has ended."""
         self.configure(store_concurrency=1, order_timeout=0.2)
         self.add(2, swap_seconds=1.0)
         self.announce(1)
         self.run_rollout()
-        together = []
+        swapping_counts = []
 
         def done():
-            together.append(sum(one.batch.swapping for one in self.engines))
-            return all(one.batch.versions[MODEL] == 1 for one in self.engines)
+            swapping_counts.append(
+                sum(engine.batch.swapping for engine in self.engines)
+            )
+            return all(engine.batch.versions[MODEL] == 1 for engine in self.engines)
 
         await until(done)
-        self.assertEqual(max(together), 1)
-        for one in self.engines:
-            self.assertEqual(sum(o["applied"] for o in one.orders), 1)
+        self.assertEqual(max(swapping_counts), 1)
+        for engine in self.engines:
+            self.assertEqual(sum(o["applied"] for o in engine.orders), 1)
 
     async def test_no_order_without_the_lease(self):
         """Guards against orders of a holder that has lost its lease."""
@@ -170,7 +174,7 @@
         self.announce(1)
         idle = self.run_rollout()
         other = self.run_rollout(FakeHolder(2))
-        await self.all_at(1)
+        await self.wait_for_version(1)
         await until(lambda: other.behind == {MODEL: 0})
         self.assertEqual(idle.behind, {})
         self.assertEqual({order["fence"] for order in self.engines[0].orders}, {2})
@@ -205,7 +209,7 @@
                 engine = self.engines[0]
                 await until(lambda e=engine: any(o["fence"] == 5 for o in e.orders))
                 await until(lambda r=first: not r._tasks)
-                await self.all_at(2)
+                await self.wait_for_version(2)
                 applied = [o["version"] for o in engine.orders if o["applied"]]
                 self.assertEqual(applied, [2, 1, 2] if reverted else [2])
                 self.assertEqual(first._stale_fence, 0 if reverted else 5)
@@ -222,9 +226,9 @@
         await until(lambda: not rollout._tasks)
         self.assertEqual(len(self.engines[0].orders), 1)
         holder.fence = 10
-        await self.all_at(1)
+        await self.wait_for_version(1)
 
-    async def test_no_engine_goes_back_for_an_older_view(self):
+    async def test_no_engine_reverts_for_an_older_view(self):
         """Guards against a swap to an older version by an outdated view."""
         self.add(initial_version=5)
         self.announce(4)
@@ -232,40 +236,40 @@
         await until(lambda: rollout.behind == {MODEL: 0})
         self.assertEqual(self.engines[0].orders, [])
 
-    async def test_a_dead_engine_delays_nobody(self):
+    async def test_dead_engines_delay_no_others(self):
         """Guards against a rollout that waits for dead engines."""
         self.add(4)
-        lost = self.engines.pop()
-        await lost.close()
+        dead = self.engines.pop()
+        await dead.close()
         self.announce(1)
         rollout = self.run_rollout()
-        await self.all_at(1)
+        await self.wait_for_version(1)
         await until(lambda: rollout.behind == {MODEL: 1})
         await self.engines.pop().close()
         await until(lambda: rollout.behind == {MODEL: 2})
         self.view = View(backends=self.view.backends[:2], weights={MODEL: 1})
         await until(lambda: rollout.behind == {MODEL: 0})
 
-    async def test_an_engine_that_restarts_is_brought_up_again(self):
+    async def test_a_restarted_engine_is_ordered_again(self):
         """Guards against a restarted engine that keeps its initial weights."""
         self.add()
         self.announce(1)
         rollout = self.run_rollout()
         await until(lambda: rollout.behind == {MODEL: 0})
         self.engines[0].batch.versions[MODEL] = 0
-        await self.all_at(1)
+        await self.wait_for_version(1)
 
-    async def test_a_planned_stop_waits_for_the_order_under_way(self):
+    async def test_drain_waits_for_the_order_in_flight(self):
         """Guards against a lease released with an order in flight."""
         self.add(2, swap_seconds=0.2)
         self.configure(store_concurrency=1)
         self.announce(1)
         rollout = self.run_rollout()
-        await until(lambda: any(one.batch.swapping for one in self.engines))
+        await until(lambda: any(engine.batch.swapping for engine in self.engines))
         self.assertTrue(await rollout.drain())
-        swapped = [one.batch.versions[MODEL] for one in self.engines]
+        swapped = [engine.batch.versions[MODEL] for engine in self.engines]
         self.assertEqual(sorted(swapped), [0, 1])
-        self.assertEqual(sum(len(one.orders) for one in self.engines), 1)
+        self.assertEqual(sum(len(engine.orders) for engine in self.engines), 1)
         self.assertFalse(rollout._may_act())
 
     async def test_a_cancelled_rollout_ends(self):
@@ -300,9 +304,9 @@
         await until(lambda: rollout.behind == {MODEL: 0})
         self.engines[0].batch.versions[MODEL] = 0
         self.holder.fence = 2
-        await self.all_at(1)
+        await self.wait_for_version(1)
 
-    async def test_the_least_busy_by_reports_of_now_go_first(self):
+    async def test_swaps_start_with_the_least_busy_by_fresh_reports(self):
         """Guards against swaps ordered by outdated load reports."""
         self.configure(check_interval=600.0, store_concurrency=1)
         self.add(2)
@@ -316,13 +320,13 @@
         self.announce(2)
         await until(lambda: idle.orders[-1]["version"] == 2)
         self.assertNotEqual(busy.batch.versions[MODEL], 2)
-        await self.all_at(2)
+        await self.wait_for_version(2)
 
     async def test_checks_between_rollouts_are_bounded(self):
         """Guards against a load of report polls that grows with the engines."""
         self.configure(check_interval=15.0)
         rollout = Rollout(self.settings, self.engine, self.holder, View)
-        for checks, known, least, most in (
+        for checks, known, shortest, longest in (
             (True, 1, 12.0, 18.0),
             (False, 1, 4.0, 6.0),
             (False, 600, 24.0, 36.0),
@@ -331,7 +335,7 @@
                 backend = Backend("e", "", "engine", "", checks_fencing=checks)
                 rollout._engines = dict.fromkeys(range(known))
                 interval = rollout._check_interval(EngineState(backend))
-                self.assertTrue(least <= interval <= most, interval)
+                self.assertTrue(shortest <= interval <= longest, interval)
 
     async def test_the_store_is_down_and_then_slow(self):
         """Guards against swaps that are given up or retried at once in an outage."""
@@ -344,14 +348,14 @@
         self.add(8, weights_url=f"http://{address}")
         self.announce(1)
         self.run_rollout()
-        await until(lambda: sum(len(one.orders) for one in self.engines) > 8)
+        await until(lambda: sum(len(engine.orders) for engine in self.engines) > 8)
         store.broken = False
-        await self.all_at(1)
-        self.assertLessEqual(store.most, QUICK["store_concurrency"])
+        await self.wait_for_version(1)
+        self.assertLessEqual(store.max_reading, FAST_SETTINGS["store_concurrency"])
 
 
 class VersionsTest(unittest.IsolatedAsyncioTestCase):
-    async def test_an_announcement_repeated_or_late_changes_nothing(self):
+    async def test_repeated_or_late_announcements_are_ignored(self):
         class Log:
             bodies = []
 
