--- a/sassafrasdoor/platform/process.py
+++ b/sassafrasdoor/platform/process.py
@@ -6,7 +6,6 @@
 import uuid
 
 from tornado.httpserver import HTTPServer
-from weights.controller import WeightsController
 
 from sassafrasdoor.clock import deadline_in, now, passed, remaining
 from sassafrasdoor.decisions import note
@@ -36,6 +35,7 @@
 from sassafrasdoor.steps.durable.state import Steps
 from sassafrasdoor.stopping import lasting
 from sassafrasdoor.table.routes import RoutesInForce
+from sassafrasdoor.weights.controller import WeightsController
 
 LIST_PAUSE = 0.35
 """Seconds between reads of the replicas' list: a leaving replica is known well
