--- a/sassafrasdoor/platform/tests/test_process.py
+++ b/sassafrasdoor/platform/tests/test_process.py
@@ -38,7 +38,7 @@
             process._crash_list,
         )
         self.assertEqual(len(lists), LISTS)
-        with mock.patch.object(Instances, "alive", ALIVE):
+        with mock.patch.object(Instances, "alive_count", ALIVE):
             reads = sum(ALIVE / one._way.pause for one in lists)
         self.assertLessEqual(reads, READS_SHARE * READS * 1.001)
 
