--- a/sassafrasdoor/routing/placement.py
+++ b/sassafrasdoor/routing/placement.py
@@ -1,13 +1,13 @@
 """Chooses the replica of an item, and the samples that leave a slow replica.
 
 A step ends with its longest sample. Items go to the replica with the earliest estimated
-finish, by token interval and load; a sample leaves its replica when another one with a
-free slot is faster by ``MIGRATION_THRESHOLD``.
+finish, by its pace (token interval) and load. A sample leaves its replica when another
+one with a free slot is faster by ``MIGRATION_THRESHOLD``.
 """
 
-MIGRATION_THRESHOLD = 1.8  # ratio of paces; above the spread of healthy replicas
-LOAD_WEIGHT = 1.0  # estimated slowdown of a full replica, as a part of its pace
-UNRESPONSIVE_AFTER = 1.2  # seconds of silence on all streams; longer than a load
+MIGRATION_THRESHOLD = 1.8  # ratio of paces; above the variation of healthy replicas
+LOAD_WEIGHT = 1.0  # estimated slowdown of a full replica, as a share of its pace
+UNRESPONSIVE_AFTER = 1.2  # seconds without data on any stream; longer than a load
 MAX_MIGRATIONS = 2  # migrations of one sample
 DEFAULT_PACE = 1.0  # seconds between events while no replica's pace is known
 
@@ -17,8 +17,7 @@
 
     ``load`` and ``slots`` count samples; ``pace`` is the seconds between two events of
     its samples, None while unknown. ``versions`` maps models to weight versions.
-    ``unavailable_models`` holds the models of which it takes no item now, as it loads them or has
-    refused one.
+    ``unavailable_models`` are those that it is loading or has recently refused.
     """
 
     __slots__ = (
@@ -51,7 +50,7 @@
 class Requirement:
     """What an item requires: weights of ``model`` not older than ``min_version``.
 
-    ``avoid`` is the identity of the replica that its sample leaves, empty for none.
+    ``avoid`` is the identity of the replica that the sample leaves, or empty.
     """
 
     __slots__ = ("avoid", "model", "min_version")
@@ -63,7 +62,7 @@
 
 
 def median_pace(candidates):
-    """Return the median pace of the replicas, or ``DEFAULT_PACE``."""
+    """Return the median of the known paces, or ``DEFAULT_PACE``."""
     known = sorted(candidate.pace for candidate in candidates if candidate.pace)
     return known[len(known) // 2] if known else DEFAULT_PACE
 
@@ -78,17 +77,17 @@
 
 
 def should_migrate(slow, better):
-    """Say whether a sample should leave its replica for another ``Candidate``."""
+    """Return whether a sample should leave ``slow`` for the candidate ``better``."""
     if better is None or slow.pace is None or better.pace is None:
         return False
     return slow.pace >= MIGRATION_THRESHOLD * better.pace and better.free_slots > 0
 
 
 def is_unresponsive(sent_at, last_received_at, is_loading, moment):
-    """Say whether an item without a first event should leave its replica.
+    """Return whether an item without a first event should leave its replica.
 
-    ``sent_at``, ``last_received_at`` (last byte on any of its streams) and ``moment`` are
-    monotonic seconds; ``is_loading`` says that the replica was ordered to load weights.
+    ``sent_at``, ``last_received_at`` (last byte on any stream of the replica) and
+    ``moment`` are monotonic seconds; ``is_loading``: it was ordered to load weights.
     """
     return (
         not is_loading and moment >= max(sent_at, last_received_at) + UNRESPONSIVE_AFTER
@@ -112,7 +111,7 @@
 
 
 def _cost(candidate, median):
-    """Return the estimated pace with one more item there, then the identity."""
+    """Return the estimated pace with one more item, with the identity as tie-break."""
     pace = candidate.pace or median
     return (
         pace * (1 + LOAD_WEIGHT * (candidate.load + 1) / candidate.slots),
--- a/sassafrasdoor/routing/replicas.py
+++ b/sassafrasdoor/routing/replicas.py
@@ -1,4 +1,4 @@
-"""The replicas of every service, as the platform's list and own calls show them."""
+"""State of the replicas of all services, from the platform's list and own calls."""
 
 from sassafrasdoor.clock import LONG_AGO, deadline_in, now, passed, remaining
 from sassafrasdoor.decisions import note
@@ -6,36 +6,34 @@
 from sassafrasdoor.routing.backend_state import BackendState
 from sassafrasdoor.routing.placement import Candidate
 
+# Seconds without work after a failure, doubled with each further one in a row: a
+# restarted replica is soon tried again, a dead one costs one call in eight seconds.
 SUSPECT_DURATION = 1.0
-"""Seconds without work after a failure, doubled with each in a row: a restarted
-replica is tried again soon, a dark one costs one call in eight seconds."""
+# Seconds from the end of a list outage within which a lapsed entry may return: the
+# platform states about two, and the list is read every third of a second. The replica
+# stays in use meanwhile; a call to a wrong one is refused, as it names the identity.
 OUTAGE_GRACE_PERIOD = 2.3
-"""Seconds after the list's return that a lapsed entry may need to come back: the
-platform names about two, and the list is read each third of a second; a replica is
-tried meanwhile, its calls name its identity."""
-DEFAULT_HEARTBEAT_INTERVAL = 1.2
-"""Seconds between two heartbeats of a replica, unless the platform names others."""
+DEFAULT_HEARTBEAT_INTERVAL = 1.2  # seconds, unless the platform states another one
+# Heartbeat intervals that an outage lasts at least before the entry of a living replica
+# lapses: the third miss in a row ends it, and the first may fall on the outage's start.
 MIN_MISSED_HEARTBEATS = 2
-"""Heartbeats that an outage must last before the entry of a living replica ends: the
-third one in a row that does not come ends it, and the first may be due at its begin."""
+# Share of capacity by which a replica in another zone must be less loaded: a call of
+# 1 KB across zones costs little, but a second kept connection does not pay.
 ZONE_PENALTY = 0.25
-"""Load, as a share of capacity, that a replica in another zone must be better by:
-a call of 1 KB across zones costs little, but a second kept connection does not pay."""
-LOAD_REPORT_LIFETIME = 1.0
-"""Seconds that the load told beside an answer counts; calls last under a second."""
+LOAD_REPORT_LIFETIME = 1.0  # seconds; calls last less
 
+# Weight of one interval in the smoothed pace: a full replica sends about 250 events a
+# second, so a change shows within a fifth of a second, and one late packet does not.
 PACE_WEIGHT = 0.03
-"""Weight of one gap in the pace: a full replica makes some 250 events a second, so a
-change shows within a fifth of a second, and one late packet does not."""
 
 LISTED = counter("replicas_listed_total", "Changes of the platform's list, by kind.")
 
 
 class Listing:
-    """What the platform's list says of a replica.
+    """A replica's entry in the platform's list.
 
-    ``born`` tells its incarnations apart: the Unix millisecond of its start, 0 where
-    the list does not say. It is compared with other such, never with a clock.
+    ``born`` distinguishes its incarnations: the start in Unix milliseconds, or 0 if not
+    listed. It is compared with other values of ``born`` only, never with a clock.
     """
 
     __slots__ = ("address", "born", "leaving", "service", "slots", "versions", "zone")
@@ -51,16 +49,13 @@
 
 
 class Replica:
-    """One incarnation of a replica; another one may have its ``identity`` later.
+    """One incarnation of a replica; a later one may have the same ``identity``.
 
-    Everything that is remembered of a replica hangs on this object, so that nothing
-    of an incarnation is believed of the next: ``refused_until`` maps a model to when
-    it may get an item again that it has refused.
-
-    ``loading_until`` maps a model to when a load that this process ordered ends;
-    ``last_received_at`` is when one of its streams last sent something,
-    ``pace`` is the smoothed time between two events of its streams in seconds, None
-    before the first.
+    All state of a replica is kept here, so that none carries over to the next
+    incarnation. By model, ``refused_until`` is the time until which it gets no items
+    after a refusal, ``loading_until`` the end of a load that this process ordered.
+    ``last_received_at`` is the time of the last data on any of its streams, ``pace`` the
+    smoothed seconds between two events of its streams, None before the first.
     """
 
     __slots__ = (
@@ -92,14 +87,14 @@
 
     @property
     def is_usable(self):
-        """Whether it may get new work."""
+        """Whether it may get new work: not leaving, and listed or in the grace period."""
         return not self.listing.leaving and (
             self.absent_until is None or not passed(self.absent_until)
         )
 
     @property
     def load(self):
-        """Estimated places taken: own calls, and others' where told of late."""
+        """Estimated slots in use: own calls, and those of others by a recent report."""
         others = (
             0 if passed(self._other_callers_load_deadline) else self._other_callers_load
         )
@@ -107,11 +102,11 @@
 
     @property
     def free_slots(self):
-        """Estimated free places."""
+        """Estimated free slots."""
         return self.listing.slots - self.load
 
     def candidate(self):
-        """Return a ``Candidate``: its estimated state at this moment."""
+        """Return the current estimated state as a ``Candidate``."""
         unavailable_models = {
             model for model, at in self.loading_until.items() if not passed(at)
         }
@@ -121,31 +116,31 @@
         return Candidate(self, self.load, self.state.is_suspect, unavailable_models)
 
     def record_load(self, running, waiting):
-        """Take the load told beside an answer; own calls are part of it."""
+        """Record the load reported with an answer; it includes own calls."""
         self._other_callers_load = max(0, running + waiting - self.state.in_flight)
         self._other_callers_load_deadline = deadline_in(LOAD_REPORT_LIFETIME)
 
     @property
     def is_loading(self):
-        """Whether a load that this process ordered has not ended yet."""
+        """Whether a load of weights that this process ordered is in progress."""
         return any(not passed(at) for at in self.loading_until.values())
 
     def record_event_interval(self, seconds):
-        """Take the time between two events of one of its streams."""
+        """Record the seconds between two events of one stream."""
         if self.pace is None:
             self.pace = seconds
         self.pace += PACE_WEIGHT * (seconds - self.pace)
 
     def record_version(self, model, version):
-        """Take the weight version told beside an answer or by an order's reply."""
+        """Record the weight version reported with an answer."""
         self.versions[model] = version
 
 
 class Replicas:
     """All known replicas by identity.
 
-    ``heartbeat`` is the time in seconds between two heartbeats of a replica;
-    ``list_tail`` is the reader of the platform's list, None without one.
+    ``heartbeat`` is the seconds between two heartbeats of a replica; ``list_tail`` is
+    the reader of the platform's list, or None.
     """
 
     __slots__ = (
@@ -167,19 +162,19 @@
 
     @property
     def count(self):
-        """How many replicas are known."""
+        """Number of known replicas."""
         return len(self._known)
 
     def on_change(self, callback):
-        """Call ``callback()`` when a replica comes, goes or changes."""
+        """Call ``callback()`` when a replica is added, removed or changed."""
         self._callbacks.append(callback)
 
     def on_restart(self, callback):
-        """Call ``callback(replica)`` with an incarnation that another one replaces."""
+        """Call ``callback(replica)`` with each incarnation that is replaced by another."""
         self._restart_callbacks.append(callback)
 
     def of_service(self, service):
-        """Return the replicas of a service that may get work."""
+        """Return the usable replicas of a service."""
         return [
             replica
             for replica in self._known.values()
@@ -191,9 +186,9 @@
         return self._known.get(identity)
 
     def update_listing(self, identity, listing):
-        """Take an entry of the platform's list.
+        """Apply an entry of the platform's list.
 
-        One of an earlier incarnation that comes late changes nothing.
+        A late entry of an earlier incarnation is ignored.
         """
         replica = self._known.get(identity)
         if replica is not None and listing.born < replica.listing.born:
@@ -216,26 +211,25 @@
         self._changed()
 
     def _forget_incarnation(self, replica):
-        """Forget an incarnation; its place is free for the next."""
-        # A replica that starts again under its identity holds nothing and knows
-        # nothing. Its former versions believed, steps would be sent to weights that
-        # are not there; its former failures believed, it would stand idle.
+        """Remove an incarnation that has been replaced."""
+        # A restarted replica has lost its weights. With its former versions it would get
+        # items for weights that it lacks; with its former failures it would stay idle.
         del self._known[replica.identity]
         self._note("restarted", replica)
         for callback in self._restart_callbacks:
             callback(replica)
 
     def discard(self, identity):
-        """Drop a replica whose newest entry names none that could be used."""
+        """Remove a replica whose newest entry is invalid."""
         if self._known.pop(identity, None) is not None:
             self._changed()
 
     def remove_listing(self, identity):
-        """Take the end of an entry.
+        """Apply the removal of an entry.
 
-        Entries also lapse while the list itself is away, and come back within
-        seconds if the replica lives: dropping all of them at once would refuse
-        every request after each outage of the platform.
+        Entries also lapse in an outage of the list, and return within seconds if the
+        replica is alive: removing all replicas at once would refuse every request after
+        each outage of the platform.
         """
         replica = self._known.get(identity)
         if replica is None:
@@ -250,7 +244,7 @@
         self._changed()
 
     def remove_lapsed(self):
-        """Forget replicas whose entry did not come back."""
+        """Remove replicas whose entry did not return in time."""
         for identity, replica in list(self._known.items()):
             if replica.absent_until is not None and passed(replica.absent_until):
                 del self._known[identity]
@@ -258,10 +252,10 @@
 
     @property
     def _lapse_deadline(self):
-        """Until when the end of an entry may be a lapse of the list's last outage.
+        """Time until which a removed entry may be due to the list's last outage.
 
-        Counted from the entry's end instead of from the list's return, or after any lost
-        read, it would give work to a replica that left without a word until it exits.
+        Counted from the removal instead of from the end of the outage, or granted after
+        any lost read, it would keep a replica that left unannounced in use until it exits.
         """
         silence = self.list_tail.silence if self.list_tail is not None else None
         if silence is None:
@@ -273,8 +267,8 @@
     def choose(self, service, avoid=()):
         """Return the least loaded replica of a service, or None.
 
-        One in this zone is preferred while its load is close to the best: its
-        kept connections are used again and no bytes cross zones.
+        One in this zone is preferred while its load is close to the lowest: this reuses
+        connections and causes no traffic between zones.
         """
         candidates = [
             replica
@@ -294,7 +288,7 @@
         return (share + zone_penalty, replica.identity)
 
     def _outage_fields(self, until):
-        """Return what decided for how long a lapsed entry is believed on."""
+        """Return log fields with what determined the grace period of a lapsed entry."""
         fields = {"tried_seconds": round(remaining(until), 3)}
         silence = self.list_tail.silence
         if silence is None:
