--- a/sassafrasdoor/routing/__init__.py
+++ b/sassafrasdoor/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Choosing a backend server, and discovery answers for callers."""
+"""Choice of backend servers, and discovery of instances by callers."""
--- a/sassafrasdoor/routing/backend_state.py
+++ b/sassafrasdoor/routing/backend_state.py
@@ -1,21 +1,20 @@
-"""What one entry process knows of one backend server's load and failures."""
+"""Load and failures of one backend server, as seen by one entry process."""
 
 from collections import deque
 
 from sassafrasdoor.clock import deadline_in, now, passed
 
-# A report that never comes again must not let these grow without end.
-MAX_TRACKED = 4096
+MAX_TRACKED = 4096  # calls since the last report, in case reports stop
 MAX_FAILURES = 6
 MAX_SUSPICION_FACTOR = 8
 MISSED_REPORT_LIMIT = 3
+# Seconds after the suspicion in which failures still count as load; then one call, which
+# may be repeated elsewhere, tests whether the server has recovered.
 RECENT_FAILURE_PERIOD = 2.0
-"""Seconds beyond the suspicion in which failures still count as load: then one call,
-which may be repeated elsewhere, finds out whether the server is well again."""
 
 
 class BackendState:
-    """Load, failures and leaving of one backend server, as seen from here."""
+    """Load, failures and leaving state of one backend server."""
 
     __slots__ = (
         "_capacity",
@@ -46,22 +45,22 @@
 
     @property
     def in_flight(self):
-        """Calls and streams of this process that run there now."""
+        """Calls and streams of this process in progress on the server."""
         return self._in_flight
 
     @property
     def is_suspect(self):
-        """Whether it failed so recently, or is silent, that it gets no work."""
+        """Whether it gets no work due to recent failures or missed reports."""
         return self._missed_reports >= MISSED_REPORT_LIMIT or not passed(
             self._suspect_until
         )
 
     @property
     def recent_failures(self):
-        """The failures in a row, while they are recent enough to count as load.
+        """The failures in a row, 0 once they are too old to count as load.
 
-        For good they would keep a server that is well again without work for as long
-        as the others have room.
+        Without this limit a recovered server would get no work while others have
+        capacity.
         """
         forgotten = passed(self._suspect_until + RECENT_FAILURE_PERIOD)
         return 0 if forgotten else self.failures
@@ -70,14 +69,13 @@
     def score(self):
         """Estimated load as a share of capacity; failures count as load.
 
-        A server that fails at once has nothing in flight and looks idle: the
-        least loaded choice would send it everything. Failures in a row keep
-        it unattractive until it answers again.
+        A server that fails at once has nothing in flight and seems idle, so it would
+        attract all work. Failures in a row prevent that until it answers again.
         """
         return (self._estimate() + self.failures) / self._capacity
 
     def status(self):
-        """Return what is known of the server, JSON-ready; ``None``: no report yet."""
+        """Return the server's state, JSON-ready; the age is None before a report."""
         age = None if self._taken_at is None else round(now() - self._taken_at, 3)
         return {
             "versions": self.versions,
@@ -90,8 +88,8 @@
         }
 
     def _estimate(self):
-        # A report is true for a moment in the past. What this process started
-        # since is missing from it, what it finished since is still in it.
+        # A report describes a past moment: calls started since are missing from it, and
+        # calls finished since are still in it.
         if self._reported is None:
             return self._in_flight
         since = len(self._started) - len(self._finished)
@@ -104,13 +102,13 @@
             self._started.append(now())
 
     def finished(self):
-        """Count one that ended, however it ended."""
+        """Count one that ended, whatever its outcome."""
         self._in_flight = max(0, self._in_flight - 1)
         if self._reported is not None:
             self._finished.append(now())
 
     def record_report(self, load):
-        """Take a load report that was true ``load.age`` seconds ago."""
+        """Apply a load report that was taken ``load.age`` seconds ago."""
         taken_at = now() - load.age
         for moments in (self._started, self._finished):
             while moments and moments[0] <= taken_at:
@@ -123,20 +121,20 @@
         self.leaving = load.leaving
 
     def record_missed_report(self):
-        """Count a load report that did not come; several in a row: it is silent."""
+        """Count a missed report; ``MISSED_REPORT_LIMIT`` in a row make it suspect."""
         self._missed_reports += 1
 
     def record_refusal(self):
-        """Note that it refused work: count it as full until its next report."""
+        """Record that it refused work: it counts as full until its next report."""
         self._reported = max(self._reported or 0, self._capacity)
 
     def failed(self, suspect_for):
-        """Count a failure: no work for a while, longer with each in a row."""
+        """Count a failure: no work for ``suspect_for`` seconds, doubled with each in a row."""
         self.failures = min(MAX_FAILURES, self.failures + 1)
         factor = min(MAX_SUSPICION_FACTOR, 2 ** (self.failures - 1))
         self._suspect_until = deadline_in(suspect_for * factor)
 
     def answered(self):
-        """Note a whole answer: the failures before it are forgotten."""
+        """Record a complete answer, which resets the failures."""
         self.failures = 0
         self._suspect_until = 0.0
--- a/sassafrasdoor/routing/chooser.py
+++ b/sassafrasdoor/routing/chooser.py
@@ -1,9 +1,8 @@
 """Choice of a backend server for one call or stream.
 
-Load reports lag. Whoever sends all work to the least loaded server in them
-sends it to the same one as everybody else until the next report (herding). So
-two servers are drawn at random and the less loaded of them is taken, where the
-load is the report plus what this process started since.
+Load reports lag. If all instances sent their work to the least loaded server, they would
+overload it until the next report (herding). So two servers are drawn at random, and the
+less loaded one is used; the load is the report plus what this process started since.
 """
 
 import random
@@ -18,20 +17,20 @@
 
 name_of = attrgetter("name")
 
-# Shares of a server's capacity by which another may be busier and still be
-# taken: for a nearer zone, for a prefix that is probably cached there.
+# Shares of capacity by which a server may be busier and still be preferred: one of the
+# own zone, and one that probably has the prompt prefix in its cache.
 ZONE_SLACK = 0.1
 AFFINITY_SLACK = 0.25
 DRAW_COUNT = 2
-RETRY_AFTER = 1.0
+RETRY_AFTER = 1.0  # seconds
 LEAVING_REASON = "leaving"
 
 CHOSEN = metrics.counter("sassafrasdoor_routing_chosen_total", "Choices made.")
 NO_BACKEND = metrics.counter(
-    "sassafrasdoor_routing_none_total", "Choices for which no server was left."
+    "sassafrasdoor_routing_none_total", "Choices without a usable server."
 )
 FAILURES = metrics.counter(
-    "sassafrasdoor_routing_failures_total", "Failures seen of backend servers."
+    "sassafrasdoor_routing_failures_total", "Failures of backend servers."
 )
 
 
@@ -50,8 +49,8 @@
     def choose(self, view, service, model="", affinity="", exclude=()):
         """Return the ``Backend`` to use, or ``NotRun`` if there is none.
 
-        ``affinity`` names a prompt prefix; servers in ``exclude`` (names) were
-        tried already.
+        ``affinity`` names a prompt prefix; ``exclude`` holds the names of servers that
+        were tried already.
         """
         usable = [
             backend
@@ -59,8 +58,8 @@
             if backend.name not in exclude and not self._state(backend).leaving
         ]
         healthy = [backend for backend in usable if not self._state(backend).is_suspect]
-        # With nothing but suspects left, one of them is tried all the same:
-        # a single failure of a lone server must not refuse everybody.
+        # If all are suspect, one is used nevertheless: one failure of the only server
+        # must not cause all calls to be refused.
         candidates = healthy or usable
         if not candidates:
             NO_BACKEND.inc({})
@@ -69,9 +68,10 @@
         return self._pick(candidates, affinity)
 
     def subset(self, view, service, model=""):
-        """Return the servers that this instance uses, alive by the view.
+        """Return the servers that this instance uses, of those alive in the view.
 
-        Connections and load polling must not grow as instances times servers.
+        The bounded subset keeps connections and load polls from growing as instances
+        times servers.
         """
         if view is not self._view:
             self._update_view(view)
@@ -81,7 +81,7 @@
         return self._subsets[key]
 
     def backends_in_use(self, view):
-        """Return every server of the subsets, each once: those worth polling."""
+        """Return every server of all subsets, each once."""
         keys = {
             (backend.service, model)
             for backend in view.backends
@@ -99,21 +99,21 @@
         self._state(backend).started()
 
     def finished(self, backend, outcome):
-        """Count one that ended; ``outcome`` is its last word, or None if cancelled."""
+        """Count one that ended, with its ``outcome``, or None if cancelled."""
         state = self._state(backend)
         state.finished()
         if outcome is not None:
             _record_outcome(outcome, state, backend, self._settings)
 
     def report(self, backend, load):
-        """Take a load report that lags by its own age."""
+        """Apply a load report, which lags by its ``age``."""
         state = self._state(backend)
         if load.leaving and not state.leaving:
             logs.changed("routing:leaving", backend=backend.name, by="report")
         state.record_report(load)
 
     def record_missed_report(self, backend):
-        """Note that a load report did not come."""
+        """Record that a load report was not received."""
         self._state(backend).record_missed_report()
 
     def load_of(self, backend):
@@ -121,15 +121,15 @@
         return self._state(backend).score
 
     def in_flight(self, backend):
-        """Return how many calls and streams of this process run there."""
+        """Return the number of calls and streams of this process on the server."""
         return self._state(backend).in_flight
 
     def leaving(self, backend):
-        """Say whether the server itself said that it is leaving."""
+        """Return whether the server itself has announced that it is leaving."""
         return self._state(backend).leaving
 
     def status(self, backend):
-        """Return what this process knows of a server, JSON-ready."""
+        """Return the state of a server as seen by this process, JSON-ready."""
         return self._state(backend).status()
 
     def _pick(self, candidates, affinity):
@@ -141,10 +141,10 @@
         return preferred if slack <= AFFINITY_SLACK else best
 
     def _draw_candidates(self, candidates):
-        """Return two servers of the own zone and one of the others.
+        """Draw two servers of the own zone and one of the others.
 
-        More draws than that come closer to the least loaded server of the
-        reports, and with it to herding, the more the longer reports lag.
+        With more draws the choice approaches the least loaded server of the reports, and
+        with it herding, all the more the longer the reports lag.
         """
         own_zone = [backend for backend in candidates if self._is_near(backend)]
         other_zones = [backend for backend in candidates if not self._is_near(backend)]
@@ -162,7 +162,7 @@
         return self._state(backend).score + slack
 
     def _state(self, backend):
-        # A server that comes back under its name at another address is a new one.
+        # A server with the same name at another address is a new one.
         key = (backend.name, backend.address)
         if key not in self._states:
             self._states[key] = BackendState(backend.capacity)
@@ -190,7 +190,7 @@
 
 @singledispatch
 def _record_outcome(outcome, state, backend, settings):
-    """Learn from how a call ended; anything whole is an answer."""
+    """Update ``state`` by the outcome of a call; complete ones count as answers."""
     state.answered()
 
 
--- a/sassafrasdoor/routing/discovery.py
+++ b/sassafrasdoor/routing/discovery.py
@@ -1,8 +1,8 @@
-"""Answers to callers who ask which entry instances to use.
+"""Endpoint that tells callers which entry instances to use.
 
-An answer holds for ``discovery_valid`` seconds. It is computed by rendezvous
-hashing over caller and members, so that all instances answer alike and the
-connections do not grow as callers times instances.
+An answer is valid for ``discovery_valid`` seconds. It is computed by rendezvous hashing
+of caller and members, so that all instances give the same answer and connections do not
+grow as callers times instances.
 """
 
 from operator import attrgetter
@@ -16,17 +16,17 @@
 name_of = attrgetter("name")
 
 MAX_ARGUMENT_LENGTH = 64
-RETRY_AFTER = 1
+RETRY_AFTER = 1  # seconds
 
 ANSWERS = metrics.counter("sassafrasdoor_discovery_answers_total", "Answers given.")
 
 
 def addresses_for(settings, view, caller, zone):
-    """Return the members a caller shall use, best first.
+    """Return the members that a caller should use, the preferred first.
 
-    Suspects and leavers are never among them. Those of the caller's zone come
-    first, but the last place goes to another zone: a caller that knew only one
-    zone would be cut off together with it.
+    Suspect and leaving members are excluded. Members of the caller's zone come first,
+    but the last one is of another zone: a caller that knows one zone only would be cut
+    off together with it.
     """
     alive = [
         member
@@ -50,7 +50,7 @@
         self._requests = requests
 
     def write_error(self, status_code, **kwargs):
-        """Answer a failure without a traceback."""
+        """Send an error without a traceback."""
         self._refuse("rejected", self._reason)
 
     def _refuse(self, outcome, reason):
@@ -58,7 +58,7 @@
         self.finish({"outcome": outcome, "reason": reason, "findings": []})
 
     def get(self):
-        """Answer with addresses, their validity and a prefix for keys."""
+        """Send the addresses, their validity and a prefix for request keys."""
         row = self.get_query_argument("row", "")[:MAX_ARGUMENT_LENGTH]
         zone = self.get_query_argument("zone", "")[:MAX_ARGUMENT_LENGTH]
         caller = f"{row}/{self.request.remote_ip}"
@@ -79,7 +79,7 @@
 
 
 def handlers(settings, view_getter, requests):
-    """Return the handlers of discovery for the application."""
+    """Return the discovery handlers for the application."""
     arguments = {
         "settings": settings,
         "view_getter": view_getter,
--- a/sassafrasdoor/routing/instance_view.py
+++ b/sassafrasdoor/routing/instance_view.py
@@ -1,9 +1,9 @@
-"""Records of instances, and what follows from them at one moment.
+"""Records of instances, and the entry points chosen from them.
 
-Load pattern: many instances serve, and where callers are spread over all of them each
-keeps connections of its own to every replica and reads all steps. So callers of a zone
-are sent to a few of its instances, the entry points. Where one of them lapses, the
-others are called by ones and twos, more the longer its place stays free.
+Load pattern: each instance that callers use keeps connections to every replica and reads
+all steps. So callers of a zone are sent to a few of its instances, the entry points; the
+others are in reserve. If an entry point lapses, instances in reserve are called (told to
+become entry points): one at first, and more the longer it is missing.
 """
 
 import json
@@ -11,29 +11,27 @@
 from sassafrasdoor.clock import deadline_in, now, passed
 from sassafrasdoor.rendezvous import ranked
 
-LAPSE_TIMEOUT = 3.2
-"""Seconds without renewal after which callers are not sent there: three missed."""
-RESERVE_LAPSE_TIMEOUT = 16.0
-"""Seconds without renewal after which an instance in reserve counts as gone."""
+LAPSE_TIMEOUT = 3.2  # seconds without renewal of an entry point: three missed
+RESERVE_LAPSE_TIMEOUT = 16.0  # seconds without renewal of an instance in reserve
+# A zone has four entry points, or as many as have a fifth of its cores: each one keeps
+# connections to every replica.
 MIN_ENTRY_POINTS, ZONE_CORES_DIVISOR = 4, 5
-"""Callers of a zone are sent to four instances, or to as many as have a fifth of its
-processor: each keeps connections of its own to every replica."""
 ENTRY_POINTS_KEY = "entry"
 MAX_PROMOTION_DOUBLINGS = 10
+# Seconds for a called instance to publish that it is an entry point; then more are
+# called.
 PROMOTION_INTERVAL = 2.0
-"""Seconds for an instance in reserve to say that it is an entry point now, after which
-others are called beside it."""
+# Seconds for which a view is reused: ranking all instances on each use would take
+# processor time that grows with their number.
 VIEW_LIFETIME = 0.2
-"""Seconds that what was worked out of the list is used again: to order many instances
-for each question takes a part of the processor that grows with their number."""
 
 
 class InstanceRecord:
-    """A record as it was last read: ``data`` at ``at``, monotonic.
+    """An instance's record: ``data`` as read at ``renewed_at``, monotonic.
 
-    ``has_read`` says whether the instance has read the steps, None where it does not
-    tell. ``is_renewed`` says whether the record was written since this process follows
-    the list; one of before may be of a process that ended with all others.
+    ``has_read`` says whether the instance has read the steps, None if the field is
+    missing. ``is_renewed`` says whether the record was written after this process loaded
+    the list; an older one may be of a process that ended.
     """
 
     __slots__ = (
@@ -57,7 +55,7 @@
         self.zone = _text_field(document, "zone")
         self.region = _text_field(document, "region")
         self.cores = float(document["cores"])
-        # Records of an earlier program name none.
+        # Absent in records of earlier versions.
         self.control = _text_field({"control": "", **document}, "control")
         self.process = _text_field({"process": "", **document}, "process")
         self.in_reserve = document.get("reserve") is True
@@ -67,7 +65,7 @@
 
     @property
     def is_reader(self):
-        """Whether a living process is known to have read the steps."""
+        """Whether a running process is known to have read the steps."""
         return bool(self.has_read and self.is_renewed)
 
     @property
@@ -78,16 +76,16 @@
 
 def _text_field(document, name):
     if not isinstance(document[name], str):
-        raise TypeError(f"{name} is not text")
+        raise TypeError(f"instance record: {name} is not a string")
     return document[name]
 
 
 class ZoneShortages:
     """Since when zones have had too few entry points, monotonic by zone.
 
-    Load pattern: one entry point of a zone lapses, and each instance in reserve that
-    takes its place reads all steps. They are called by ones and twos: some may be gone,
-    which nobody knows, so that more are called the longer a place stays free.
+    Load pattern: each instance in reserve that replaces a lapsed entry point reads all
+    steps. So few are called at first; as some may have ended unnoticed, more are called
+    the longer the shortage lasts.
     """
 
     __slots__ = ("_since",)
@@ -96,35 +94,34 @@
         self._since = {}
 
     def promotion_rounds(self, zone):
-        """Return how many times those called before have let their time pass."""
+        """Return how many times ``PROMOTION_INTERVAL`` has passed in the shortage."""
         since = self._since.get(zone)
         return 0 if since is None else int((now() - since) / PROMOTION_INTERVAL)
 
     def record(self, zone, is_short):
-        """Note whether the zone has too few now."""
+        """Record whether the zone has too few entry points now."""
         if not is_short:
             self._since.pop(zone, None)
         else:
             self._since.setdefault(zone, now())
 
     def retain_zones(self, zones):
-        """Forget the zones that have no instance any more."""
+        """Remove the zones that are not in ``zones``."""
         for zone in self._since.keys() - zones.keys():
             del self._since[zone]
 
     def all_promotion_rounds(self):
-        """Return those of all zones that have too few."""
+        """Return the rounds by zone, of all zones with a shortage."""
         return {zone: self.promotion_rounds(zone) for zone in self._since}
 
 
 class InstanceView:
-    """What follows from the list at one moment.
-
-    ``short`` tells how long zones have had too few entry points.
+    """Entry points and rankings that follow from the living instances at one moment.
 
+    ``shortages`` are the ``ZoneShortages``, which the constructor updates.
     ``entry_points`` maps each zone to the addresses that its callers are sent to, the
-    largest first; ``called`` are the addresses in reserve that are to become one.
-    ``rankings``, the addresses in order by key, are filled as asked.
+    largest first; ``called`` are the addresses in reserve that are to become entry
+    points. ``rankings`` caches the ranked addresses by key.
     """
 
     __slots__ = ("_deadline", "alive", "called", "entry_points", "rankings")
@@ -154,20 +151,20 @@
 
     @property
     def is_fresh(self):
-        """Whether it is recent enough."""
+        """Whether the view is younger than ``VIEW_LIFETIME``."""
         return not passed(self._deadline)
 
     def extend(self):
-        """Hold on: the same instances live, and their records are the same."""
+        """Reuse the view for another ``VIEW_LIFETIME``, as the records are unchanged."""
         self._deadline = deadline_in(VIEW_LIFETIME)
 
 
 def _select_entry_points(records, rounds):
-    """Return a zone's entry points, the largest first, as ``InstanceRecord``s.
+    """Return the records of a zone's entry points, the largest first.
 
-    Those in reserve among them are to become entry points; they do not count, since
-    nobody knows whether they still live. As many are called as are missing, and twice
-    as many, and so on, after each of ``steps``.
+    Those in reserve among them are called; they do not count as entry points yet, since
+    they may have ended unnoticed. As many are called as are missing, doubled after each
+    of ``rounds``.
     """
     order = ranked(records, ENTRY_POINTS_KEY, lambda record: record.address)
     order.sort(key=lambda record: -record.cores)
@@ -187,7 +184,7 @@
 
 
 def _take_sufficient(order, min_cores, counted):
-    """Return the first in order, until those ``counted`` among them are enough."""
+    """Return the first records in order, until those in ``counted`` are enough."""
     chosen, count, cores = [], 0, 0.0
     for record in order:
         if count >= MIN_ENTRY_POINTS and cores >= min_cores:
--- a/sassafrasdoor/routing/instances.py
+++ b/sassafrasdoor/routing/instances.py
@@ -1,10 +1,10 @@
-"""The entry instances that callers may use, kept in a keyed topic of the log.
+"""Registry of the instances that callers may use, in a keyed topic of the log.
 
-Each instance writes its own record again and again, and drops it when it leaves. A
-record that is no longer renewed is left out of answers; while the log cannot be read
-nothing lapses, since nobody could have renewed it.
+Each instance renews its own record periodically and deletes it when it leaves. Instances
+whose record has lapsed are not returned to callers. While the log is unavailable no
+record lapses, since none can be renewed.
 
-Load pattern: each instance reads the whole list. So those in reserve, to which no
+Load pattern: each instance reads all records. So instances in reserve, to which no
 caller is sent, renew their records less often than the entry points.
 """
 
@@ -27,43 +27,37 @@
 )
 
 TOPIC = "keyed.instances"
-RENEW_INTERVAL = 1.0
-"""Seconds between renewals."""
+RENEW_INTERVAL = 1.0  # seconds between renewals of an entry point's record
+# Seconds between readiness checks while not ready: a process claims no work before it is
+# listed, and after a start of all instances nothing runs until one has claimed it.
 READINESS_POLL_INTERVAL = 0.1
-"""Seconds between looks whether the process serves: it claims nothing before it is
-listed, and after a start of all instances nothing runs until one of them has claimed."""
-RESERVE_INTERVAL = 5.0
-"""Seconds between renewals of an instance in reserve."""
+RESERVE_INTERVAL = 5.0  # seconds between renewals of an instance in reserve
+# Seconds of failed reads before this instance counts as cut off; the first read has
+# failed after a timeout of 1.5 s.
 READ_FAILURE_TIMEOUT = 0.6
-"""Seconds of failing reads, after the first was waited for in vain for 1.5."""
-LIST_READ_INTERVAL = 0.7
-"""Seconds between reads of the list: renewals are gathered in one answer."""
-WRITE_TIMEOUT = 1.5
+LIST_READ_INTERVAL = 0.7  # seconds; one read returns the renewals of several instances
+WRITE_TIMEOUT = 1.5  # seconds
 MAX_ADDRESSES = 64
+# Up to this number of entry points, calls are forwarded in random order during startup
+# too.
 MAX_SHUFFLED_ENTRY_POINTS = 12
-"""Entry points among which calls are handed on at random also after the own start."""
-STEP_READERS_KEY = "shards"
-"""Orders the instances that read and run the steps."""
+STEP_READERS_KEY = "shards"  # ranks the instances that read and run the steps
+# Seconds after the own start in which calls are forwarded to the first-ranked instance
+# of each zone: after a simultaneous start only these have read the log. The last of five
+# in a zone begins to read after 4 s.
 STARTUP_PERIOD = 5.0
-"""Seconds after the own start in which calls are handed to the first of each zone: where
-many instances started together only these have read what the log keeps, and the last of
-five in a zone begins after four."""
+# Seconds after the own start within which the record of each living entry point is
+# renewed: it is written every second, and the list is read every 0.7 s.
 FIRST_RENEWAL_TIMEOUT = 2.0
-"""Seconds after the own start within which each living entry point is heard of: it
-renews its record each second, and the list is read 0.7 s apart."""
+# Raised for malformed records, which other programs may have written.
 RECORD_ERRORS = (ValueError, KeyError, TypeError, OverflowError, RecursionError)
-"""What reading a record raises that another writer may have written."""
-RESTART_CHECK_INTERVAL = 0.1
-"""Seconds between looks whether an instance has started again, after the own start."""
-RESTART_CHECK_TIMEOUT = 0.5
-"""Seconds for a look whether an instance has started again; a slow log answers within
-0.25 s."""
-MIN_INSTANCES_IN_ZONE = 2
-"""With fewer instances in the caller's zone it is sent to all zones."""
+RESTART_CHECK_INTERVAL = 0.1  # seconds between reads for restarts, during startup
+RESTART_CHECK_TIMEOUT = 0.5  # seconds; a slow log answers within 0.25 s
+MIN_INSTANCES_IN_ZONE = 2  # a caller whose zone has fewer is sent to all zones
 
 
 class InstanceLocation:
-    """Who and where an instance is; the product's settings have the same fields."""
+    """Name and location of an instance; the product's settings have the same fields."""
 
     __slots__ = ("availability_zone", "host", "name", "region")
 
@@ -75,12 +69,11 @@
 
 
 class Instances:
-    """Knows the instances that serve, and says that this one does.
+    """Tracks the instances that serve, and publishes the record of this one.
 
-    ``process`` is the name of this process, another one after each start; ``is_listed``
-    says whether the log has acknowledged a record with it. ``in_reserve`` is what the
-    last record said of this instance. ``has_read`` is set from outside: whether this
-    process has read the steps to their end and follows them.
+    ``process`` is the name of this process, which is new after each start; ``is_listed``
+    says whether the log has acknowledged a record with it. ``in_reserve`` is the state
+    in the last own record. The owner sets ``has_read``.
     """
 
     __slots__ = (
@@ -146,7 +139,7 @@
 
     @property
     def has_read(self):
-        """Whether this process has read the steps to their end and follows them."""
+        """Whether this process has read all steps and follows new ones."""
         return self._has_read
 
     @has_read.setter
@@ -156,7 +149,7 @@
             self._renewal_requested.set()
 
     async def renew(self, is_ready):
-        """Write the own record for as long as the process serves."""
+        """Renew the own record while the process is ready, until cancelled."""
         while True:
             serves = is_ready() and not self._leaving
             if serves and self._is_due:
@@ -170,7 +163,7 @@
             )
 
     async def _wait_for_renewal(self, seconds):
-        """Wait until the own record may be due."""
+        """Wait until the own record may be due, for ``seconds`` at most."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(seconds):
                 await self._renewal_requested.wait()
@@ -178,20 +171,20 @@
 
     @property
     def _is_due(self):
-        """Whether the own record is to be written now."""
+        """Whether the own record must be written now."""
         has_changed = self._published_has_read != self._has_read
         is_misplaced = self.in_reserve == self.is_entry_point
         return passed(self._renewal_deadline) or has_changed or is_misplaced
 
     async def leave(self):
-        """Drop the own record: callers get other addresses from now on."""
+        """Delete the own record, so that callers get other addresses from now on."""
         self._leaving = True
         self._records.pop(self._key, None)
         self._view = None
         await self._write(b"")
 
     def addresses(self, zone):
-        """Return the addresses for a caller in ``zone``, its own zone's first."""
+        """Return the addresses for a caller in ``zone``, those of its zone first."""
         points = self._current_view.entry_points
         if self._is_cut_off:
             points = {
@@ -210,7 +203,7 @@
         return addresses[:MAX_ADDRESSES]
 
     def peers(self):
-        """Return the addresses of other entry points, those of this zone first."""
+        """Return the addresses of the other entry points, those of this zone first."""
         zone = self._settings.availability_zone
         view = self._current_view
         zones = {
@@ -228,11 +221,11 @@
         return addresses
 
     def reader_candidates(self, limit):
-        """Return the peers that may answer for steps which this instance has not read.
+        """Return up to ``limit`` peers to ask for steps not read here.
 
-        The second is of another zone: all of one may be late together. Where none is
-        known to have read the steps it is one: after a start of all, calls that reach
-        nobody who knows would be multiplied.
+        The second one is in another zone, since a whole zone may lag. If no peer is known
+        to have read the steps, only one is returned: after a start of all instances more
+        would multiply calls that no peer can answer.
         """
         others = [
             record
@@ -243,12 +236,12 @@
         readers = self._alternate_zones(
             [record for record in others if record.is_reader]
         )
-        # Said before this process follows the list, it is true unless all have ended.
+        # Records from before this process read the list hold unless all have restarted.
         likely = self._alternate_zones([record for record in others if record.has_read])
         return readers[:limit] or (likely or self.peers())[:1]
 
     def _alternate_zones(self, records):
-        """Return the addresses, one of this zone and one of another by turns."""
+        """Return the addresses, alternating between this zone and others."""
         zone = self._settings.availability_zone
         own_zone = [record.address for record in records if record.zone == zone]
         other_zones = [record.address for record in records if record.zone != zone]
@@ -256,11 +249,11 @@
         return [address for pair in pairs for address in pair if address is not None]
 
     def unread_entry_points_before(self, key):
-        """Return how many entry points come before this one for ``key`` and may still
-        have to read the steps.
+        """Return how many entry points ranked before this one may not have read the steps.
 
-        Those that nothing was heard of since the own start, and those that do not tell,
-        are not waited for.
+        ``key`` determines the ranking. Entry points that have not renewed their record
+        within ``FIRST_RENEWAL_TIMEOUT`` of the own start, and those whose record lacks
+        the field, are not counted.
         """
         view = self._current_view
         order = self._ranking(view, key)
@@ -280,9 +273,8 @@
         return not passed(self._first_renewal_deadline)
 
     def peer_control_addresses(self):
-        """Return where those peers serve other instances, by turns of this zone and of
-        another."""
-        # The list may change between two looks at it: the peers' addresses come first.
+        """Return the control addresses of the peers, alternating between zones."""
+        # The list may change between two reads of it; order by the peers read first.
         peers = self.peers()
         by_address = {record.address: record for record in self._current_view.alive}
         records = [by_address[address] for address in peers if address in by_address]
@@ -295,10 +287,10 @@
 
     @property
     def is_entry_point(self):
-        """Whether callers are, or are to be, sent here; also while no other is known.
+        """Whether this instance is, or is to become, an entry point, or is not yet listed.
 
-        Only entry points follow the steps: where many instances would, the log
-        could not send every record to all of them.
+        Only entry points follow the steps: the log could not send every record to many
+        instances.
         """
         view = self._current_view
         is_recorded = any(record.address == self._address for record in view.alive)
@@ -308,12 +300,12 @@
 
     @property
     def entry_point_count(self):
-        """How many instances callers are sent to."""
+        """Number of instances that callers are sent to."""
         return len(self._current_view.all_entry_points)
 
     @property
     def alive_count(self):
-        """How many instances there are, as far as is known."""
+        """Number of instances known to be alive."""
         return len(self._current_view.alive)
 
     @property
@@ -332,10 +324,10 @@
 
     @property
     def _is_cut_off(self):
-        """Whether this instance cannot reach the log by itself.
+        """Whether this instance cannot reach the log.
 
-        If it alone cannot, callers are better served elsewhere: it can neither keep
-        a step nor say what is new. If nobody can, all others are named just as well.
+        It can then neither store nor report steps, so callers are sent to others. If no
+        instance reaches the log, the others' addresses are no worse.
         """
         failing_since = self.tail.failing_since
         if failing_since is None:
@@ -343,13 +335,13 @@
         return passed(failing_since + READ_FAILURE_TIMEOUT)
 
     def has_ended(self, address, process, since):
-        """Say whether an instance is known to run another process than ``process``.
+        """Return whether ``process`` at ``address`` is known to have been replaced.
 
-        The list must have been read to its end after ``since`` (monotonic), when that
-        process was last heard of: it was listed before, so what names another one is
-        newer. (A record of before that lands late shows the former one for a second;
-        that may move a duty, which its fencing numbers allow.) Without this, whoever
-        takes over waits for a lapse although all know that the former one is gone.
+        The list must have been read to its end after ``since`` (monotonic), the time of
+        the last sign of that process: as it was listed before, a record with another
+        process is newer. A delayed record may show the former process for a second and
+        move a duty, which is safe by its fencing numbers. Without this check a takeover
+        would wait for the record to lapse.
         """
         record = self._records.get(address)
         if record is None or record.process == "":
@@ -358,7 +350,7 @@
         is_other = record.process != process
         if is_other and confirmed_at >= since:
             return True
-        # After a start of all instances the record that tells is about to be written.
+        # After a start of all instances the new process's record may be about to follow.
         is_awaited = not passed(self._startup_deadline) and passed(
             confirmed_at + RESTART_CHECK_INTERVAL
         )
@@ -367,17 +359,16 @@
         return False
 
     def _check_restarts(self):
-        """Read the list to its end, once at a time."""
+        """Start reading the list to its end, unless such a read is in progress."""
         if self._restart_check is None or self._restart_check.done():
             look = self.tail.confirm(deadline_in(RESTART_CHECK_TIMEOUT))
             self._restart_check = asyncio.ensure_future(look)
 
     def rank(self, key):
-        """Return this instance's place among the living for ``key``, 0 for the first.
+        """Return this instance's rank among the living ones for ``key``, from 0.
 
-        Entry points come first, and of these the ones with the most processor: what
-        ``key`` stands for is done by one of them. All agree on the order as far as
-        they agree on who lives.
+        Entry points come first, then more cores before fewer; the first-ranked one
+        performs the duty of ``key``. Instances with the same view of the list agree.
         """
         return self._ranking(self._current_view, key).index(self._address)
 
@@ -395,11 +386,11 @@
         return order
 
     def _is_alive(self, record):
-        """Say whether an instance had renewed its record when the list was last read.
+        """Return whether a record had not lapsed when the list was last read.
 
-        Since then nobody could see it: a read that the log does not answer fails only
-        seconds later. Whoever lived when the log went away has as long from its return
-        on as from a renewal. Whoever had lapsed before stays so: after each lost read
+        That time counts and not the present, since an unanswered read fails only seconds
+        later. A record alive at the start of an outage of the log lapses as if renewed at
+        its end. One that had lapsed before stays so; otherwise after each lost read
         callers would be sent to instances that ended long ago.
         """
         if self.tail.ended_at - record.renewed_at < record.lapse_timeout:
--- a/sassafrasdoor/routing/loads.py
+++ b/sassafrasdoor/routing/loads.py
@@ -7,18 +7,17 @@
 from sassafrasdoor.clock import deadline_in, remaining
 from sassafrasdoor.outcomes import Unavailable
 
-# Polls of all instances must not come at the same moment at one server.
-JITTER = 0.3
+JITTER = 0.3  # share of the interval; prevents simultaneous polls by all instances
 MAX_CONCURRENT_LOAD_POLLS = 32
 
-POLLS = metrics.counter("sassafrasdoor_load_polls_total", "Load reports asked for.")
+POLLS = metrics.counter("sassafrasdoor_load_polls_total", "Load reports requested.")
 POLL_FAILURES = metrics.counter(
-    "sassafrasdoor_load_poll_failures_total", "Load reports that did not come."
+    "sassafrasdoor_load_poll_failures_total", "Load reports not received."
 )
 
 
 class LoadPoller:
-    """Asks each server of the subset for its load and tells the chooser."""
+    """Polls the load of each server in use and reports it to the chooser."""
 
     __slots__ = ("_chooser", "_engine", "_settings", "_view_getter")
 
@@ -37,7 +36,7 @@
             await asyncio.sleep(remaining(next_round))
 
     async def poll_once(self):
-        """Ask every server in use once."""
+        """Poll every server in use once."""
         slots = asyncio.Semaphore(MAX_CONCURRENT_LOAD_POLLS)
         backends = self._chooser.backends_in_use(self._view_getter())
         await asyncio.gather(*[self._poll(backend, slots) for backend in backends])
@@ -53,10 +52,10 @@
             self._chooser.record_missed_report(backend)
 
     async def _load(self, backend):
-        # A frozen server takes the connection and never answers. Without this
-        # bound the round would wait for it and every other report would age.
+        # A frozen server accepts the connection and never answers. Without a timeout the
+        # round would wait for it, and all other reports would become outdated.
         try:
             async with asyncio.timeout(self._settings.routing.load_interval):
                 return await self._engine.load(backend)
         except TimeoutError:
-            return Unavailable("no load report in time")
+            return Unavailable("load report timed out")
--- a/sassafrasdoor/routing/tests/test_chooser.py
+++ b/sassafrasdoor/routing/tests/test_chooser.py
@@ -1,4 +1,4 @@
-"""Choice of backend servers: lagging loads, failures, leavers, subsets."""
+"""Tests of the choice of backend servers: load reports, failures, subsets."""
 
 import asyncio
 import random
@@ -20,13 +20,13 @@
 
 
 def chooser_of(seed=1, **sections):
-    """Return a chooser with a seeded source of chance."""
+    """Return a chooser with a seeded random generator."""
     return Chooser(settings(**{**ZONED, **sections}), random.Random(seed))
 
 
 class ChoiceTest(unittest.TestCase):
     def count_choices(self, chooser, current_view, count=400, **fields):
-        """Return how often each server was chosen, with nothing in flight."""
+        """Return how often each server is chosen with nothing in flight."""
         return Counter(
             chooser.choose(current_view, "desk", **fields).name for _ in range(count)
         )
@@ -78,7 +78,7 @@
     def test_server_that_fails_fast_gets_little_work(self):
         """Guards against a failing server that looks least loaded."""
         current_view = view(count=3)
-        # So short that no rest after a failure hides what failures count as load.
+        # So short that suspicion does not hide that failures count as load.
         chooser = chooser_of(routing={"suspect_backend_for": 1e-9})
         tries = Counter()
         for _ in range(300):
@@ -106,7 +106,7 @@
         self.assertEqual(chooser.choose(current_view, "desk").name, "b0")
 
     def test_leaving_dead_and_silent_servers_get_no_work(self):
-        """Guards against calls to a server that one source reports as leaving."""
+        """Guards against calls to a server that any source reports as unavailable."""
         leaving = view(count=2)
         leaving.backends[0].state = State.LEAVING
         dead = view(count=2)
@@ -125,7 +125,7 @@
                 lambda chooser, backend: chooser.finished(backend, NotRun("leaving")),
             ),
             (
-                "three load reports did not come",
+                "three load reports were missed",
                 view(count=2),
                 lambda chooser, backend: [
                     chooser.record_missed_report(backend) for _ in range(3)
@@ -201,7 +201,7 @@
 
 
 class _LoadReports:
-    """Answers of ``/load`` by backend name; a missing one never comes."""
+    """Load reports by backend name; a missing one is never answered."""
 
     def __init__(self, **loads):
         self.loads = loads
@@ -235,7 +235,7 @@
             lambda: (
                 {chooser.choose(current_view, "desk").name for _ in range(50)} == {"b1"}
             ),
-            what=f"{silent} to be left alone",
+            what=f"{silent} to get no work",
         )
         task.cancel()
 
--- a/sassafrasdoor/routing/tests/test_discovery.py
+++ b/sassafrasdoor/routing/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""Discovery: who is named to callers, in which order, for how long."""
+"""Tests of discovery: which instances are returned to callers, in which order."""
 
 import json
 import unittest
@@ -14,7 +14,7 @@
 
 
 def members(count, **states):
-    """Return members over three zones; ``states`` by name."""
+    """Return members in three zones; ``states`` by name."""
     return [
         Member(
             f"e{number}",
@@ -28,7 +28,7 @@
 
 class AddressesForTest(unittest.TestCase):
     def names(self, current_view, caller="caller", zone="zone-a", size=4):
-        """Return the names answered."""
+        """Return the names of the members chosen."""
         configuration = settings(routing={"discovery_size": size})
         chosen = discovery.addresses_for(configuration, current_view, caller, zone)
         return [member.name for member in chosen]
--- a/sassafrasdoor/routing/tests/test_instances.py
+++ b/sassafrasdoor/routing/tests/test_instances.py
@@ -1,4 +1,4 @@
-"""Which instances callers are sent to."""
+"""Tests of the instance registry: lapses, forwarding, entry points, reserve."""
 
 import asyncio
 import json
@@ -51,10 +51,9 @@
         self.assertNotIn("i1:80", self.instances[0].addresses("c"))
 
     async def test_no_record_lapses_while_the_log_is_unreachable(self):
-        """Symptom: callers are sent to one instance only, or to none.
+        """Guards against callers sent to one instance or none in a long log outage.
 
-        Sequence: the log is away for longer than a record lives. Cause: records
-        were taken for lapsed although nobody could renew them.
+        Records were treated as lapsed although none could be renewed.
         """
         tail = self.instances[0].tail
         for record in self.instances[0]._records.values():
@@ -68,7 +67,7 @@
         self.assertEqual(len(self.instances[0].addresses("c")), 5)
 
     async def test_no_record_lapses_before_an_outage_is_detected(self):
-        """Guards against new entry points that read all steps as the log falls silent."""
+        """Guards against needless new entry points at the start of a log outage."""
         tail, peers = self.instances[0].tail, {f"i{at}:80" for at in range(1, 5)}
         tail.ended_at = now() - 2.0
         for record in self.instances[0]._records.values():
@@ -82,7 +81,7 @@
         self.assertFalse(peers & set(self.instances[0].addresses("c")))
 
     async def test_partial_read_after_an_outage_lapses_no_record(self):
-        """Guards against peers that lapse by the first of several answers."""
+        """Guards against peers that lapse by the first of several answers after an outage."""
         tail, peers = self.instances[0].tail, {f"i{at}:80" for at in range(1, 5)}
         for record in self.instances[0]._records.values():
             record.renewed_at = tail.ended_at - instance_view.LAPSE_TIMEOUT + 0.1
@@ -96,11 +95,10 @@
         self.assertLessEqual(peers, set(self.instances[0].addresses("c")))
 
     async def test_end_of_an_outage_does_not_restore_lapsed_records(self):
-        """Symptom: callers are sent to an instance that is gone for minutes.
+        """Guards against callers sent to an instance that ended a minute ago.
 
-        Sequence: an instance end_instance without a word and lapses; a minute later one read
-        of the list is lost. Cause: after each return of the log all that were ever
-        heard of counted as living for three seconds.
+        After a single lost read of the list, every instance ever listed counted as alive
+        for three seconds.
         """
         tail = self.instances[0].tail
         self.instances[0]._records["i1:80"].renewed_at = now() - 60.0
@@ -111,10 +109,10 @@
         self.assertNotIn("i1:80", self.instances[0].addresses("c"))
 
     async def test_instance_that_is_cut_off_sends_callers_elsewhere(self):
-        """Symptom: a trainer stands still while one instance cannot reach the log.
+        """Guards against a trainer that stalls at an instance without access to the log.
 
-        Sequence: the instance is cut off from the log, not from callers, and goes on
-        naming itself. Cause: its own reads were not looked at.
+        Cut off from the log but not from callers, it still returned its own address, as
+        its failing reads were not considered.
         """
         self.instances[0].tail.failing_since = now() - module.READ_FAILURE_TIMEOUT - 0.1
         self.assertNotIn("i0:80", self.instances[0].addresses("c"))
@@ -127,11 +125,10 @@
     async def test_calls_after_startup_are_forwarded_to_the_first_ranked_of_a_zone(
         self,
     ):
-        """Symptom: reads are refused for seconds after all instances started again.
+        """Guards against reads refused for seconds after a restart of all instances.
 
-        Sequence: all instances of a zone start; one of them reads the steps first, and
-        the others hand a trainer's reads on. Cause: they handed them to a neighbour
-        picked at random, which had not read the steps either.
+        One instance of a zone reads the steps first, but the others forwarded reads to a
+        random peer, which had not read them either.
         """
         saved, module.MAX_SHUFFLED_ENTRY_POINTS = module.MAX_SHUFFLED_ENTRY_POINTS, 0
         self.addCleanup(setattr, module, "MAX_SHUFFLED_ENTRY_POINTS", saved)
@@ -148,14 +145,14 @@
         await self.read()
 
     async def test_calls_are_forwarded_to_readers(self):
-        """Guards against steps that nobody reads although one instance has."""
+        """Guards against forwarding to peers without the steps although one has them."""
         await self.publish_has_read(1)
         for at in (0, 2, 3, 4):
             for _ in range(5):
                 self.assertEqual(self.instances[at].reader_candidates(3), ["i1:80"])
 
     async def test_calls_are_forwarded_to_another_zone_too(self):
-        """Guards against callers of a zone whose instances are all late."""
+        """Guards against refusals in a zone whose instances all lag."""
         await self.publish_has_read(1, 2, 3, 4)
         for _ in range(5):
             near, far, *rest = self.instances[0].reader_candidates(3)
@@ -164,14 +161,14 @@
             self.assertEqual(len(rest), 1)
 
     async def test_reserve_instance_that_has_read_is_a_reader_candidate(self):
-        """Guards against the one reader that is known and asked by nobody."""
+        """Guards against a sole known reader that is never asked."""
         self.instances[1].in_reserve = True
         await self.publish_has_read(1)
         self.assertNotIn("i1:80", self.instances[0].peers())
         self.assertEqual(self.instances[0].reader_candidates(3), ["i1:80"])
 
     async def test_submissions_are_not_all_forwarded_to_the_only_reader(self):
-        """Guards against retries that all meet the same instance."""
+        """Guards against retries that all reach the same instance."""
         await self.publish_has_read(1)
         firsts = {self.instances[0].peers()[0] for _ in range(50)}
         self.assertEqual(firsts, {"i2:80", "i4:80"})
@@ -183,7 +180,7 @@
         self.assertEqual(len(self.instances[0].reader_candidates(3)), 3)
 
     async def test_has_read_of_records_from_before_startup_is_ignored(self):
-        """Guards against trust in what instances had read before all lost power."""
+        """Guards against use of records from before a restart of all instances."""
         await self.publish_has_read(0, 1, 2, 3, 4)
         started = make_instance(self.log, "i4", "a")
         await started.tail.poll(0)
@@ -200,7 +197,7 @@
         self.assertEqual(started.reader_candidates(3), ["i1:80"])
 
     async def test_readers_do_not_count_as_unread(self):
-        """Guards against turns that a restarted instance waits for in vain."""
+        """Guards against a restarted instance that waits for finished readers."""
         by_rank = sorted(self.instances, key=lambda instance: instance.rank("x"))
         for instance in self.instances:
             await instance._write(instance._document())
@@ -218,7 +215,7 @@
         )
 
     async def test_instances_that_do_not_renew_do_not_count_as_unread(self):
-        """Guards against a fleet that waits for instances without power."""
+        """Guards against waits for instances without power."""
         by_rank = sorted(self.instances, key=lambda instance: instance.rank("x"))
         last = by_rank[-1]
         for record in last._records.values():
@@ -228,7 +225,7 @@
         self.assertEqual(last.unread_entry_points_before("x"), 0)
 
     async def test_records_of_earlier_versions_do_not_count_as_unread(self):
-        """Guards against an update that waits for instances which cannot tell."""
+        """Guards against an upgrade that waits for instances without the field."""
         by_rank = sorted(self.instances, key=lambda instance: instance.rank("x"))
         first = by_rank[0]
         document = json.loads(first._document())
@@ -238,7 +235,7 @@
         self.assertEqual(by_rank[1].unread_entry_points_before("x"), 0)
 
     async def test_change_of_has_read_is_published_at_once(self):
-        """Guards against callers that are refused for the time between renewals."""
+        """Guards against callers refused until the next renewal."""
         instance = self.instances[0]
         task = asyncio.ensure_future(instance.renew(lambda: True))
         self.addCleanup(task.cancel)
@@ -255,11 +252,10 @@
             self.assertIs(document["read"], value)
 
     async def test_process_is_listed_as_soon_as_it_is_ready(self):
-        """Symptom: nothing runs for a second and more after all processes have ended.
+        """Guards against an idle second after a restart of all processes.
 
-        Sequence: all restart, and have read the steps after a third of a second; each
-        claims only once it is listed. Cause: a start that was not ready at once looked
-        again a whole renewal later.
+        They have read the steps after a third of a second and claim work once listed, but
+        a process not ready at first checked again only after a whole renewal interval.
         """
         interval, module.RENEW_INTERVAL = module.RENEW_INTERVAL, 1000.0
         self.addCleanup(setattr, module, "RENEW_INTERVAL", interval)
@@ -278,11 +274,10 @@
             await asyncio.sleep(0.01)
 
     async def test_list_may_change_within_one_call(self):
-        """Symptom: a trainer's call end_instance with an error of ours after a start.
+        """Guards against a trainer's call that fails with an internal error after a start.
 
-        Sequence: the peers are taken from the list, an instance lapses, the peers are
-        put in the order of the list as it is now. Cause: two looks at a list that is
-        worked out anew each fifth of a second.
+        The peers were taken from one view and sorted by the next, in which one of them
+        had lapsed; the view is rebuilt every fifth of a second.
         """
         saved_limit, module.MAX_SHUFFLED_ENTRY_POINTS = (
             module.MAX_SHUFFLED_ENTRY_POINTS,
@@ -300,10 +295,9 @@
             self.assertLessEqual(instance.unread_entry_points_before("shards"), 3)
 
     async def test_process_has_ended_once_its_instance_lists_another_process(self):
-        """Symptom: a living process is taken for ended, or an ended one waited for.
+        """Guards against a running process taken for ended, and the reverse.
 
-        Sequence: an instance lists a process, then another one. Cause: a list that was
-        read before the process was heard of says nothing about it.
+        A list read before the last sign of a process says nothing about its end.
         """
         old, reader = self.instances[0], self.instances[1]
         old._process = "i0:80/first"
@@ -321,7 +315,7 @@
         self.assertFalse(reader.has_ended("elsewhere:80", "x", heard_at))
 
     async def test_started_instance_checks_for_restarts_of_others(self):
-        """Guards against duties that wait for the next read of the list after a start."""
+        """Guards against duties that wait for the next read of the list during startup."""
         old, reader = self.instances[0], self.instances[1]
         old._process = "i0:80/first"
         await old._write(old._document())
@@ -337,10 +331,10 @@
         self.assertTrue(reader._restart_check.done())
 
     async def test_ranking_is_cached(self):
-        """Symptom: with 300 instances each spends a seventh of a core on nothing.
+        """Guards against a list that is ranked anew on each use.
 
-        Sequence: seven shards ask ten times a second who is in front. Cause: the
-        whole list is put in order for each question.
+        With 300 instances and seven shards that check their rank ten times a second, this
+        took a seventh of a core.
         """
         ordering = mock.Mock(wraps=module.ranked)
         with (
@@ -373,10 +367,10 @@
         )
 
     async def test_callers_of_a_large_zone_share_some_instances(self):
-        """Symptom: each call opens a connection to a replica.
+        """Guards against a new connection to a replica for each call.
 
-        Sequence: a zone has twenty instances, and callers spread over all. Cause:
-        each was named, and none met the same replica twice in its idle time.
+        Callers were sent to all twenty instances of a zone, so none used the same replica
+        again before the connection's idle timeout.
         """
         for at in range(10, 30):
             instance = make_instance(self.log, f"i{at}", "d")
@@ -419,7 +413,7 @@
 
 
 class ReserveTest(unittest.IsolatedAsyncioTestCase):
-    """A zone of twelve instances, of which callers are sent to four."""
+    """A zone of twelve instances, four of them entry points."""
 
     async def asyncSetUp(self):
         self.log = MemoryPartitionedLog()
@@ -456,7 +450,7 @@
             await self.read()
 
     async def end_instance(self, instance):
-        """Let an instance end without a word, and its record lapse at all."""
+        """End an instance without leaving; its record lapses everywhere."""
         self.tasks[instance].cancel()
         await asyncio.sleep(0)
         await self.read()
@@ -464,7 +458,7 @@
             other._records[instance._address].renewed_at = LONG_AGO
 
     async def test_reserve_instances_renew_less_often(self):
-        """Guards against a list whose reading costs grow with the square of a fleet."""
+        """Guards against read costs of the list that grow with the square of the fleet."""
         records = self.log.partition(module.TOPIC, 0).records
         first = len(records)
         await self.read_until(lambda: len(records) > first + 100)
@@ -475,7 +469,7 @@
         )
 
     async def test_reserve_instance_replaces_an_ended_entry_point(self):
-        """Guards against a zone that runs out of entry points one death after another."""
+        """Guards against a zone that loses its entry points one by one."""
         for _ in range(3):
             ended = next(
                 instance for instance in self.instances if not instance.in_reserve
@@ -485,14 +479,14 @@
             await self.read_until(lambda: self.all_return_living_entry_points(4))
 
     def promoted_instances(self):
-        """Return those in reserve that take themselves for entry points."""
+        """Return the instances in reserve that are to become entry points."""
         for instance in self.instances:
             instance._view = None
         points = [instance for instance in self.instances if instance.is_entry_point]
         return [instance for instance in points if instance.in_reserve]
 
     async def stop_renewals(self):
-        """Nobody writes a record any more; return an entry point."""
+        """Stop all renewals; return an entry point."""
         for task in self.tasks.values():
             task.cancel()
         await asyncio.sleep(0)
@@ -500,12 +494,12 @@
         return next(instance for instance in self.instances if not instance.in_reserve)
 
     async def test_one_ended_entry_point_promotes_one_instance(self):
-        """Guards against a zone whose whole reserve reads all steps at once."""
+        """Guards against a whole reserve that reads all steps at once."""
         await self.end_instance(await self.stop_renewals())
         self.assertEqual(len(self.promoted_instances()), 1)
 
     async def test_promotions_double_while_an_entry_point_is_missing(self):
-        """Guards against a place that waits for an instance that is gone."""
+        """Guards against a shortage that waits for an instance that has ended."""
         await self.end_instance(await self.stop_renewals())
         counts = []
         for _ in range(4):
@@ -515,7 +509,7 @@
         self.assertEqual(counts, [1, 2, 4, 8])
 
     async def test_promotion_rounds_restart_after_a_shortage_ends(self):
-        """Guards against a reserve that is promoted_instances by what was missing before."""
+        """Guards against promotions counted from an earlier shortage."""
         ended = await self.stop_renewals()
         await self.end_instance(ended)
         self.promoted_instances()
@@ -539,7 +533,7 @@
         )
 
     async def test_reserve_instance_is_not_returned_before_it_has_renewed(self):
-        """Guards against callers sent to an instance that ended seconds before."""
+        """Guards against callers sent to a reserve instance that ended seconds before."""
         dead, *others = [instance for instance in self.instances if instance.in_reserve]
         self.tasks[dead].cancel()
         entry = next(instance for instance in self.instances if not instance.in_reserve)
--- a/sassafrasdoor/routing/tests/test_placement.py
+++ b/sassafrasdoor/routing/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Where items go, replayed in virtual time; and which samples leave a slow replica."""
+"""Tests of placement and migration, with a simulated slow replica."""
 
 import random
 import unittest
@@ -54,7 +54,7 @@
                 "b",
             ),
             (
-                "usual spread",
+                "usual variation",
                 [make_candidate("a", 2, 0.05), make_candidate("b", 8, 0.04)],
                 {},
                 "a",
@@ -79,18 +79,18 @@
                 "b",
             ),
             (
-                "unknown pace is usual",
+                "unknown pace counts as median",
                 [make_candidate("a", 2, None), make_candidate("b", 3)],
                 {},
                 "a",
             ),
             (
-                "left out",
+                "avoided",
                 [make_candidate("a"), make_candidate("b", 11)],
                 {"avoid": "a"},
                 "b",
             ),
-            ("nothing else", [make_candidate("a")], {"avoid": "a"}, None),
+            ("no other", [make_candidate("a")], {"avoid": "a"}, None),
         ]
         for name, candidates, options, expected in cases:
             with self.subTest(name):
@@ -109,13 +109,19 @@
         self.assertFalse(should_migrate(slow, None))
 
     def test_silence_on_every_stream_is_unresponsive(self):
-        """Guards against items that wait for a replica without power."""
+        """Guards against items that wait for a replica that lost power."""
         cases = [
             ("just sent", 10.0, LONG_AGO, False, False),
-            ("nothing for long", 10.0 - UNRESPONSIVE_AFTER, LONG_AGO, False, True),
-            ("nothing since before", 8.0, 8.5, False, True),
-            ("others get theirs", 8.0, 9.9, False, False),
-            ("loads", 8.0, 8.5, True, False),
+            (
+                "no data since the item was sent",
+                10.0 - UNRESPONSIVE_AFTER,
+                LONG_AGO,
+                False,
+                True,
+            ),
+            ("no data since before it was sent", 8.0, 8.5, False, True),
+            ("data on other streams", 8.0, 9.9, False, False),
+            ("loading", 8.0, 8.5, True, False),
         ]
         for name, sent_at, last_received_at, is_loading, expected in cases:
             with self.subTest(name):
@@ -129,7 +135,7 @@
     """Guards against a migrated sample that goes back to the slow replica."""
 
     def count_returned(self, seed, is_avoided):
-        """Return how many of 120 moves lead back to the slow replica."""
+        """Return how many of 120 migrations lead back to the slow replica."""
         source = random.Random(seed)
         returned = 0
         for _ in range(120):
--- a/sassafrasdoor/routing/tests/test_replicas.py
+++ b/sassafrasdoor/routing/tests/test_replicas.py
@@ -1,4 +1,4 @@
-"""What is believed of replicas: the list, its outages, loads and zones."""
+"""Tests of the replicas' state: list entries, outages, loads, zones, restarts."""
 
 import unittest
 
@@ -9,7 +9,7 @@
 
 
 class Tail:
-    """The state of the list's reader."""
+    """Stand-in for the reader of the list."""
 
     silence = None
 
@@ -35,7 +35,7 @@
         self.assertEqual(self.names(), ["z"])
 
     def test_entries_that_lapse_in_an_outage_stay_usable(self):
-        """Guards against lapsed entries taken for ended replicas in an outage."""
+        """Guards against lapsed entries taken for ended replicas in an outage of the list."""
         self.listed("x")
         self.tail.silence = Silence(now() - 6.0, now())
         self.replicas.remove_listing("x")
@@ -45,7 +45,7 @@
         self.assertEqual(self.names(), [])
 
     def test_lapsed_entry_is_used_no_longer_than_the_grace_period(self):
-        """Guards against use of a replica that ended after an outage of the list."""
+        """Guards against continued use of a replica that ended after an outage."""
         self.listed("x")
         returned_at = now() - 2.0
         self.tail.silence = Silence(returned_at - 6.0, returned_at)
@@ -54,7 +54,7 @@
         self.assertLessEqual(used_until, returned_at + module.OUTAGE_GRACE_PERIOD)
 
     def test_short_outage_extends_no_entry(self):
-        """Guards against a lost read of the list that extends ended entries."""
+        """Guards against a lost read of the list that extends removed entries."""
         self.listed("x")
         self.tail.silence = Silence(now() - 2.0, now())
         self.replicas.remove_listing("x")
@@ -101,7 +101,7 @@
 
 
 class IncarnationTest(unittest.TestCase):
-    """A replica that starts again under the identity that it had."""
+    """Tests of a replica that restarts under the same identity."""
 
     def setUp(self):
         self.replicas = Replicas("a")
@@ -115,7 +115,7 @@
         return self.replicas.get("x")
 
     def test_new_incarnation_has_no_state_of_the_former(self):
-        """Guards against state of a former incarnation kept for the new one."""
+        """Guards against state carried over from a former incarnation."""
         before = self.listed(1000, version=3)
         before.record_version("m", 7)
         before.record_load(4, 2)
