--- a/sassafrasdoor/weights/controller.py
+++ b/sassafrasdoor/weights/controller.py
@@ -1,8 +1,9 @@
-"""Orders replicas to load the named versions of their models, from one fenced holder.
+"""Orders replicas to load the announced versions of their models.
 
-The replicas of a service are assigned to its models by demand; a replica keeps its
-model where possible, and only a model's own replicas follow its versions. A replica's
-versions are known from the platform's list and from answers.
+Only the holder of the lease sends orders, with its fencing number. The replicas of a
+service are assigned to its models by demand; a replica keeps its model where possible
+and loads the versions of that model only. The versions that replicas have are known from
+the platform's list and from answers.
 """
 
 import asyncio
@@ -19,26 +20,27 @@
 IDLE_POLL_INTERVAL = 1.0  # of a process that does not hold the lease
 MIN_CONCURRENT_LOADS = 2
 CONCURRENT_LOAD_SHARE = 0.4  # of a service's replicas
-LOAD_TIME = 1.2  # after an order until its load counts as ended
-MIN_LOAD_TIME = 0.9  # after an accepted order in which the replica refuses items
-REPORT_LAG = 3.5  # after an accepted order until the list must show its version
+LOAD_TIME = 1.2  # from an order until its load counts as ended
+MIN_LOAD_TIME = 0.9  # after an accepted order; the replica refuses items meanwhile
+REPORT_LAG = 3.5  # from an accepted order until the list must show its version
 ORDER_TIMEOUT = 1.5
 RETRY_DELAY = 0.4  # after a refused or lost order
 
-FIRST_FENCE = 1  # of the first holder ever, which takes over from nobody
+FIRST_FENCE = 1  # of the first holder, which has no predecessor
 
 ORDERS = counter("weights_named_orders_total", "Orders to replicas, by result.")
 ORDER_DELAY = histogram(
     "weights_named_wait_seconds",
-    "Seconds from a version's name to an accepted order of it.",
+    "Seconds from the announcement of a version to an accepted order.",
     buckets=[0.1, 0.3, 0.6, 1, 1.5, 2.5, 4, 8],
 )
 
 
 class _LastOrder:
-    """The last order to an incarnation of a replica.
+    """The last order to one incarnation of a replica.
 
-    It is not repeated before ``retry_deadline``; its load ends at ``load_deadline``.
+    It is not repeated before ``retry_deadline``; its load counts as ended after
+    ``load_deadline``.
     """
 
     __slots__ = ("load_deadline", "model", "replica", "retry_deadline", "version")
@@ -54,8 +56,8 @@
 class WeightsController:
     """Orders loads while ``holder.fence`` is set and the handover has passed.
 
-    ``handover()`` returns the seconds to wait for a former holder's orders. ``work``
-    tells of the steps that run here: ``waiting(model)`` is the number of queued items,
+    ``handover()`` returns the seconds to wait for orders of a former holder. ``work``
+    describes the steps run here: ``waiting(model)`` returns the number of queued items,
     ``oldest_allowed(model)`` the oldest version that serves all open steps.
     """
 
@@ -97,7 +99,7 @@
         self._wake = asyncio.Event()
 
     def set_target_version(self, model, version):
-        """Take a version that a trainer has named; older ones change nothing."""
+        """Record a version announced by a trainer; older ones are ignored."""
         if version > self._target_versions.get(model, 0):
             self._target_versions[model] = version
             self._target_set_at[model] = now()
@@ -105,7 +107,7 @@
             self._wake.set()
 
     def record_demand(self, step):
-        """Take a step's tokens as its model's demand."""
+        """Record the tokens of a step as the demand of its model."""
         if step.spec.model:
             self._demand[step.spec.model] = sum(item.tokens for item in step.spec.items)
 
@@ -132,7 +134,7 @@
         if not fence or fence <= self._stale_fence:
             return False
         if fence != self._fence:
-            # A former holder's last orders may still be in flight.
+            # The last orders of a former holder may still be in flight.
             first = fence == FIRST_FENCE
             self._fence = fence
             self._handover_deadline = (
@@ -195,11 +197,11 @@
         )
 
     def _serves_open_steps(self, replica, model):
-        """Say whether the weights of a replica are new enough for all open steps."""
+        """Return whether a replica's weights are new enough for all open steps."""
         return replica.versions.get(model, 0) >= self._work.oldest_allowed(model)
 
     def _should_defer(self, replica, model):
-        """Say whether a load is deferred, so that its replica serves queued items."""
+        """Return whether a load is deferred so that the replica serves queued items."""
         return load_policy.should_defer(
             self._target_set_at[model],
             now(),
@@ -246,11 +248,11 @@
         if isinstance(result, OrderRefused):
             last_order.load_deadline = last_order.retry_deadline
         if isinstance(result, Stale):
-            # Another process holds the lease already.
+            # Another process already holds the lease.
             self._stale_fence = max(self._stale_fence, order.fence)
 
     def _must_finish_first(self, replica):
-        """Say whether samples must end under the weights that they began with."""
+        """Return whether samples must finish with the weights that they started with."""
         routes = self._routes.current.routes
         return any(
             route.one_version
@@ -259,7 +261,7 @@
         )
 
     def _assign(self, replicas, models):
-        """Assign the replicas to the models; each keeps its own where possible."""
+        """Assign the replicas to the models; each keeps its model where possible."""
         targets = allocate_replicas(len(replicas), models, self._demand)
         unassigned = {replica.identity: replica for replica in replicas}
         if len(replicas) < len(models):
@@ -308,9 +310,9 @@
 
 
 def allocate_replicas(count, models, demand):
-    """Return how many of ``count`` replicas each model gets, by its demand.
+    """Return the number of replicas of each model, by demand, for ``count`` in total.
 
-    Every model gets one; each further one goes to the largest shortfall.
+    Every model gets one; each further one goes to the model with the largest shortfall.
     """
     if count < len(models):
         return dict.fromkeys(models, 1)
--- a/sassafrasdoor/weights/load_policy.py
+++ b/sassafrasdoor/weights/load_policy.py
@@ -1,30 +1,29 @@
-"""When a replica loads a named version, and how many of a model load at a time.
+"""When a replica loads a new version, and how many of a model's replicas load at a time.
 
-A trainer that names a version asks for its next step at the same time, and the step's
-items may run under the version before. So only a part of a model's replicas loads at
+A trainer that announces a version submits its next step at the same time, and the step's
+items may run under the previous version. So only a part of a model's replicas loads at
 once, and loads are deferred while items of the model are queued.
 """
 
 LOADING_SHARE = 0.5  # of a model's replicas that may load at once
-FOLLOW_UP_DELAY = 0.25  # seconds from a version's name to the step that follows it
-MAX_DEFERRAL = 2.5  # seconds from a version's name that a load is deferred at most
+FOLLOW_UP_DELAY = 0.25  # seconds from an announced version to the step that follows it
+MAX_DEFERRAL = 2.5  # seconds after the announcement
 
 
 def may_load(replicas, loading, serves_open_steps):
-    """Say whether one more of a model's replicas may begin to load.
+    """Return whether one more of a model's replicas may begin to load.
 
-    ``replicas`` counts the model's own, ``loading`` those that load now; ``serves``
-    says that this one's weights are new enough for the open steps. One that serves no
-    step always may.
+    ``replicas`` counts the model's own, ``loading`` those that load now. A replica whose
+    weights are too old for the open steps may always load.
     """
     return not serves_open_steps or loading < max(1, int(replicas * LOADING_SHARE))
 
 
 def should_defer(named_at, moment, has_queued_items, serves_open_steps):
-    """Say whether a replica's load is deferred.
+    """Return whether a replica's load is deferred.
 
-    ``named_at`` is when the version was named, ``moment`` now, in monotonic seconds;
-    ``items_wait`` says that items of the model are queued; ``serves`` as above.
+    ``named_at`` is when the version was announced, ``moment`` now, in monotonic seconds;
+    ``has_queued_items`` says that items of the model are queued.
     """
     if not serves_open_steps:
         return False
--- a/sassafrasdoor/weights/plan.py
+++ b/sassafrasdoor/weights/plan.py
@@ -1,7 +1,7 @@
 """Chooses the engines that swap weights next; no I/O.
 
 Swaps run in a sliding window without a barrier between waves, so a swap that hangs
-holds one place of the window only.
+occupies only one slot of the window.
 """
 
 import math
@@ -20,9 +20,9 @@
 
 
 class EngineState:
-    """An engine's state by its own reports; ``versions`` is None before the first.
+    """An engine's state by its own reports; ``versions`` is None without a report.
 
-    No order is sent before ``retry_deadline``; its report is outdated after
+    No order is sent before ``retry_deadline``; the report is outdated after
     ``check_deadline``. Both are monotonic.
     """
 
@@ -50,9 +50,9 @@
         self.retry_deadline = LONG_AGO
 
     def is_behind(self, model, version):
-        """Say whether its report shows an older version.
+        """Return whether the engine reports an older version.
 
-        A newer one is no reason to swap, since our own view may be outdated.
+        A newer one does not count, since the own view may be outdated.
         """
         return self.versions is not None and self.versions.get(model, 0) < version
 
--- a/sassafrasdoor/weights/rollout.py
+++ b/sassafrasdoor/weights/rollout.py
@@ -1,13 +1,13 @@
-"""Bringing all engines to the newest announced weights, by their own reports.
+"""Rollout of the newest announced weights to all engines, based on their reports.
 
-The plan is recomputed all the time from what the engines report, so it needs no
-memory: a new holder of the lease starts from the same picture. Orders are
-idempotent ("be at version v") and carry the fencing number. Neither a reply nor
-its absence changes what is believed of an engine; only ``load`` does.
+The plan is recomputed continuously from the engines' reports and keeps no state, so a new
+holder of the lease needs no handover. Orders are idempotent ("be at version v") and carry
+the fencing number. Replies to orders do not change an engine's known version; only
+``load`` reports do.
 
-Two kinds of engine: one refuses an order with an old fencing number. The other
-takes it; an order that a frozen holder sends when it wakes is found by the next
-report, which shows an older version, and ordered right again.
+Some engines refuse orders with a stale fencing number. Others accept them: if a frozen
+holder resumes and sends one, the next report shows an older version, and the current
+holder orders the newest version again.
 """
 
 import asyncio
@@ -23,31 +23,28 @@
 from sassafrasdoor.view import BackendKind, State
 from sassafrasdoor.weights.plan import EngineState, Phase, next_swaps
 
-POLL_INTERVAL = 0.1
-MIN_POLL_INTERVAL = 0.05
-CONFIRM_INTERVAL = 0.25
-"""Reports lag, so one asked for at once would show the old version."""
+POLL_INTERVAL = 0.1  # seconds
+MIN_POLL_INTERVAL = 0.05  # seconds
+CONFIRM_INTERVAL = 0.25  # seconds; reports lag, an earlier one shows the old version
 MAX_CONCURRENT_READS = 32
 MAX_ORDER_ATTEMPTS = 3
 MAX_BACKOFF_DOUBLINGS = 16
-MAX_CHECKS_PER_SECOND = 20
-"""Bounds the processor time of checks however many engines there are."""
-UNFENCED_CHECK_FACTOR = 3
-"""Engines that ignore fencing numbers are read that many times as often."""
+MAX_CHECKS_PER_SECOND = 20  # bounds processor time for any number of engines
+UNFENCED_CHECK_FACTOR = 3  # by which engines that ignore the fence are read more often
 
 ORDERS = counter("weights_orders_total", "Orders to engines, by result.")
 BEHIND = gauge("weights_engines_behind", "Engines reported behind, by model.")
 
 
 def backoff(weights, failures):
-    """Return the seconds to wait after so many failures in a row, with jitter."""
+    """Return the seconds to wait after ``failures`` in a row, with jitter."""
     doublings = min(failures - 1, MAX_BACKOFF_DOUBLINGS)
     longest = min(weights.retry_limit, weights.retry_interval * 2**doublings)
     return longest * random.uniform(0.5, 1.0)
 
 
 class Rollout:
-    """Orders swaps while ``holder.fence`` is set; ``view_getter()`` gives the view."""
+    """Orders swaps while ``holder.fence`` is set; ``view_getter()`` returns the view."""
 
     __slots__ = (
         "_backends",
@@ -84,7 +81,7 @@
 
     @property
     def behind(self):
-        """How many engines report an older version, by model."""
+        """Number of engines behind the announced version, by model."""
         return dict(self._behind)
 
     async def run(self):
@@ -100,10 +97,10 @@
             await asyncio.gather(*self._tasks, return_exceptions=True)
 
     async def drain(self):
-        """Order nothing more; say whether no order is under way any more.
+        """Stop sending orders; return whether none is in flight any more.
 
-        A lease handed over with an order under way would let the successor's
-        orders and ours meet at an engine that ignores fencing numbers.
+        If the lease were handed over with an order in flight, it could conflict with one
+        of the successor at an engine that ignores fencing numbers.
         """
         self._draining = True
         deadline = clock.deadline_in(self._settings.weights.order_timeout)
@@ -116,14 +113,14 @@
         return any(engine.phase is Phase.SWAPPING for engine in self._engines.values())
 
     def _may_act(self):
-        """Say whether the lease is ours, and start afresh if it is newly ours."""
+        """Return whether the lease is held; expire all reports if it is newly held."""
         fence = self._holder.fence
         if self._draining or not fence or fence <= self._stale_fence:
             return False
         if fence != self._fence:
-            # Since our last term another may have ordered anything, and with
-            # engines that ignore the fence an old order may still land. Only
-            # fresh reports count.
+            # Another holder may have sent orders since the last own term, and at engines
+            # that ignore the fence an old order may still take effect: reports from
+            # before are outdated.
             self._fence = fence
             self._expire_reports()
         return True
@@ -140,13 +137,13 @@
         self._update_metrics(view, engines)
 
     def _apply_view(self, view):
-        """Take over the view's engines and its newest versions."""
+        """Apply the engines and the newest versions of the view."""
         if view.backends is not self._backends:
             self._backends = view.backends
             self._update_engines(view)
         if self._targets != view.weights:
             self._targets = dict(view.weights)
-            # Swaps begin with the least busy, which needs reports of now.
+            # Swaps start with the least busy engines, which requires fresh reports.
             self._expire_reports()
 
     def _update_engines(self, view):
@@ -165,7 +162,7 @@
             engine.check_deadline = clock.LONG_AGO
 
     async def _read(self, engine):
-        """Take the engine's own report."""
+        """Read the engine's report and update its state."""
         weights = self._settings.weights
         engine.reading = True
         try:
@@ -186,7 +183,7 @@
         self._wake.set()
 
     def _check_interval(self, engine):
-        """Return the seconds to the engine's next report when nothing happens."""
+        """Return the seconds until the engine's next periodic report, with jitter."""
         interval = self._settings.weights.check_interval
         if not engine.backend.checks_fencing:
             interval /= UNFENCED_CHECK_FACTOR
@@ -198,7 +195,7 @@
         self._start_task(self._swap(swap))
 
     async def _swap(self, swap):
-        """Order one swap and see it through; the engine is idle again after it."""
+        """Order one swap and confirm it; the engine is idle afterwards."""
         engine = swap.engine
         confirmed = False
         try:
@@ -216,18 +213,17 @@
             self._wake.set()
 
     async def _order(self, swap):
-        """Send the order, again while replies are lost and the engine is behind.
+        """Send the order; repeat it while replies are lost and the engine is behind.
 
-        With a slow store the engine may still be fetching when the order's time
-        is over. Were its place in the window given away, the next engines would
-        share the store with it and be slower yet. The same order sent again
-        waits for the swap that runs.
+        With a slow store the engine may still be fetching when the order times out. If
+        its slot of the window were freed, further engines would share the store and slow
+        it down more. A repeated order waits for the running swap.
         """
         for _ in range(MAX_ORDER_ATTEMPTS):
-            # Checked here and not where the swap was planned: the lease may
-            # have lapsed in between, and a successor may order otherwise.
+            # Checked here too, not only in planning: the lease may have lapsed since, and
+            # a successor may send other orders.
             if not self._may_act():
-                return Unavailable("no lease")
+                return Unavailable("lease lost before the order was sent")
             deadline = clock.deadline_in(self._settings.weights.order_timeout)
             order = Order(self._fence, swap.model, swap.version, "", deadline)
             outcome = await self._client.order(swap.engine.backend, order)
@@ -241,7 +237,7 @@
         return outcome
 
     async def _confirm(self, swap, deadline):
-        """Read reports, one at least, until one shows the version or ``limit``."""
+        """Read reports, at least one, until the version shows or ``deadline`` passes."""
         while True:
             await asyncio.sleep(CONFIRM_INTERVAL)
             if not swap.engine.reading:
@@ -276,8 +272,8 @@
             result=result,
         )
         if isinstance(outcome, Stale):
-            # Somebody holds a newer number: our lease is gone although our own
-            # clock does not know it yet.
+            # A newer fencing number exists: the lease is lost, though it has not expired by
+            # the local clock.
             self._stale_fence = max(self._stale_fence, order.fence)
             changed("weights.fenced_off", fence=order.fence, newest=outcome.fence)
 
@@ -299,9 +295,9 @@
         task.add_done_callback(self._tasks.discard)
 
     async def _wait(self):
-        """Wait a tick, or less if an engine changed."""
-        # Not ``wait_for``: on Python 3.11 it swallows a cancellation that comes in
-        # the moment of the wake-up, and the task would run on for ever.
+        """Wait for ``POLL_INTERVAL``, or less if an engine's state changed."""
+        # Not ``asyncio.wait_for``: on Python 3.11 it loses a cancellation that coincides
+        # with the event, and the task would never end.
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(POLL_INTERVAL):
                 await self._wake.wait()
--- a/sassafrasdoor/weights/tests/test_controller.py
+++ b/sassafrasdoor/weights/tests/test_controller.py
@@ -1,4 +1,4 @@
-"""Which replica is ordered to which version, by whom and when."""
+"""Tests of the orders to replicas: which version, by which holder, when."""
 
 import asyncio
 import unittest
@@ -20,7 +20,7 @@
 
 
 class Work:
-    """No items wait, unless said so."""
+    """Stand-in for the steps; no items are queued by default."""
 
     def __init__(self):
         self.queue = 0
@@ -34,7 +34,7 @@
 
 
 class RecordingClient:
-    """Carries orders out at once, unless told to answer otherwise."""
+    """Carries out orders at once, unless ``answers`` holds other results."""
 
     def __init__(self):
         self.orders = []
@@ -100,7 +100,7 @@
         ]
 
     async def test_half_of_a_models_replicas_keep_serving_while_the_others_load(self):
-        """Guards against all replicas of a model that load at once."""
+        """Guards against loads by all replicas of a model at once."""
         self.models = ["a"]
         self.configure(2)
         module.LOAD_TIME = 1000.0
@@ -115,7 +115,7 @@
         await self.until(lambda: len(self.client.orders) == 5)
 
     async def test_only_replicas_assigned_to_a_model_load_it(self):
-        """Guards against loads at replicas of other models."""
+        """Guards against loads by replicas of other models."""
         self.run_controller()
         self.controller.set_target_version("a", 2)
         self.controller.set_target_version("b", 2)
@@ -133,7 +133,7 @@
         await self.until(lambda: self.at("a", 3) == before)
 
     async def test_restarted_replica_is_ordered_at_once(self):
-        """Guards against the retry deadline of an earlier incarnation."""
+        """Guards against a retry deadline kept from an earlier incarnation."""
         lag, module.REPORT_LAG = module.REPORT_LAG, 1000.0
         self.addCleanup(setattr, module, "REPORT_LAG", lag)
         self.models = ["a"]
@@ -180,7 +180,7 @@
         await self.until(lambda: len(self.at("a", 2)) >= 2)
 
     async def test_replica_that_reverted_is_ordered_again(self):
-        """Guards against a replica that went back to an older version unnoticed."""
+        """Guards against a replica that silently reverted to an older version."""
         self.run_controller()
         self.controller.set_target_version("a", 2)
         await self.until(lambda: self.at("a", 2))
--- a/sassafrasdoor/weights/tests/test_load_policy.py
+++ b/sassafrasdoor/weights/tests/test_load_policy.py
@@ -1,22 +1,20 @@
-"""How many replicas load together, and what a step that comes then loses by it."""
+"""Tests of how many replicas load at once, and the delay of the step that follows."""
 
 import unittest
 
 from sassafrasdoor.weights.load_policy import MAX_DEFERRAL, may_load, should_defer
 
 REPLICAS, SLOTS = 8, 8
-LOAD = 0.9
-"""Seconds that a load takes a replica."""
-STEP_DELAY = 0.1
-"""Seconds from the name of a version to the step that follows it."""
+LOAD = 0.9  # seconds
+STEP_DELAY = 0.1  # seconds from an announced version to the step that follows it
+# Seconds of a step's samples, longest first, in the order of their placement.
 SAMPLES = (6.5, 5.0, 4.5) + (2.0,) * 10 + (0.7,) * 47
-"""Seconds of a step's samples, longest first, as they are handed out."""
 
 
 def step_duration(rule):
-    """Return when a step's last sample is whole, from its submission.
+    """Return the seconds from a step's submission to the end of its last sample.
 
-    A version is named at 0 and ``rule(replicas, loading, serves)`` lets replicas load.
+    A version is announced at 0; ``rule`` has the parameters and result of ``may_load``.
     """
     free_at = [[0.0] * SLOTS for _ in range(REPLICAS)]
     loading = 0
@@ -35,7 +33,7 @@
 
 class PaceTest(unittest.TestCase):
     def test_step_that_follows_a_version_begins_at_once(self):
-        """Guards against a step that waits while all replicas load its next version."""
+        """Guards against a step that waits while all replicas load the new version."""
         longest = max(SAMPLES)
         without_limit = step_duration(lambda replicas, loading, serves_open_steps: True)
         self.assertAlmostEqual(without_limit, longest + LOAD - STEP_DELAY)
--- a/sassafrasdoor/weights/tests/test_plan.py
+++ b/sassafrasdoor/weights/tests/test_plan.py
@@ -1,4 +1,4 @@
-"""Which engines swap next."""
+"""Tests of the choice of engines that swap next."""
 
 import math
 import unittest
@@ -20,7 +20,7 @@
 
 
 def engine(name, version=1, in_flight=0, model="model", phase=Phase.IDLE):
-    """Return an engine with its report; ``version`` None for one without."""
+    """Return an engine with a report, or without one if ``version`` is None."""
     state = EngineState(Backend(name, "", "engine", "engines", models=[model]))
     state.versions = None if version is None else {model: version}
     state.in_flight = in_flight
@@ -30,7 +30,7 @@
 
 
 def table(*prefers):
-    """Return a table of trainers, ``(preference, weight)`` each."""
+    """Return a table of trainers, each given as ``(preference, weight)``."""
     rows = [
         {
             "name": f"row-{index}",
@@ -47,7 +47,7 @@
 
 
 def configured(**weights):
-    """Return settings with that ``weights`` section."""
+    """Return settings with the given ``weights`` section."""
     return settings.from_document({"weights": weights})
 
 
--- a/sassafrasdoor/weights/tests/test_rollout.py
+++ b/sassafrasdoor/weights/tests/test_rollout.py
@@ -1,4 +1,4 @@
-"""Rollout of weights to engine stand-ins, with everything that goes wrong."""
+"""Tests of the rollout of weights to engine stand-ins, with injected faults."""
 
 import asyncio
 import unittest
@@ -26,7 +26,7 @@
     "retry_limit": 0.2,
 }
 FAULTS = (
-    # faults of the engine, orders that it takes until it truly swapped
+    # faults of the engine, number of orders until it has swapped
     ({}, 1),
     ({"fail_swaps": 2}, 3),
     ({"late_swaps": 1}, 1),
@@ -36,14 +36,14 @@
 
 
 class FakeHolder:
-    """A lease that the test gives and takes."""
+    """A lease that the test grants and revokes."""
 
     def __init__(self, fence=1):
         self.fence = fence
 
 
 class FrozenClient(HttpEngine):
-    """Freezes between the check of the lease and the order that follows it."""
+    """Blocks between the check of the lease and the order that follows."""
 
     def __init__(self, configuration):
         super().__init__(configuration)
@@ -57,7 +57,7 @@
 
 
 class WeightStore(RequestHandler):
-    """Counts who reads at once; ``broken`` refuses all."""
+    """Counts concurrent reads; refuses all while ``broken``."""
 
     broken = False
     reading = max_reading = 0
@@ -83,12 +83,12 @@
         self.holder = FakeHolder()
 
     def configure(self, **weights):
-        """Change settings of the rollout."""
+        """Change the settings of the rollout."""
         document = {"weights": {**FAST_SETTINGS, **weights}}
         self.settings = settings.from_document(document)
 
     def add(self, count=1, **options):
-        """Start engines that the view lists."""
+        """Start engines and add them to the view."""
         backends = list(self.view.backends)
         for _ in range(count):
             name = f"engine-{len(self.engines)}"
@@ -101,11 +101,11 @@
         self.view = View(backends=backends, weights=self.view.weights)
 
     def announce(self, version):
-        """Let the view name a newer version."""
+        """Set the newest version in the view."""
         self.view = View(backends=self.view.backends, weights={MODEL: version})
 
     def run_rollout(self, holder=None, client=None, view=None):
-        """Start a rollout that ends with the test."""
+        """Start a rollout that is stopped at the end of the test."""
         rollout = Rollout(
             self.settings,
             client or self.engine,
@@ -122,7 +122,7 @@
         return rollout
 
     async def wait_for_version(self, version):
-        """Wait until every engine truly has that version."""
+        """Wait until every engine has the version."""
         await until(
             lambda: all(
                 engine.batch.versions[MODEL] == version for engine in self.engines
@@ -149,7 +149,7 @@
                 self.assertEqual(sum(order["applied"] for order in truth), 1)
 
     async def test_an_order_without_reply_keeps_its_slot(self):
-        """Guards against an order without reply taken for one that has ended."""
+        """Guards against an order without a reply that counts as ended."""
         self.configure(store_concurrency=1, order_timeout=0.2)
         self.add(2, swap_seconds=1.0)
         self.announce(1)
@@ -168,7 +168,7 @@
             self.assertEqual(sum(o["applied"] for o in engine.orders), 1)
 
     async def test_no_order_without_the_lease(self):
-        """Guards against orders of a holder that has lost its lease."""
+        """Guards against orders by a holder that has lost its lease."""
         self.holder.fence = 0
         self.add()
         self.announce(1)
@@ -192,7 +192,7 @@
         self.assertEqual(len(self.engines[0].orders), 1)
 
     async def test_a_holder_frozen_between_check_and_order(self):
-        """Guards against an order sent between the check of a lease and its loss."""
+        """Guards against an order delayed between the check and the loss of the lease."""
         for checks, reverted in ((True, False), (False, True)):
             with self.subTest(checks_fencing=checks):
                 self.view, self.engines = View(), []
@@ -215,7 +215,7 @@
                 self.assertEqual(first._stale_fence, 0 if reverted else 5)
 
     async def test_a_holder_that_was_fenced_off_stops(self):
-        """Guards against retries of orders with a stale fencing number."""
+        """Guards against repeated orders with a stale fencing number."""
         self.add()
         await self.engines[0].order(9, MODEL, 0, "")
         self.engines[0].orders.clear()
@@ -229,7 +229,7 @@
         await self.wait_for_version(1)
 
     async def test_no_engine_reverts_for_an_older_view(self):
-        """Guards against a swap to an older version by an outdated view."""
+        """Guards against a swap to an older version due to an outdated view."""
         self.add(initial_version=5)
         self.announce(4)
         rollout = self.run_rollout()
@@ -307,7 +307,7 @@
         await self.wait_for_version(1)
 
     async def test_swaps_start_with_the_least_busy_by_fresh_reports(self):
-        """Guards against swaps ordered by outdated load reports."""
+        """Guards against a choice of engines by outdated load reports."""
         self.configure(check_interval=600.0, store_concurrency=1)
         self.add(2)
         self.announce(1)
@@ -323,7 +323,7 @@
         await self.wait_for_version(2)
 
     async def test_checks_between_rollouts_are_bounded(self):
-        """Guards against a load of report polls that grows with the engines."""
+        """Guards against a rate of report polls that grows with the engines."""
         self.configure(check_interval=15.0)
         rollout = Rollout(self.settings, self.engine, self.holder, View)
         for checks, known, shortest, longest in (
@@ -338,7 +338,7 @@
                 self.assertTrue(shortest <= interval <= longest, interval)
 
     async def test_the_store_is_down_and_then_slow(self):
-        """Guards against swaps that are given up or retried at once in an outage."""
+        """Guards against swaps abandoned or retried without delay in a store outage."""
         store = type("Store", (WeightStore,), {"broken": True})
         application = Application(
             [("/weights/.*", store)], log_function=lambda handler: None
--- a/sassafrasdoor/weights/versions.py
+++ b/sassafrasdoor/weights/versions.py
@@ -1,12 +1,11 @@
-"""Announcing weight versions: one record on the agreed stream."""
+"""Announcement of weight versions by records on the agreed stream."""
 
 
 async def announce(settings, log, model, version):
-    """Append that ``version`` of ``model`` is in the weight store.
+    """Append a record that ``version`` of ``model`` is in the weight store.
 
-    Returns the record's offset, ``Unavailable`` or ``ReplyLost``. Versions only
-    grow, and the fold drops a second copy and an older one; so it may be called
-    again after either outcome.
+    Returns the record's offset, ``Unavailable`` or ``ReplyLost``. It may be repeated after
+    either outcome, since readers ignore records of the same or an older version.
     """
     body = {"kind": "weights", "model": model, "version": version}
     return await log.append(settings.platform.agreed_stream, body)
