--- a/sassafrasdoor/routing/backend_state.py
+++ b/sassafrasdoor/routing/backend_state.py
@@ -62,8 +62,8 @@
         Without this limit a recovered server would get no work while others have
         capacity.
         """
-        forgotten = passed(self._suspect_until + RECENT_FAILURE_PERIOD)
-        return 0 if forgotten else self.failures
+        is_outdated = passed(self._suspect_until + RECENT_FAILURE_PERIOD)
+        return 0 if is_outdated else self.failures
 
     @property
     def score(self):
@@ -92,8 +92,8 @@
         # calls finished since are still in it.
         if self._reported is None:
             return self._in_flight
-        since = len(self._started) - len(self._finished)
-        return max(self._in_flight, self._reported + since)
+        change = len(self._started) - len(self._finished)
+        return max(self._in_flight, self._reported + change)
 
     def started(self):
         """Count a call or stream of this process that begins."""
--- a/sassafrasdoor/routing/instance_view.py
+++ b/sassafrasdoor/routing/instance_view.py
@@ -2,8 +2,8 @@
 
 Load pattern: each instance that callers use keeps connections to every replica and reads
 all steps. So callers of a zone are sent to a few of its instances, the entry points; the
-others are in reserve. If an entry point lapses, instances in reserve are called (told to
-become entry points): one at first, and more the longer it is missing.
+others are in reserve. If entry points lapse, as many instances in reserve are promoted,
+and more the longer the shortage lasts.
 """
 
 import json
@@ -13,13 +13,13 @@
 
 LAPSE_TIMEOUT = 3.2  # seconds without renewal of an entry point: three missed
 RESERVE_LAPSE_TIMEOUT = 16.0  # seconds without renewal of an instance in reserve
-# A zone has four entry points, or as many as have a fifth of its cores: each one keeps
-# connections to every replica.
+# A zone has at least four entry points, with at least a fifth of its cores. The number is
+# kept low, as each one keeps connections to every replica.
 MIN_ENTRY_POINTS, ZONE_CORES_DIVISOR = 4, 5
 ENTRY_POINTS_KEY = "entry"
 MAX_PROMOTION_DOUBLINGS = 10
-# Seconds for a called instance to publish that it is an entry point; then more are
-# called.
+# Seconds that a promoted instance has to publish that it is an entry point, before more
+# are promoted.
 PROMOTION_INTERVAL = 2.0
 # Seconds for which a view is reused: ranking all instances on each use would take
 # processor time that grows with their number.
@@ -84,8 +84,8 @@
     """Since when zones have had too few entry points, monotonic by zone.
 
     Load pattern: each instance in reserve that replaces a lapsed entry point reads all
-    steps. So few are called at first; as some may have ended unnoticed, more are called
-    the longer the shortage lasts.
+    steps. So few are promoted at first; as some may have ended unnoticed, more are
+    promoted the longer the shortage lasts.
     """
 
     __slots__ = ("_since",)
@@ -94,7 +94,7 @@
         self._since = {}
 
     def promotion_rounds(self, zone):
-        """Return how many times ``PROMOTION_INTERVAL`` has passed in the shortage."""
+        """Return the number of ``PROMOTION_INTERVAL``s since the shortage began, or 0."""
         since = self._since.get(zone)
         return 0 if since is None else int((now() - since) / PROMOTION_INTERVAL)
 
@@ -111,7 +111,7 @@
             del self._since[zone]
 
     def all_promotion_rounds(self):
-        """Return the rounds by zone, of all zones with a shortage."""
+        """Return the promotion rounds by zone, for zones with a shortage."""
         return {zone: self.promotion_rounds(zone) for zone in self._since}
 
 
@@ -147,7 +147,9 @@
     @property
     def all_entry_points(self):
         """The addresses of the entry points of all zones."""
-        return {address for part in self.entry_points.values() for address in part}
+        return {
+            address for addresses in self.entry_points.values() for address in addresses
+        }
 
     @property
     def is_fresh(self):
@@ -162,9 +164,9 @@
 def _select_entry_points(records, rounds):
     """Return the records of a zone's entry points, the largest first.
 
-    Those in reserve among them are called; they do not count as entry points yet, since
-    they may have ended unnoticed. As many are called as are missing, doubled after each
-    of ``rounds``.
+    Those still in reserve are to be promoted. They do not count as entry points yet,
+    since they may have ended unnoticed. As many are promoted as are missing, doubled with
+    each of ``rounds``.
     """
     order = ranked(records, ENTRY_POINTS_KEY, lambda record: record.address)
     order.sort(key=lambda record: -record.cores)
@@ -173,12 +175,12 @@
     missing = sum(
         record.in_reserve for record in _take_sufficient(order, min_cores, set(order))
     )
-    called = set(reserve[: missing << min(rounds, MAX_PROMOTION_DOUBLINGS)])
-    living = set(order).difference(reserve)
-    eligible = called | living
+    promoted = set(reserve[: missing << min(rounds, MAX_PROMOTION_DOUBLINGS)])
+    current = set(order).difference(reserve)
+    eligible = promoted | current
     return [
         record
-        for record in _take_sufficient(order, min_cores, living)
+        for record in _take_sufficient(order, min_cores, current)
         if record in eligible
     ]
 
--- a/sassafrasdoor/routing/instances.py
+++ b/sassafrasdoor/routing/instances.py
@@ -73,7 +73,7 @@
 
     ``process`` is the name of this process, which is new after each start; ``is_listed``
     says whether the log has acknowledged a record with it. ``in_reserve`` is the state
-    in the last own record. The owner sets ``has_read``.
+    in the last own record. ``has_read`` is set by the process.
     """
 
     __slots__ = (
@@ -108,10 +108,10 @@
         address,
         key,
         cores=1.0,
-        elsewhere=None,
+        newest_from_peer=None,
         control="",
         process="",
-        way=None,
+        read_coordinator=None,
     ):
         self._control = control
         self._process = process
@@ -134,7 +134,12 @@
         self._startup_deadline = deadline_in(STARTUP_PERIOD)
         self._first_renewal_deadline = deadline_in(FIRST_RENEWAL_TIMEOUT)
         self.tail = KeyedTail(
-            log, TOPIC, self._apply_record, LIST_READ_INTERVAL, elsewhere, way
+            log,
+            TOPIC,
+            self._apply_record,
+            LIST_READ_INTERVAL,
+            newest_from_peer,
+            read_coordinator,
         )
 
     @property
@@ -154,18 +159,18 @@
             serves = is_ready() and not self._leaving
             if serves and self._is_due:
                 self.in_reserve = not self.is_entry_point
-                pause = RESERVE_INTERVAL if self.in_reserve else RENEW_INTERVAL
-                self._renewal_deadline = deadline_in(pause)
+                interval = RESERVE_INTERVAL if self.in_reserve else RENEW_INTERVAL
+                self._renewal_deadline = deadline_in(interval)
                 self._published_has_read = self._has_read
                 await self._write(self._document())
             await self._wait_for_renewal(
                 RENEW_INTERVAL if serves else READINESS_POLL_INTERVAL
             )
 
-    async def _wait_for_renewal(self, seconds):
+    async def _wait_for_renewal(self, timeout):
         """Wait until the own record may be due, for ``seconds`` at most."""
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(seconds):
+            async with asyncio.timeout(timeout):
                 await self._renewal_requested.wait()
         self._renewal_requested.clear()
 
@@ -173,8 +178,8 @@
     def _is_due(self):
         """Whether the own record must be written now."""
         has_changed = self._published_has_read != self._has_read
-        is_misplaced = self.in_reserve == self.is_entry_point
-        return passed(self._renewal_deadline) or has_changed or is_misplaced
+        has_wrong_role = self.in_reserve == self.is_entry_point
+        return passed(self._renewal_deadline) or has_changed or has_wrong_role
 
     async def leave(self):
         """Delete the own record, so that callers get other addresses from now on."""
@@ -185,19 +190,21 @@
 
     def addresses(self, zone):
         """Return the addresses for a caller in ``zone``, those of its zone first."""
-        points = self._current_view.entry_points
+        entry_points = self._current_view.entry_points
         if self._is_cut_off:
-            points = {
-                name: [
+            entry_points = {
+                zone_name: [
                     address for address in zone_addresses if address != self._address
                 ]
-                for name, zone_addresses in points.items()
+                for zone_name, zone_addresses in entry_points.items()
             }
-        own_zone = points.get(zone, [])
+        own_zone = entry_points.get(zone, [])
         if len(own_zone) >= MIN_INSTANCES_IN_ZONE:
             return own_zone[:MAX_ADDRESSES]
-        names = sorted(points, key=lambda name: name != zone)
-        addresses = [address for name in names for address in points[name]]
+        zones = sorted(entry_points, key=lambda zone_name: zone_name != zone)
+        addresses = [
+            address for zone_name in zones for address in entry_points[zone_name]
+        ]
         if not addresses and not self._leaving:
             addresses = [self._address]
         return addresses[:MAX_ADDRESSES]
@@ -211,9 +218,12 @@
             for record in view.alive
             if record.address != self._address
         }
-        points = view.all_entry_points
-        addresses = [address for address in points if address in zones]
-        if passed(self._startup_deadline) or len(points) <= MAX_SHUFFLED_ENTRY_POINTS:
+        entry_points = view.all_entry_points
+        addresses = [address for address in entry_points if address in zones]
+        if (
+            passed(self._startup_deadline)
+            or len(entry_points) <= MAX_SHUFFLED_ENTRY_POINTS
+        ):
             random.shuffle(addresses)
         else:
             addresses.sort(key=self._ranking(view, STEP_READERS_KEY).index)
@@ -236,9 +246,11 @@
         readers = self._alternate_zones(
             [record for record in others if record.is_reader]
         )
-        # Records from before this process read the list hold unless all have restarted.
-        likely = self._alternate_zones([record for record in others if record.has_read])
-        return readers[:limit] or (likely or self.peers())[:1]
+        # Records from before the own start are valid unless all instances have restarted.
+        probable_readers = self._alternate_zones(
+            [record for record in others if record.has_read]
+        )
+        return readers[:limit] or (probable_readers or self.peers())[:1]
 
     def _alternate_zones(self, records):
         """Return the addresses, alternating between this zone and others."""
@@ -252,8 +264,8 @@
         """Return how many entry points ranked before this one may not have read the steps.
 
         ``key`` determines the ranking. Entry points that have not renewed their record
-        within ``FIRST_RENEWAL_TIMEOUT`` of the own start, and those whose record lacks
-        the field, are not counted.
+        within ``FIRST_RENEWAL_TIMEOUT`` of the own start are not counted, nor are those
+        of earlier versions, whose records lack ``read``.
         """
         view = self._current_view
         order = self._ranking(view, key)
@@ -274,7 +286,7 @@
 
     def peer_control_addresses(self):
         """Return the control addresses of the peers, alternating between zones."""
-        # The list may change between two reads of it; order by the peers read first.
+        # The view may be rebuilt between the two calls: peers may be missing in the second.
         peers = self.peers()
         by_address = {record.address: record for record in self._current_view.alive}
         records = [by_address[address] for address in peers if address in by_address]
@@ -287,10 +299,10 @@
 
     @property
     def is_entry_point(self):
-        """Whether this instance is, or is to become, an entry point, or is not yet listed.
+        """Whether this instance is an entry point or should become one.
 
-        Only entry points follow the steps: the log could not send every record to many
-        instances.
+        True also while its own record is not listed. Only entry points follow the steps:
+        the log could not send every record to many instances.
         """
         view = self._current_view
         is_recorded = any(record.address == self._address for record in view.alive)
@@ -314,8 +326,8 @@
             return self._view
         alive = [record for record in self._records.values() if self._is_alive(record)]
         rounds = self._shortages.all_promotion_rounds()
-        is_same = self._view is not None and self._view.alive == alive
-        if is_same and rounds == self._promotion_rounds:
+        is_unchanged = self._view is not None and self._view.alive == alive
+        if is_unchanged and rounds == self._promotion_rounds:
             self._view.extend()
         else:
             self._view = InstanceView(alive, self._shortages)
@@ -326,8 +338,8 @@
     def _is_cut_off(self):
         """Whether this instance cannot reach the log.
 
-        It can then neither store nor report steps, so callers are sent to others. If no
-        instance reaches the log, the others' addresses are no worse.
+        It can then neither store steps nor return new results, so callers are sent to
+        others. If no instance can reach the log, this does no harm.
         """
         failing_since = self.tail.failing_since
         if failing_since is None:
@@ -337,38 +349,38 @@
     def has_ended(self, address, process, since):
         """Return whether ``process`` at ``address`` is known to have been replaced.
 
-        The list must have been read to its end after ``since`` (monotonic), the time of
-        the last sign of that process: as it was listed before, a record with another
-        process is newer. A delayed record may show the former process for a second and
-        move a duty, which is safe by its fencing numbers. Without this check a takeover
-        would wait for the record to lapse.
+        ``since`` (monotonic) is when that process was last active. If the list has been
+        read to its end after it, a record with another process is the newer one, as
+        processes are listed before they act. A delayed record may show the former process
+        for a second and move a duty, which fencing numbers make safe. Without this check
+        a takeover would wait until the record lapses.
         """
         record = self._records.get(address)
         if record is None or record.process == "":
             return False
         confirmed_at = self.tail.confirmed_at or LONG_AGO
-        is_other = record.process != process
-        if is_other and confirmed_at >= since:
+        is_different = record.process != process
+        if is_different and confirmed_at >= since:
             return True
-        # After a start of all instances the new process's record may be about to follow.
-        is_awaited = not passed(self._startup_deadline) and passed(
+        # After a start of all instances the new record may not have been read yet.
+        is_starting = not passed(self._startup_deadline) and passed(
             confirmed_at + RESTART_CHECK_INTERVAL
         )
-        if is_other or is_awaited:
+        if is_different or is_starting:
             self._check_restarts()
         return False
 
     def _check_restarts(self):
         """Start reading the list to its end, unless such a read is in progress."""
         if self._restart_check is None or self._restart_check.done():
-            look = self.tail.confirm(deadline_in(RESTART_CHECK_TIMEOUT))
-            self._restart_check = asyncio.ensure_future(look)
+            check = self.tail.confirm(deadline_in(RESTART_CHECK_TIMEOUT))
+            self._restart_check = asyncio.ensure_future(check)
 
     def rank(self, key):
         """Return this instance's rank among the living ones for ``key``, from 0.
 
-        Entry points come first, then more cores before fewer; the first-ranked one
-        performs the duty of ``key``. Instances with the same view of the list agree.
+        Entry points rank before others, then more cores before fewer. The first-ranked
+        instance performs the duty of ``key``; instances with the same view agree on it.
         """
         return self._ranking(self._current_view, key).index(self._address)
 
@@ -380,18 +392,18 @@
     def _compute_ranking(self, view, key):
         cores = {record.address: record.cores for record in view.alive}
         cores[self._address] = self._cores
-        points = view.all_entry_points
+        entry_points = view.all_entry_points
         order = ranked(cores, key)
-        order.sort(key=lambda address: (address not in points, -cores[address]))
+        order.sort(key=lambda address: (address not in entry_points, -cores[address]))
         return order
 
     def _is_alive(self, record):
         """Return whether a record had not lapsed when the list was last read.
 
-        That time counts and not the present, since an unanswered read fails only seconds
-        later. A record alive at the start of an outage of the log lapses as if renewed at
-        its end. One that had lapsed before stays so; otherwise after each lost read
-        callers would be sent to instances that ended long ago.
+        The current time is not used, since it takes seconds until an unanswered read
+        fails. A record that was alive when an outage of the log began lapses as if it had
+        been renewed at the outage's end. One that had lapsed before stays lapsed:
+        otherwise each lost read would send callers to instances that ended long ago.
         """
         if self.tail.ended_at - record.renewed_at < record.lapse_timeout:
             return True
@@ -426,10 +438,10 @@
             self._records.pop(key, None)
             self._view = None
             return
-        known = self._records.get(key)
-        if known is not None and known.data == value:
-            known.renewed_at = now()
-            known.is_renewed = known.is_renewed or self.tail.loaded
+        record = self._records.get(key)
+        if record is not None and record.data == value:
+            record.renewed_at = now()
+            record.is_renewed = record.is_renewed or self.tail.loaded
             return
         try:
             self._records[key] = InstanceRecord(value, is_renewed=self.tail.loaded)
--- a/sassafrasdoor/routing/replicas.py
+++ b/sassafrasdoor/routing/replicas.py
@@ -95,10 +95,10 @@
     @property
     def load(self):
         """Estimated slots in use: own calls, and those of others by a recent report."""
-        others = (
+        others_load = (
             0 if passed(self._other_callers_load_deadline) else self._other_callers_load
         )
-        return self.state.in_flight + others
+        return self.state.in_flight + others_load
 
     @property
     def free_slots(self):
@@ -108,10 +108,14 @@
     def candidate(self):
         """Return the current estimated state as a ``Candidate``."""
         unavailable_models = {
-            model for model, at in self.loading_until.items() if not passed(at)
+            model
+            for model, deadline in self.loading_until.items()
+            if not passed(deadline)
         }
         unavailable_models |= {
-            model for model, at in self.refused_until.items() if not passed(at)
+            model
+            for model, deadline in self.refused_until.items()
+            if not passed(deadline)
         }
         return Candidate(self, self.load, self.state.is_suspect, unavailable_models)
 
@@ -123,7 +127,7 @@
     @property
     def is_loading(self):
         """Whether a load of weights that this process ordered is in progress."""
-        return any(not passed(at) for at in self.loading_until.values())
+        return any(not passed(deadline) for deadline in self.loading_until.values())
 
     def record_event_interval(self, seconds):
         """Record the seconds between two events of one stream."""
--- a/sassafrasdoor/weights/controller.py
+++ b/sassafrasdoor/weights/controller.py
@@ -135,10 +135,10 @@
             return False
         if fence != self._fence:
             # The last orders of a former holder may still be in flight.
-            first = fence == FIRST_FENCE
+            is_first_holder = fence == FIRST_FENCE
             self._fence = fence
             self._handover_deadline = (
-                LONG_AGO if first else deadline_in(self._handover())
+                LONG_AGO if is_first_holder else deadline_in(self._handover())
             )
             self._last_orders.clear()
             self._assigned.clear()
@@ -183,8 +183,8 @@
             return True
         if not passed(last_order.load_deadline):
             return False
-        same = (last_order.model, last_order.version) == (model, version)
-        return not same or passed(last_order.retry_deadline)
+        is_same_order = (last_order.model, last_order.version) == (model, version)
+        return not is_same_order or passed(last_order.retry_deadline)
 
     def _may_load(self, replica, model):
         assigned = sum(model in models for models in self._assigned.values())
@@ -266,9 +266,9 @@
         unassigned = {replica.identity: replica for replica in replicas}
         if len(replicas) < len(models):
             order = sorted(unassigned)
-            for number, model in enumerate(models):
-                identity = order[number % len(order)]
-                if number < len(order):
+            for index, model in enumerate(models):
+                identity = order[index % len(order)]
+                if index < len(order):
                     self._assigned[identity] = ()
                 self._assigned[identity] += (model,)
             return
@@ -305,8 +305,8 @@
         return self._assigned.get(replica.identity) == (model,)
 
     def _assignment_cost(self, replica, model):
-        kept = 0 if self._is_assigned(replica, model) else 1
-        return (kept, -replica.versions.get(model, 0), replica.identity)
+        change_cost = 0 if self._is_assigned(replica, model) else 1
+        return (change_cost, -replica.versions.get(model, 0), replica.identity)
 
 
 def allocate_replicas(count, models, demand):
--- a/sassafrasdoor/weights/load_policy.py
+++ b/sassafrasdoor/weights/load_policy.py
@@ -19,14 +19,14 @@
     return not serves_open_steps or loading < max(1, int(replicas * LOADING_SHARE))
 
 
-def should_defer(named_at, moment, has_queued_items, serves_open_steps):
+def should_defer(announced_at, moment, has_queued_items, serves_open_steps):
     """Return whether a replica's load is deferred.
 
-    ``named_at`` is when the version was announced, ``moment`` now, in monotonic seconds;
+    ``announced_at`` is when the version was announced, ``moment`` now, both monotonic;
     ``has_queued_items`` says that items of the model are queued.
     """
     if not serves_open_steps:
         return False
-    if moment < named_at + FOLLOW_UP_DELAY:
+    if moment < announced_at + FOLLOW_UP_DELAY:
         return True
-    return has_queued_items and moment < named_at + MAX_DEFERRAL
+    return has_queued_items and moment < announced_at + MAX_DEFERRAL
--- a/sassafrasdoor/weights/plan.py
+++ b/sassafrasdoor/weights/plan.py
@@ -86,13 +86,13 @@
     return max(sums, key=sums.get)
 
 
-def max_concurrent_swaps(settings, wanted, engines):
+def max_concurrent_swaps(settings, preferred, engines):
     """Return how many of a model's engines may be out of service for swaps.
 
     Engines without a report count as out of service. One swap is always allowed, so
     that a rollout makes progress with few live engines.
     """
-    share = getattr(settings.weights.serving_share, wanted)
+    share = getattr(settings.weights.serving_share, preferred)
     reachable = sum(engine.versions is not None for engine in engines)
     return max(1, reachable - math.ceil(share * len(engines)))
 
