--- a/sassafrasdoor/routing/replicas.py
+++ b/sassafrasdoor/routing/replicas.py
@@ -32,8 +32,8 @@
 class Listing:
     """A replica's entry in the platform's list.
 
-    ``born`` distinguishes its incarnations: the start in Unix milliseconds, or 0 if not
-    listed. It is compared with other values of ``born`` only, never with a clock.
+    ``born`` distinguishes its incarnations: the start in Unix milliseconds, or 0 if
+    the list does not state it. It is compared with other values of ``born`` only, never with a clock.
     """
 
     __slots__ = ("address", "born", "leaving", "service", "slots", "versions", "zone")
--- a/sassafrasdoor/routing/tests/test_placement.py
+++ b/sassafrasdoor/routing/tests/test_placement.py
@@ -34,7 +34,7 @@
     def placed(self, candidates, **options):
         chosen = place(
             candidates,
-            Requirement("m", options.get("oldest", 1), options.get("avoid", "")),
+            Requirement("m", options.get("min_version", 1), options.get("avoid", "")),
         )
         return chosen.identity if chosen else None
 
@@ -63,7 +63,7 @@
             (
                 "older weights",
                 [make_candidate("a"), make_candidate("b", 9, version=2)],
-                {"oldest": 2},
+                {"min_version": 2},
                 "b",
             ),
             (
@@ -119,7 +119,7 @@
                 False,
                 True,
             ),
-            ("no data since before it was sent", 8.0, 8.5, False, True),
+            ("data after it was sent, then none", 8.0, 8.5, False, True),
             ("data on other streams", 8.0, 9.9, False, False),
             ("loading", 8.0, 8.5, True, False),
         ]
--- a/sassafrasdoor/weights/tests/test_load_policy.py
+++ b/sassafrasdoor/weights/tests/test_load_policy.py
@@ -31,7 +31,7 @@
     return finished_at - STEP_DELAY
 
 
-class PaceTest(unittest.TestCase):
+class LoadPolicyTest(unittest.TestCase):
     def test_step_that_follows_a_version_begins_at_once(self):
         """Guards against a step that waits while all replicas load the new version."""
         longest = max(SAMPLES)
