--- a/sassafrasdoor/routing/chooser.py
+++ b/sassafrasdoor/routing/chooser.py
@@ -1,9 +1,8 @@
 """Choice of a backend server for one call or stream.
 
-Load reports lag. Whoever sends all work to the least loaded server in them
-sends it to the same one as everybody else until the next report (herding). So
-two servers are drawn at random and the less loaded of them is taken, where the
-load is the report plus what this process started since.
+Load reports lag. If all instances sent their work to the least loaded server, they would
+overload it until the next report (herding). So two servers are drawn at random, and the
+less loaded one is used; the load is the report plus what this process started since.
 """
 
 import random
@@ -18,16 +17,16 @@
 
 name_of = attrgetter("name")
 
-# Shares of a server's capacity by which another may be busier and still be
-# taken: for a nearer zone, for a prefix that is probably cached there.
+# Shares of capacity by which a server may be busier and still be preferred: one of the
+# own zone, and one that probably has the prompt prefix in its cache.
 ZONE_SLACK = 0.1
 AFFINITY_SLACK = 0.25
-DRAWS = 2
-RETRY_AFTER = 1.0
-LEAVING = "leaving"
+DRAW_COUNT = 2
+RETRY_AFTER = 1.0  # seconds
+LEAVING_REASON = "leaving"
 
 CHOSEN = metrics.counter("sassafrasdoor_routing_chosen_total", "Choices made.")
-NONE_LEFT = metrics.counter(
+NO_BACKEND = metrics.counter(
     "sassafrasdoor_routing_none_total", "Choices for which no server was left."
 )
 FAILURES = metrics.counter(
@@ -50,126 +49,129 @@
     def choose(self, view, service, model="", affinity="", exclude=()):
         """Return the ``Backend`` to use, or ``NotRun`` if there is none.
 
-        ``affinity`` names a prompt prefix; servers in ``exclude`` (names) were
-        tried already.
+        ``affinity`` names a prompt prefix; ``exclude`` holds the names of servers that
+        were tried already.
         """
         usable = [
             backend
             for backend in self.subset(view, service, model)
             if backend.name not in exclude and not self._state(backend).leaving
         ]
-        healthy = [one for one in usable if not self._state(one).suspect]
-        # With nothing but suspects left, one of them is tried all the same:
-        # a single failure of a lone server must not refuse everybody.
+        healthy = [backend for backend in usable if not self._state(backend).is_suspect]
+        # If all are suspect, one is used nevertheless: one failure of the only server
+        # must not cause all calls to be refused.
         candidates = healthy or usable
         if not candidates:
-            NONE_LEFT.inc({})
+            NO_BACKEND.inc({})
             return NotRun(f"no backend server of {service} is available", RETRY_AFTER)
         CHOSEN.inc({})
         return self._pick(candidates, affinity)
 
     def subset(self, view, service, model=""):
-        """Return the servers that this instance uses, alive by the view.
+        """Return the servers that this instance uses, of those alive in the view.
 
-        Connections and load polling must not grow as instances times servers.
+        The bounded subset keeps connections and load polls from growing as instances
+        times servers.
         """
         if view is not self._view:
-            self._adopt(view)
+            self._update_view(view)
         key = (service, model)
         if key not in self._subsets:
             self._subsets[key] = self._make_subset(view, service, model)
         return self._subsets[key]
 
-    def in_use(self, view):
-        """Return every server of the subsets, each once: those worth polling."""
+    def backends_in_use(self, view):
+        """Return every server of all subsets, each once."""
         keys = {
-            (one.service, model) for one in view.backends for model in (*one.models, "")
+            (backend.service, model)
+            for backend in view.backends
+            for model in (*backend.models, "")
         }
-        found = {
-            one.name: one
+        backends = {
+            backend.name: backend
             for service, model in sorted(keys)
-            for one in self.subset(view, service, model)
+            for backend in self.subset(view, service, model)
         }
-        return list(found.values())
+        return list(backends.values())
 
     def started(self, backend):
         """Count a call or stream that begins on ``backend``."""
         self._state(backend).started()
 
     def finished(self, backend, outcome):
-        """Count one that ended; ``outcome`` is its last word, or None if cancelled."""
+        """Count one that ended, with its ``outcome``, or None if cancelled."""
         state = self._state(backend)
         state.finished()
         if outcome is not None:
-            _take_note(outcome, state, backend, self._settings)
+            _record_outcome(outcome, state, backend, self._settings)
 
     def report(self, backend, load):
-        """Take a load report that lags by its own age."""
+        """Apply a load report, which lags by its ``age``."""
         state = self._state(backend)
         if load.leaving and not state.leaving:
             logs.changed("routing:leaving", backend=backend.name, by="report")
-        state.reported(load)
+        state.record_report(load)
 
-    def unreported(self, backend):
-        """Note that a load report did not come."""
-        self._state(backend).unreported()
+    def record_missed_report(self, backend):
+        """Record that a load report was not received."""
+        self._state(backend).record_missed_report()
 
     def load_of(self, backend):
         """Return the estimated load as a share of capacity."""
         return self._state(backend).score
 
     def in_flight(self, backend):
-        """Return how many calls and streams of this process run there."""
+        """Return the number of calls and streams of this process on the server."""
         return self._state(backend).in_flight
 
     def leaving(self, backend):
-        """Say whether the server itself said that it is leaving."""
+        """Return whether the server itself has announced that it is leaving."""
         return self._state(backend).leaving
 
     def status(self, backend):
-        """Return what this process knows of a server, JSON-ready."""
+        """Return the state of a server as seen by this process, JSON-ready."""
         return self._state(backend).status()
 
     def _pick(self, candidates, affinity):
-        best = min(self._drawn(candidates), key=self._cost)
+        best = min(self._draw_candidates(candidates), key=self._cost)
         if not affinity:
             return best
         preferred = ranked(candidates, affinity, name_of)[0]
         slack = self._cost(preferred) - self._cost(best)
         return preferred if slack <= AFFINITY_SLACK else best
 
-    def _drawn(self, candidates):
-        """Return two servers of the own zone and one of the others.
+    def _draw_candidates(self, candidates):
+        """Draw two servers of the own zone and one of the others.
 
-        More draws than that come closer to the least loaded server of the
-        reports, and with it to herding, the more the longer reports lag.
+        With more draws the choice approaches the least loaded server of the reports, and
+        with it herding, all the more the longer the reports lag.
         """
-        near = [one for one in candidates if self._near(one)]
-        far = [one for one in candidates if not self._near(one)]
-        drawn = self._sample(near, DRAWS)
-        return drawn + self._sample(far, max(1, DRAWS - len(drawn)))
+        own_zone = [backend for backend in candidates if self._is_near(backend)]
+        other_zones = [backend for backend in candidates if not self._is_near(backend)]
+        drawn = self._sample(own_zone, DRAW_COUNT)
+        return drawn + self._sample(other_zones, max(1, DRAW_COUNT - len(drawn)))
 
     def _sample(self, candidates, count):
         return self._random.sample(candidates, min(count, len(candidates)))
 
-    def _near(self, backend):
+    def _is_near(self, backend):
         return backend.availability_zone == self._settings.instance.availability_zone
 
     def _cost(self, backend):
-        slack = 0.0 if self._near(backend) else ZONE_SLACK
+        slack = 0.0 if self._is_near(backend) else ZONE_SLACK
         return self._state(backend).score + slack
 
     def _state(self, backend):
-        # A server that comes back under its name at another address is a new one.
+        # A server with the same name at another address is a new one.
         key = (backend.name, backend.address)
         if key not in self._states:
             self._states[key] = BackendState(backend.capacity)
         return self._states[key]
 
-    def _adopt(self, view):
+    def _update_view(self, view):
         self._view = view
         self._subsets = {}
-        known = {(one.name, one.address) for one in view.backends}
+        known = {(backend.name, backend.address) for backend in view.backends}
         for key in [key for key in self._states if key not in known]:
             if not self._states[key].in_flight:
                 del self._states[key]
@@ -187,22 +189,22 @@
 
 
 @singledispatch
-def _take_note(outcome, state, backend, settings):
-    """Learn from how a call ended; anything whole is an answer."""
+def _record_outcome(outcome, state, backend, settings):
+    """Update ``state`` by the outcome of a call; complete ones count as answers."""
     state.answered()
 
 
-@_take_note.register
+@_record_outcome.register
 def _(outcome: NotRun, state, backend, settings):
-    if LEAVING in outcome.reason:
+    if LEAVING_REASON in outcome.reason:
         logs.changed("routing:leaving", backend=backend.name, by="refusal")
         state.leaving = True
         return
-    state.full()
+    state.record_refusal()
 
 
-@_take_note.register(Broken)
-@_take_note.register(Unknown)
+@_record_outcome.register(Broken)
+@_record_outcome.register(Unknown)
 def _(outcome, state, backend, settings):
     FAILURES.inc({})
     if not state.failures:
--- a/sassafrasdoor/routing/discovery.py
+++ b/sassafrasdoor/routing/discovery.py
@@ -1,8 +1,8 @@
-"""Answers to callers who ask which entry instances to use.
+"""Endpoint that tells callers which entry instances to use.
 
-An answer holds for ``discovery_valid`` seconds. It is computed by rendezvous
-hashing over caller and members, so that all instances answer alike and the
-connections do not grow as callers times instances.
+An answer is valid for ``discovery_valid`` seconds. It is computed by rendezvous hashing
+of caller and members, so that all instances give the same answer and connections do not
+grow as callers times instances.
 """
 
 from operator import attrgetter
@@ -15,18 +15,18 @@
 
 name_of = attrgetter("name")
 
-MAX_ARGUMENT = 64
-RETRY_AFTER = 1
+MAX_ARGUMENT_LENGTH = 64
+RETRY_AFTER = 1  # seconds
 
 ANSWERS = metrics.counter("sassafrasdoor_discovery_answers_total", "Answers given.")
 
 
 def addresses_for(settings, view, caller, zone):
-    """Return the members a caller shall use, best first.
+    """Return the members that a caller should use, the preferred first.
 
-    Suspects and leavers are never among them. Those of the caller's zone come
-    first, but the last place goes to another zone: a caller that knew only one
-    zone would be cut off together with it.
+    Suspect and leaving members are excluded. Members of the caller's zone come first,
+    but the last one is of another zone: a caller that knows one zone only would be cut
+    off together with it.
     """
     alive = [
         member
@@ -34,11 +34,11 @@
         if member.state is State.ALIVE and member.entry_address
     ]
     order = ranked(alive, caller, name_of)
-    near = [member for member in order if member.availability_zone == zone]
-    far = [member for member in order if member.availability_zone != zone]
+    own_zone = [member for member in order if member.availability_zone == zone]
+    other_zones = [member for member in order if member.availability_zone != zone]
     size = settings.routing.discovery_size
-    kept = near[: size - 1] if far and size > 1 else near[:size]
-    return kept + far[: size - len(kept)]
+    chosen = own_zone[: size - 1] if other_zones and size > 1 else own_zone[:size]
+    return chosen + other_zones[: size - len(chosen)]
 
 
 class AddressesHandler(tornado.web.RequestHandler):
@@ -50,7 +50,7 @@
         self._requests = requests
 
     def write_error(self, status_code, **kwargs):
-        """Answer a failure without a traceback."""
+        """Send an error without a traceback."""
         self._refuse("rejected", self._reason)
 
     def _refuse(self, outcome, reason):
@@ -58,9 +58,9 @@
         self.finish({"outcome": outcome, "reason": reason, "findings": []})
 
     def get(self):
-        """Answer with addresses, their validity and a prefix for keys."""
-        row = self.get_query_argument("row", "")[:MAX_ARGUMENT]
-        zone = self.get_query_argument("zone", "")[:MAX_ARGUMENT]
+        """Send the addresses, their validity and a prefix for request keys."""
+        row = self.get_query_argument("row", "")[:MAX_ARGUMENT_LENGTH]
+        zone = self.get_query_argument("zone", "")[:MAX_ARGUMENT_LENGTH]
         caller = f"{row}/{self.request.remote_ip}"
         members = addresses_for(self._settings, self._view_getter(), caller, zone)
         if not members:
@@ -79,13 +79,13 @@
 
 
 def handlers(settings, view_getter, requests):
-    """Return the handlers of discovery for the application."""
-    parts = {
+    """Return the discovery handlers for the application."""
+    arguments = {
         "settings": settings,
         "view_getter": view_getter,
         "requests": requests,
     }
-    return [("/v1/addresses", AddressesHandler, parts)]
+    return [("/v1/addresses", AddressesHandler, arguments)]
 
 
 def _address(member):
--- a/sassafrasdoor/routing/instance_view.py
+++ b/sassafrasdoor/routing/instance_view.py
@@ -1,9 +1,9 @@
-"""Records of instances, and what follows from them at one moment.
+"""Records of instances, and the entry points chosen from them.
 
-Load pattern: many instances serve, and where callers are spread over all of them each
-keeps connections of its own to every replica and reads all steps. So callers of a zone
-are sent to a few of its instances, the entry points. Where one of them lapses, the
-others are called by ones and twos, more the longer its place stays free.
+Load pattern: each instance that callers use keeps connections to every replica and reads
+all steps. So callers of a zone are sent to a few of its instances, the entry points; the
+others are in reserve. If entry points lapse, as many instances in reserve are promoted,
+and more the longer the shortage lasts.
 """
 
 import json
@@ -11,34 +11,32 @@
 from sassafrasdoor.clock import deadline_in, now, passed
 from sassafrasdoor.rendezvous import ranked
 
-LAPSE_AFTER = 3.2
-"""Seconds without renewal after which callers are not sent there: three missed."""
-RESERVE_LAPSE_AFTER = 16.0
-"""Seconds without renewal after which an instance in reserve counts as gone."""
-USUAL_IN_ZONE, ZONE_PARTS = 4, 5
-"""Callers of a zone are sent to four instances, or to as many as have a fifth of its
-processor: each keeps connections of its own to every replica."""
-ENTRY_KEY = "entry"
-MOST_STEPS = 10
-CALL_STEP = 2.0
-"""Seconds for an instance in reserve to say that it is an entry point now, after which
-others are called beside it."""
-VIEW_HOLDS = 0.2
-"""Seconds that what was worked out of the list is used again: to order many instances
-for each question takes a part of the processor that grows with their number."""
+LAPSE_TIMEOUT = 3.2  # seconds without renewal of an entry point: three missed
+RESERVE_LAPSE_TIMEOUT = 16.0  # seconds without renewal of an instance in reserve
+# A zone has at least four entry points, with at least a fifth of its cores. The number is
+# kept low, as each one keeps connections to every replica.
+MIN_ENTRY_POINTS, ZONE_CORES_DIVISOR = 4, 5
+ENTRY_POINTS_KEY = "entry"
+MAX_PROMOTION_DOUBLINGS = 10
+# Seconds that a promoted instance has to publish that it is an entry point, before more
+# are promoted.
+PROMOTION_INTERVAL = 2.0
+# Seconds for which a view is reused: ranking all instances on each use would take
+# processor time that grows with their number.
+VIEW_LIFETIME = 0.2
 
 
 class InstanceRecord:
-    """A record as it was last read: ``data`` at ``at``, monotonic.
+    """An instance's record: ``data`` as read at ``renewed_at``, monotonic.
 
-    ``has_read`` says whether the instance has read the steps, None where it does not
-    tell. ``is_renewed`` says whether the record was written since this process follows
-    the list; one of before may be of a process that ended with all others.
+    ``has_read`` says whether the instance has read the steps, None if the field is
+    missing. ``is_renewed`` says whether the record was written after this process loaded
+    the list; an older one may be of a process that ended.
     """
 
     __slots__ = (
         "address",
-        "at",
+        "renewed_at",
         "control",
         "cores",
         "data",
@@ -53,41 +51,41 @@
     def __init__(self, data, is_renewed):
         document = json.loads(data)
         self.data = data
-        self.address = _text(document, "address")
-        self.zone = _text(document, "zone")
-        self.region = _text(document, "region")
+        self.address = _text_field(document, "address")
+        self.zone = _text_field(document, "zone")
+        self.region = _text_field(document, "region")
         self.cores = float(document["cores"])
-        # Records of an earlier program name none.
-        self.control = _text({"control": "", **document}, "control")
-        self.process = _text({"process": "", **document}, "process")
+        # Absent in records of earlier versions.
+        self.control = _text_field({"control": "", **document}, "control")
+        self.process = _text_field({"process": "", **document}, "process")
         self.in_reserve = document.get("reserve") is True
         self.has_read = document["read"] is True if "read" in document else None
         self.is_renewed = is_renewed
-        self.at = now()
+        self.renewed_at = now()
 
     @property
     def is_reader(self):
-        """Whether a living process is known to have read the steps."""
+        """Whether a running process is known to have read the steps."""
         return bool(self.has_read and self.is_renewed)
 
     @property
-    def lapses_after(self):
+    def lapse_timeout(self):
         """Seconds without renewal after which the instance counts as gone."""
-        return RESERVE_LAPSE_AFTER if self.in_reserve else LAPSE_AFTER
+        return RESERVE_LAPSE_TIMEOUT if self.in_reserve else LAPSE_TIMEOUT
 
 
-def _text(document, name):
+def _text_field(document, name):
     if not isinstance(document[name], str):
-        raise TypeError(f"{name} is not text")
+        raise TypeError(f"instance record: {name} is not a string")
     return document[name]
 
 
-class Shortages:
+class ZoneShortages:
     """Since when zones have had too few entry points, monotonic by zone.
 
-    Load pattern: one entry point of a zone lapses, and each instance in reserve that
-    takes its place reads all steps. They are called by ones and twos: some may be gone,
-    which nobody knows, so that more are called the longer a place stays free.
+    Load pattern: each instance in reserve that replaces a lapsed entry point reads all
+    steps. So few are promoted at first; as some may have ended unnoticed, more are
+    promoted the longer the shortage lasts.
     """
 
     __slots__ = ("_since",)
@@ -95,99 +93,106 @@
     def __init__(self):
         self._since = {}
 
-    def steps(self, zone):
-        """Return how many times those called before have let their time pass."""
+    def promotion_rounds(self, zone):
+        """Return the number of ``PROMOTION_INTERVAL``s since the shortage began, or 0."""
         since = self._since.get(zone)
-        return 0 if since is None else int((now() - since) / CALL_STEP)
+        return 0 if since is None else int((now() - since) / PROMOTION_INTERVAL)
 
-    def note(self, zone, is_short):
-        """Note whether the zone has too few now."""
+    def record(self, zone, is_short):
+        """Record whether the zone has too few entry points now."""
         if not is_short:
             self._since.pop(zone, None)
         else:
             self._since.setdefault(zone, now())
 
-    def forget_others(self, zones):
-        """Forget the zones that have no instance any more."""
+    def retain_zones(self, zones):
+        """Remove the zones that are not in ``zones``."""
         for zone in self._since.keys() - zones.keys():
             del self._since[zone]
 
-    def all_steps(self):
-        """Return those of all zones that have too few."""
-        return {zone: self.steps(zone) for zone in self._since}
+    def all_promotion_rounds(self):
+        """Return the promotion rounds by zone, for zones with a shortage."""
+        return {zone: self.promotion_rounds(zone) for zone in self._since}
 
 
 class InstanceView:
-    """What follows from the list at one moment.
-
-    ``short`` tells how long zones have had too few entry points.
+    """Entry points and rankings that follow from the living instances at one moment.
 
+    ``shortages`` are the ``ZoneShortages``, which the constructor updates.
     ``entry_points`` maps each zone to the addresses that its callers are sent to, the
-    largest first; ``called`` are the addresses in reserve that are to become one.
-    ``rankings``, the addresses in order by key, are filled as asked.
+    largest first; ``called`` are the addresses in reserve that are to become entry
+    points. ``rankings`` caches the ranked addresses by key.
     """
 
     __slots__ = ("_deadline", "alive", "called", "entry_points", "rankings")
 
-    def __init__(self, alive, short):
+    def __init__(self, alive, shortages):
         zones = {}
-        for one in alive:
-            zones.setdefault(one.zone, []).append(one)
-        self._deadline = deadline_in(VIEW_HOLDS)
+        for record in alive:
+            zones.setdefault(record.zone, []).append(record)
+        self._deadline = deadline_in(VIEW_LIFETIME)
         self.alive = alive
         self.called = set()
         self.entry_points = {}
-        for zone, near in zones.items():
-            chosen = _entry_points(near, short.steps(zone))
-            short.note(zone, any(one.in_reserve for one in chosen))
-            self.called.update(one.address for one in chosen if one.in_reserve)
+        for zone, records in zones.items():
+            chosen = _select_entry_points(records, shortages.promotion_rounds(zone))
+            shortages.record(zone, any(record.in_reserve for record in chosen))
+            self.called.update(record.address for record in chosen if record.in_reserve)
             self.entry_points[zone] = [
-                one.address for one in chosen if not one.in_reserve
+                record.address for record in chosen if not record.in_reserve
             ]
-        short.forget_others(zones)
+        shortages.retain_zones(zones)
         self.rankings = {}
 
     @property
     def all_entry_points(self):
         """The addresses of the entry points of all zones."""
-        return {address for part in self.entry_points.values() for address in part}
+        return {
+            address for addresses in self.entry_points.values() for address in addresses
+        }
 
     @property
-    def holds(self):
-        """Whether it is recent enough."""
+    def is_fresh(self):
+        """Whether the view is younger than ``VIEW_LIFETIME``."""
         return not passed(self._deadline)
 
-    def confirm(self):
-        """Hold on: the same instances live, and their records are the same."""
-        self._deadline = deadline_in(VIEW_HOLDS)
+    def extend(self):
+        """Reuse the view for another ``VIEW_LIFETIME``, as the records are unchanged."""
+        self._deadline = deadline_in(VIEW_LIFETIME)
 
 
-def _entry_points(near, steps):
-    """Return a zone's entry points, the largest first, as ``InstanceRecord``s.
+def _select_entry_points(records, rounds):
+    """Return the records of a zone's entry points, the largest first.
 
-    Those in reserve among them are to become entry points; they do not count, since
-    nobody knows whether they still live. As many are called as are missing, and twice
-    as many, and so on, after each of ``steps``.
+    Those still in reserve are to be promoted. They do not count as entry points yet,
+    since they may have ended unnoticed. As many are promoted as are missing, doubled with
+    each of ``rounds``.
     """
-    order = ranked(near, ENTRY_KEY, lambda one: one.address)
-    order.sort(key=lambda one: -one.cores)
-    wanted = sum(one.cores for one in near) / ZONE_PARTS
-    reserve = [one for one in order if one.in_reserve]
-    missing = sum(one.in_reserve for one in _enough(order, wanted, set(order)))
-    called = set(reserve[: missing << min(steps, MOST_STEPS)])
-    living = set(order).difference(reserve)
-    eligible = called | living
-    return [one for one in _enough(order, wanted, living) if one in eligible]
-
-
-def _enough(order, wanted, counted):
-    """Return the first in order, until those ``counted`` among them are enough."""
+    order = ranked(records, ENTRY_POINTS_KEY, lambda record: record.address)
+    order.sort(key=lambda record: -record.cores)
+    min_cores = sum(record.cores for record in records) / ZONE_CORES_DIVISOR
+    reserve = [record for record in order if record.in_reserve]
+    missing = sum(
+        record.in_reserve for record in _take_sufficient(order, min_cores, set(order))
+    )
+    promoted = set(reserve[: missing << min(rounds, MAX_PROMOTION_DOUBLINGS)])
+    current = set(order).difference(reserve)
+    eligible = promoted | current
+    return [
+        record
+        for record in _take_sufficient(order, min_cores, current)
+        if record in eligible
+    ]
+
+
+def _take_sufficient(order, min_cores, counted):
+    """Return the first records in order, until those in ``counted`` are enough."""
     chosen, count, cores = [], 0, 0.0
-    for one in order:
-        if count >= USUAL_IN_ZONE and cores >= wanted:
+    for record in order:
+        if count >= MIN_ENTRY_POINTS and cores >= min_cores:
             break
-        chosen.append(one)
-        if one in counted:
+        chosen.append(record)
+        if record in counted:
             count += 1
-            cores += one.cores
+            cores += record.cores
     return chosen
--- a/sassafrasdoor/routing/instances.py
+++ b/sassafrasdoor/routing/instances.py
@@ -1,10 +1,10 @@
-"""The entry instances that callers may use, kept in a keyed topic of the log.
+"""Registry of the instances that callers may use, in a keyed topic of the log.
 
-Each instance writes its own record again and again, and drops it when it leaves. A
-record that is no longer renewed is left out of answers; while the log cannot be read
-nothing lapses, since nobody could have renewed it.
+Each instance renews its own record periodically and deletes it when it leaves. Instances
+whose record has lapsed are not returned to callers. While the log is unavailable no
+record lapses, since none can be renewed.
 
-Load pattern: each instance reads the whole list. So those in reserve, to which no
+Load pattern: each instance reads all records. So instances in reserve, to which no
 caller is sent, renew their records less often than the entry points.
 """
 
@@ -20,46 +20,44 @@
 from sassafrasdoor.log.tail import KeyedTail
 from sassafrasdoor.outcomes import Outcome
 from sassafrasdoor.rendezvous import ranked
-from sassafrasdoor.routing.instance_view import InstanceRecord, InstanceView, Shortages
+from sassafrasdoor.routing.instance_view import (
+    InstanceRecord,
+    InstanceView,
+    ZoneShortages,
+)
 
 TOPIC = "keyed.instances"
-RENEW_INTERVAL = 1.0
-"""Seconds between renewals."""
-FIRST_INTERVAL = 0.1
-"""Seconds between looks whether the process serves: it claims nothing before it is
-listed, and after a start of all instances nothing runs until one of them has claimed."""
-RESERVE_INTERVAL = 5.0
-"""Seconds between renewals of an instance in reserve."""
-CUT_OFF_AFTER = 0.6
-"""Seconds of failing reads, after the first was waited for in vain for 1.5."""
-READ_PAUSE = 0.7
-"""Seconds between reads of the list: renewals are gathered in one answer."""
-WRITE_TIMEOUT = 1.5
-MOST_ADDRESSES = 64
-FEW = 12
-"""Entry points among which calls are handed on at random also after the own start."""
-READERS_KEY = "shards"
-"""Orders the instances that read and run the steps."""
-YOUNG_FOR = 5.0
-"""Seconds after the own start in which calls are handed to the first of each zone: where
-many instances started together only these have read what the log keeps, and the last of
-five in a zone begins after four."""
-HEARD_WITHIN = 2.0
-"""Seconds after the own start within which each living entry point is heard of: it
-renews its record each second, and the list is read 0.7 s apart."""
-MALFORMED = (ValueError, KeyError, TypeError, OverflowError, RecursionError)
-"""What reading a record raises that another writer may have written."""
-LOOK_PAUSE = 0.1
-"""Seconds between looks whether an instance has started again, after the own start."""
-LOOK_TIMEOUT = 0.5
-"""Seconds for a look whether an instance has started again; a slow log answers within
-0.25 s."""
-FEWEST_IN_ZONE = 2
-"""With fewer instances in the caller's zone it is sent to all zones."""
-
-
-class InstancePlace:
-    """Who and where an instance is; the product's settings have the same fields."""
+RENEW_INTERVAL = 1.0  # seconds between renewals of an entry point's record
+# Seconds between readiness checks while not ready: a process claims no work before it is
+# listed, and after a start of all instances nothing runs until one has claimed it.
+READINESS_POLL_INTERVAL = 0.1
+RESERVE_INTERVAL = 5.0  # seconds between renewals of an instance in reserve
+# Seconds of failed reads before this instance counts as cut off; the first read has
+# failed after a timeout of 1.5 s.
+READ_FAILURE_TIMEOUT = 0.6
+LIST_READ_INTERVAL = 0.7  # seconds; one read returns the renewals of several instances
+WRITE_TIMEOUT = 1.5  # seconds
+MAX_ADDRESSES = 64
+# Up to this number of entry points, calls are forwarded in random order during startup
+# too.
+MAX_SHUFFLED_ENTRY_POINTS = 12
+STEP_READERS_KEY = "shards"  # ranks the instances that read and run the steps
+# Seconds after the own start in which calls are forwarded to the first-ranked instance
+# of each zone: after a simultaneous start only these have read the log. The last of five
+# in a zone begins to read after 4 s.
+STARTUP_PERIOD = 5.0
+# Seconds after the own start within which the record of each living entry point is
+# renewed: it is written every second, and the list is read every 0.7 s.
+FIRST_RENEWAL_TIMEOUT = 2.0
+# Raised for malformed records, which other programs may have written.
+RECORD_ERRORS = (ValueError, KeyError, TypeError, OverflowError, RecursionError)
+RESTART_CHECK_INTERVAL = 0.1  # seconds between reads for restarts, during startup
+RESTART_CHECK_TIMEOUT = 0.5  # seconds; a slow log answers within 0.25 s
+MIN_INSTANCES_IN_ZONE = 2  # a caller whose zone has fewer is sent to all zones
+
+
+class InstanceLocation:
+    """Name and location of an instance; the product's settings have the same fields."""
 
     __slots__ = ("availability_zone", "host", "name", "region")
 
@@ -71,12 +69,11 @@
 
 
 class Instances:
-    """Knows the instances that serve, and says that this one does.
+    """Tracks the instances that serve, and publishes the record of this one.
 
-    ``process`` is the name of this process, another one after each start; ``is_listed``
-    says whether the log has acknowledged a record with it. ``in_reserve`` is what the
-    last record said of this instance. ``has_read`` is set from outside: whether this
-    process has read the steps to their end and follows them.
+    ``process`` is the name of this process, which is new after each start; ``is_listed``
+    says whether the log has acknowledged a record with it. ``in_reserve`` is the state
+    in the last own record. ``has_read`` is set by the process.
     """
 
     __slots__ = (
@@ -84,21 +81,21 @@
         "_control",
         "_cores",
         "_has_read",
-        "_heard_by",
+        "_first_renewal_deadline",
         "_key",
         "_leaving",
         "_log",
-        "_looking",
-        "_news",
+        "_restart_check",
+        "_renewal_requested",
         "_process",
-        "_renew_at",
-        "_seen",
+        "_renewal_deadline",
+        "_records",
         "_settings",
-        "_short",
-        "_short_steps",
-        "_told_read",
+        "_shortages",
+        "_promotion_rounds",
+        "_published_has_read",
         "_view",
-        "_young_until",
+        "_startup_deadline",
         "in_reserve",
         "is_listed",
         "tail",
@@ -111,10 +108,10 @@
         address,
         key,
         cores=1.0,
-        elsewhere=None,
+        newest_from_peer=None,
         control="",
         process="",
-        way=None,
+        read_coordinator=None,
     ):
         self._control = control
         self._process = process
@@ -124,263 +121,296 @@
         self._address = address
         self._key = key
         self._leaving = False
-        self._seen = {}
+        self._records = {}
         self._view = None
-        self._short = Shortages()
-        self._short_steps = {}
-        self._looking = None
+        self._shortages = ZoneShortages()
+        self._promotion_rounds = {}
+        self._restart_check = None
         self.is_listed = False
         self.in_reserve = False
-        self._renew_at = LONG_AGO
-        self._has_read = self._told_read = False
-        self._news = asyncio.Event()
-        self._young_until = deadline_in(YOUNG_FOR)
-        self._heard_by = deadline_in(HEARD_WITHIN)
-        self.tail = KeyedTail(log, TOPIC, self._take, READ_PAUSE, elsewhere, way)
+        self._renewal_deadline = LONG_AGO
+        self._has_read = self._published_has_read = False
+        self._renewal_requested = asyncio.Event()
+        self._startup_deadline = deadline_in(STARTUP_PERIOD)
+        self._first_renewal_deadline = deadline_in(FIRST_RENEWAL_TIMEOUT)
+        self.tail = KeyedTail(
+            log,
+            TOPIC,
+            self._apply_record,
+            LIST_READ_INTERVAL,
+            newest_from_peer,
+            read_coordinator,
+        )
 
     @property
     def has_read(self):
-        """Whether this process has read the steps to their end and follows them."""
+        """Whether this process has read all steps and follows new ones."""
         return self._has_read
 
     @has_read.setter
     def has_read(self, value):
         if value != self._has_read:
             self._has_read = value
-            self._news.set()
+            self._renewal_requested.set()
 
     async def renew(self, is_ready):
-        """Write the own record for as long as the process serves."""
+        """Renew the own record while the process is ready, until cancelled."""
         while True:
             serves = is_ready() and not self._leaving
             if serves and self._is_due:
                 self.in_reserve = not self.is_entry_point
-                pause = RESERVE_INTERVAL if self.in_reserve else RENEW_INTERVAL
-                self._renew_at = deadline_in(pause)
-                self._told_read = self._has_read
+                interval = RESERVE_INTERVAL if self.in_reserve else RENEW_INTERVAL
+                self._renewal_deadline = deadline_in(interval)
+                self._published_has_read = self._has_read
                 await self._write(self._document())
-            await self._rest(RENEW_INTERVAL if serves else FIRST_INTERVAL)
+            await self._wait_for_renewal(
+                RENEW_INTERVAL if serves else READINESS_POLL_INTERVAL
+            )
 
-    async def _rest(self, seconds):
-        """Wait until the own record may be due."""
+    async def _wait_for_renewal(self, timeout):
+        """Wait until the own record may be due, for ``seconds`` at most."""
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(seconds):
-                await self._news.wait()
-        self._news.clear()
+            async with asyncio.timeout(timeout):
+                await self._renewal_requested.wait()
+        self._renewal_requested.clear()
 
     @property
     def _is_due(self):
-        """Whether the own record is to be written now."""
-        has_changed = self._told_read != self._has_read
-        is_misplaced = self.in_reserve == self.is_entry_point
-        return passed(self._renew_at) or has_changed or is_misplaced
+        """Whether the own record must be written now."""
+        has_changed = self._published_has_read != self._has_read
+        has_wrong_role = self.in_reserve == self.is_entry_point
+        return passed(self._renewal_deadline) or has_changed or has_wrong_role
 
     async def leave(self):
-        """Drop the own record: callers get other addresses from now on."""
+        """Delete the own record, so that callers get other addresses from now on."""
         self._leaving = True
-        self._seen.pop(self._key, None)
+        self._records.pop(self._key, None)
         self._view = None
         await self._write(b"")
 
     def addresses(self, zone):
-        """Return the addresses for a caller in ``zone``, its own zone's first."""
-        points = self._current.entry_points
+        """Return the addresses for a caller in ``zone``, those of its zone first."""
+        entry_points = self._current_view.entry_points
         if self._is_cut_off:
-            points = {
-                name: [one for one in part if one != self._address]
-                for name, part in points.items()
+            entry_points = {
+                zone_name: [
+                    address for address in zone_addresses if address != self._address
+                ]
+                for zone_name, zone_addresses in entry_points.items()
             }
-        near = points.get(zone, [])
-        if len(near) >= FEWEST_IN_ZONE:
-            return near[:MOST_ADDRESSES]
-        names = sorted(points, key=lambda name: name != zone)
-        found = [address for name in names for address in points[name]]
-        if not found and not self._leaving:
-            found = [self._address]
-        return found[:MOST_ADDRESSES]
+        own_zone = entry_points.get(zone, [])
+        if len(own_zone) >= MIN_INSTANCES_IN_ZONE:
+            return own_zone[:MAX_ADDRESSES]
+        zones = sorted(entry_points, key=lambda zone_name: zone_name != zone)
+        addresses = [
+            address for zone_name in zones for address in entry_points[zone_name]
+        ]
+        if not addresses and not self._leaving:
+            addresses = [self._address]
+        return addresses[:MAX_ADDRESSES]
 
     def peers(self):
-        """Return the addresses of other entry points, those of this zone first."""
+        """Return the addresses of the other entry points, those of this zone first."""
         zone = self._settings.availability_zone
-        view = self._current
+        view = self._current_view
         zones = {
-            one.address: one.zone for one in view.alive if one.address != self._address
+            record.address: record.zone
+            for record in view.alive
+            if record.address != self._address
         }
-        points = view.all_entry_points
-        found = [one for one in points if one in zones]
-        if passed(self._young_until) or len(points) <= FEW:
-            random.shuffle(found)
+        entry_points = view.all_entry_points
+        addresses = [address for address in entry_points if address in zones]
+        if (
+            passed(self._startup_deadline)
+            or len(entry_points) <= MAX_SHUFFLED_ENTRY_POINTS
+        ):
+            random.shuffle(addresses)
         else:
-            found.sort(key=self._order(view, READERS_KEY).index)
-        found.sort(key=lambda address: zones[address] != zone)
-        return found
+            addresses.sort(key=self._ranking(view, STEP_READERS_KEY).index)
+        addresses.sort(key=lambda address: zones[address] != zone)
+        return addresses
 
-    def peers_to_ask(self, most):
-        """Return the peers that may answer for steps which this instance has not read.
+    def reader_candidates(self, limit):
+        """Return up to ``limit`` peers to ask for steps not read here.
 
-        The second is of another zone: all of one may be late together. Where none is
-        known to have read the steps it is one: after a start of all, calls that reach
-        nobody who knows would be multiplied.
+        The second one is in another zone, since a whole zone may lag. If no peer is known
+        to have read the steps, only one is returned: after a start of all instances more
+        would multiply calls that no peer can answer.
         """
-        others = [one for one in self._current.alive if one.address != self._address]
+        others = [
+            record
+            for record in self._current_view.alive
+            if record.address != self._address
+        ]
         random.shuffle(others)
-        known = self._by_turns_of_zones([one for one in others if one.is_reader])
-        # Said before this process follows the list, it is true unless all have ended.
-        likely = self._by_turns_of_zones([one for one in others if one.has_read])
-        return known[:most] or (likely or self.peers())[:1]
+        readers = self._alternate_zones(
+            [record for record in others if record.is_reader]
+        )
+        # Records from before the own start are valid unless all instances have restarted.
+        probable_readers = self._alternate_zones(
+            [record for record in others if record.has_read]
+        )
+        return readers[:limit] or (probable_readers or self.peers())[:1]
 
-    def _by_turns_of_zones(self, found):
-        """Return the addresses, one of this zone and one of another by turns."""
+    def _alternate_zones(self, records):
+        """Return the addresses, alternating between this zone and others."""
         zone = self._settings.availability_zone
-        near = [one.address for one in found if one.zone == zone]
-        far = [one.address for one in found if one.zone != zone]
-        pairs = itertools.zip_longest(near, far)
-        return [one for pair in pairs for one in pair if one is not None]
+        own_zone = [record.address for record in records if record.zone == zone]
+        other_zones = [record.address for record in records if record.zone != zone]
+        pairs = itertools.zip_longest(own_zone, other_zones)
+        return [address for pair in pairs for address in pair if address is not None]
 
-    def unread_before(self, key):
-        """Return how many entry points come before this one for ``key`` and may still
-        have to read the steps.
+    def unread_entry_points_before(self, key):
+        """Return how many entry points ranked before this one may not have read the steps.
 
-        Those that nothing was heard of since the own start, and those that do not tell,
-        are not waited for.
+        ``key`` determines the ranking. Entry points that have not renewed their record
+        within ``FIRST_RENEWAL_TIMEOUT`` of the own start are not counted, nor are those
+        of earlier versions, whose records lack ``read``.
         """
-        view = self._current
-        order = self._order(view, key)
-        before = view.all_entry_points.intersection(order[: order.index(self._address)])
+        view = self._current_view
+        order = self._ranking(view, key)
+        preceding = view.all_entry_points.intersection(
+            order[: order.index(self._address)]
+        )
         return sum(
-            one.address in before and self._may_have_to_read(one) for one in view.alive
+            record.address in preceding and self._may_still_be_reading(record)
+            for record in view.alive
         )
 
-    def _may_have_to_read(self, one):
-        if one.has_read is None:
+    def _may_still_be_reading(self, record):
+        if record.has_read is None:
             return False
-        if one.is_renewed:
-            return not one.has_read
-        return not passed(self._heard_by)
-
-    def controls(self):
-        """Return where those peers serve other instances, by turns of this zone and of
-        another."""
-        # The list may change between two looks at it: the peers' addresses come first.
+        if record.is_renewed:
+            return not record.has_read
+        return not passed(self._first_renewal_deadline)
+
+    def peer_control_addresses(self):
+        """Return the control addresses of the peers, alternating between zones."""
+        # The view may be rebuilt between the two calls: peers may be missing in the second.
         peers = self.peers()
-        by_address = {one.address: one for one in self._current.alive}
-        found = [by_address[one] for one in peers if one in by_address]
-        order = self._by_turns_of_zones(found)
-        return [by_address[one].control for one in order if by_address[one].control]
+        by_address = {record.address: record for record in self._current_view.alive}
+        records = [by_address[address] for address in peers if address in by_address]
+        order = self._alternate_zones(records)
+        return [
+            by_address[address].control
+            for address in order
+            if by_address[address].control
+        ]
 
     @property
     def is_entry_point(self):
-        """Whether callers are, or are to be, sent here; also while no other is known.
+        """Whether this instance is an entry point or should become one.
 
-        Only entry points follow the steps: where many instances would, the log
-        could not send every record to all of them.
+        True also while its own record is not listed. Only entry points follow the steps:
+        the log could not send every record to many instances.
         """
-        view = self._current
-        known = any(one.address == self._address for one in view.alive)
-        if not known or self._address in view.called:
+        view = self._current_view
+        is_recorded = any(record.address == self._address for record in view.alive)
+        if not is_recorded or self._address in view.called:
             return True
         return self._address in view.all_entry_points
 
     @property
-    def entry_points(self):
-        """How many instances callers are sent to."""
-        return len(self._current.all_entry_points)
+    def entry_point_count(self):
+        """Number of instances that callers are sent to."""
+        return len(self._current_view.all_entry_points)
 
     @property
-    def alive(self):
-        """How many instances there are, as far as is known."""
-        return len(self._current.alive)
+    def alive_count(self):
+        """Number of instances known to be alive."""
+        return len(self._current_view.alive)
 
     @property
-    def _current(self):
-        if self._view is not None and self._view.holds:
+    def _current_view(self):
+        if self._view is not None and self._view.is_fresh:
             return self._view
-        alive = [one for one in self._seen.values() if self._is_alive(one)]
-        steps = self._short.all_steps()
-        is_same = self._view is not None and self._view.alive == alive
-        if is_same and steps == self._short_steps:
-            self._view.confirm()
+        alive = [record for record in self._records.values() if self._is_alive(record)]
+        rounds = self._shortages.all_promotion_rounds()
+        is_unchanged = self._view is not None and self._view.alive == alive
+        if is_unchanged and rounds == self._promotion_rounds:
+            self._view.extend()
         else:
-            self._view = InstanceView(alive, self._short)
-            self._short_steps = self._short.all_steps()
+            self._view = InstanceView(alive, self._shortages)
+            self._promotion_rounds = self._shortages.all_promotion_rounds()
         return self._view
 
     @property
     def _is_cut_off(self):
-        """Whether this instance cannot reach the log by itself.
+        """Whether this instance cannot reach the log.
 
-        If it alone cannot, callers are better served elsewhere: it can neither keep
-        a step nor say what is new. If nobody can, all others are named just as well.
+        It can then neither store steps nor return new results, so callers are sent to
+        others. If no instance can reach the log, this does no harm.
         """
         failing_since = self.tail.failing_since
         if failing_since is None:
             return self._log.is_away
-        return passed(failing_since + CUT_OFF_AFTER)
+        return passed(failing_since + READ_FAILURE_TIMEOUT)
 
     def has_ended(self, address, process, since):
-        """Say whether an instance is known to run another process than ``process``.
+        """Return whether ``process`` at ``address`` is known to have been replaced.
 
-        The list must have been read to its end after ``since`` (monotonic), when that
-        process was last heard of: it was listed before, so what names another one is
-        newer. (A record of before that lands late shows the former one for a second;
-        that may move a duty, which its fencing numbers allow.) Without this, whoever
-        takes over waits for a lapse although all know that the former one is gone.
+        ``since`` (monotonic) is when that process was last active. If the list has been
+        read to its end after it, a record with another process is the newer one, as
+        processes are listed before they act. A delayed record may show the former process
+        for a second and move a duty, which fencing numbers make safe. Without this check
+        a takeover would wait until the record lapses.
         """
-        seen = self._seen.get(address)
-        if seen is None or seen.process == "":
+        record = self._records.get(address)
+        if record is None or record.process == "":
             return False
         confirmed_at = self.tail.confirmed_at or LONG_AGO
-        is_other = seen.process != process
-        if is_other and confirmed_at >= since:
+        is_different = record.process != process
+        if is_different and confirmed_at >= since:
             return True
-        # After a start of all instances the record that tells is about to be written.
-        is_awaited = not passed(self._young_until) and passed(confirmed_at + LOOK_PAUSE)
-        if is_other or is_awaited:
-            self._look()
+        # After a start of all instances the new record may not have been read yet.
+        is_starting = not passed(self._startup_deadline) and passed(
+            confirmed_at + RESTART_CHECK_INTERVAL
+        )
+        if is_different or is_starting:
+            self._check_restarts()
         return False
 
-    def _look(self):
-        """Read the list to its end, once at a time."""
-        if self._looking is None or self._looking.done():
-            look = self.tail.confirm(deadline_in(LOOK_TIMEOUT))
-            self._looking = asyncio.ensure_future(look)
+    def _check_restarts(self):
+        """Start reading the list to its end, unless such a read is in progress."""
+        if self._restart_check is None or self._restart_check.done():
+            check = self.tail.confirm(deadline_in(RESTART_CHECK_TIMEOUT))
+            self._restart_check = asyncio.ensure_future(check)
 
-    def ranking(self, key):
-        """Return this instance's place among the living for ``key``, 0 for the first.
+    def rank(self, key):
+        """Return this instance's rank among the living ones for ``key``, from 0.
 
-        Entry points come first, and of these the ones with the most processor: what
-        ``key`` stands for is done by one of them. All agree on the order as far as
-        they agree on who lives.
+        Entry points rank before others, then more cores before fewer. The first-ranked
+        instance performs the duty of ``key``; instances with the same view agree on it.
         """
-        return self._order(self._current, key).index(self._address)
+        return self._ranking(self._current_view, key).index(self._address)
 
-    def _order(self, view, key):
+    def _ranking(self, view, key):
         if key not in view.rankings:
-            view.rankings[key] = self._ranked(view, key)
+            view.rankings[key] = self._compute_ranking(view, key)
         return view.rankings[key]
 
-    def _ranked(self, view, key):
-        cores = {one.address: one.cores for one in view.alive}
+    def _compute_ranking(self, view, key):
+        cores = {record.address: record.cores for record in view.alive}
         cores[self._address] = self._cores
-        points = view.all_entry_points
+        entry_points = view.all_entry_points
         order = ranked(cores, key)
-        order.sort(key=lambda address: (address not in points, -cores[address]))
+        order.sort(key=lambda address: (address not in entry_points, -cores[address]))
         return order
 
-    def _is_alive(self, one):
-        """Say whether an instance had renewed its record when the list was last read.
+    def _is_alive(self, record):
+        """Return whether a record had not lapsed when the list was last read.
 
-        Since then nobody could see it: a read that the log does not answer fails only
-        seconds later. Whoever lived when the log went away has as long from its return
-        on as from a renewal. Whoever had lapsed before stays so: after each lost read
-        callers would be sent to instances that ended long ago.
+        The current time is not used, since it takes seconds until an unanswered read
+        fails. A record that was alive when an outage of the log began lapses as if it had
+        been renewed at the outage's end. One that had lapsed before stays lapsed:
+        otherwise each lost read would send callers to instances that ended long ago.
         """
-        if self.tail.ended_at - one.at < one.lapses_after:
+        if self.tail.ended_at - record.renewed_at < record.lapse_timeout:
             return True
         silence = self.tail.silence
-        if silence is None or passed(silence.until + one.lapses_after):
+        if silence is None or passed(silence.until + record.lapse_timeout):
             return False
-        return silence.since - one.at < one.lapses_after
+        return silence.since - record.renewed_at < record.lapse_timeout
 
     def _document(self):
         document = {
@@ -403,19 +433,19 @@
         elif value:
             self.is_listed = True
 
-    def _take(self, key, value):
+    def _apply_record(self, key, value):
         if not value:
-            self._seen.pop(key, None)
+            self._records.pop(key, None)
             self._view = None
             return
-        known = self._seen.get(key)
-        if known is not None and known.data == value:
-            known.at = now()
-            known.is_renewed = known.is_renewed or self.tail.loaded
+        record = self._records.get(key)
+        if record is not None and record.data == value:
+            record.renewed_at = now()
+            record.is_renewed = record.is_renewed or self.tail.loaded
             return
         try:
-            self._seen[key] = InstanceRecord(value, is_renewed=self.tail.loaded)
-        except MALFORMED as error:
+            self._records[key] = InstanceRecord(value, is_renewed=self.tail.loaded)
+        except RECORD_ERRORS as error:
             note("instance.record_unreadable", key=key, reason=repr(error)[:200])
             return
         self._view = None
--- a/sassafrasdoor/routing/replicas.py
+++ b/sassafrasdoor/routing/replicas.py
@@ -1,4 +1,4 @@
-"""The replicas of every service, as the platform's list and own calls show them."""
+"""State of the replicas of all services, from the platform's list and own calls."""
 
 from sassafrasdoor.clock import LONG_AGO, deadline_in, now, passed, remaining
 from sassafrasdoor.decisions import note
@@ -6,36 +6,34 @@
 from sassafrasdoor.routing.backend_state import BackendState
 from sassafrasdoor.routing.placement import Candidate
 
-SUSPECT_FOR = 1.0
-"""Seconds without work after a failure, doubled with each in a row: a restarted
-replica is tried again soon, a dark one costs one call in eight seconds."""
-OUTAGE_GRACE = 2.3
-"""Seconds after the list's return that a lapsed entry may need to come back: the
-platform names about two, and the list is read each third of a second; a replica is
-tried meanwhile, its calls name its identity."""
-USUAL_HEARTBEAT = 1.2
-"""Seconds between two heartbeats of a replica, unless the platform names others."""
-MISSED_TO_LAPSE = 2
-"""Heartbeats that an outage must last before the entry of a living replica ends: the
-third one in a row that does not come ends it, and the first may be due at its begin."""
+# Seconds without work after a failure, doubled with each further one in a row: a
+# restarted replica is soon tried again, a dead one costs one call in eight seconds.
+SUSPECT_DURATION = 1.0
+# Seconds from the end of a list outage within which a lapsed entry may return: the
+# platform states about two, and the list is read every third of a second. The replica
+# stays in use meanwhile; a call to a wrong one is refused, as it names the identity.
+OUTAGE_GRACE_PERIOD = 2.3
+DEFAULT_HEARTBEAT_INTERVAL = 1.2  # seconds, unless the platform states another one
+# Heartbeat intervals that an outage lasts at least before the entry of a living replica
+# lapses: the third miss in a row ends it, and the first may fall on the outage's start.
+MIN_MISSED_HEARTBEATS = 2
+# Share of capacity by which a replica in another zone must be less loaded: a call of
+# 1 KB across zones costs little, but a second kept connection does not pay.
 ZONE_PENALTY = 0.25
-"""Load, as a share of capacity, that a replica in another zone must be better by:
-a call of 1 KB across zones costs little, but a second kept connection does not pay."""
-LOAD_TRUSTED_FOR = 1.0
-"""Seconds that the load told beside an answer counts; calls last under a second."""
+LOAD_REPORT_LIFETIME = 1.0  # seconds; calls last less
 
+# Weight of one interval in the smoothed pace: a full replica sends about 250 events a
+# second, so a change shows within a fifth of a second, and one late packet does not.
 PACE_WEIGHT = 0.03
-"""Weight of one gap in the pace: a full replica makes some 250 events a second, so a
-change shows within a fifth of a second, and one late packet does not."""
 
 LISTED = counter("replicas_listed_total", "Changes of the platform's list, by kind.")
 
 
 class Listing:
-    """What the platform's list says of a replica.
+    """A replica's entry in the platform's list.
 
-    ``born`` tells its incarnations apart: the Unix millisecond of its start, 0 where
-    the list does not say. It is compared with other such, never with a clock.
+    ``born`` distinguishes its incarnations: the start in Unix milliseconds, or 0 if
+    the list does not state it. It is compared with other values of ``born`` only, never with a clock.
     """
 
     __slots__ = ("address", "born", "leaving", "service", "slots", "versions", "zone")
@@ -51,23 +49,20 @@
 
 
 class Replica:
-    """One incarnation of a replica; another one may have its ``identity`` later.
+    """One incarnation of a replica; a later one may have the same ``identity``.
 
-    Everything that is remembered of a replica hangs on this object, so that nothing
-    of an incarnation is believed of the next: ``refused_until`` maps a model to when
-    it may get an item again that it has refused.
-
-    ``loading_until`` maps a model to when a load that this process ordered ends;
-    ``heard_at`` is when one of its streams last sent something,
-    ``pace`` is the smoothed time between two events of its streams in seconds, None
-    before the first.
+    All state of a replica is kept here, so that none carries over to the next
+    incarnation. By model, ``refused_until`` is the time until which it gets no items
+    after a refusal, ``loading_until`` the end of a load that this process ordered.
+    ``last_received_at`` is the time of the last data on any of its streams, ``pace`` the
+    smoothed seconds between two events of its streams, None before the first.
     """
 
     __slots__ = (
-        "_others",
-        "_others_until",
+        "_other_callers_load",
+        "_other_callers_load_deadline",
         "absent_until",
-        "heard_at",
+        "last_received_at",
         "identity",
         "listing",
         "loading_until",
@@ -86,60 +81,70 @@
         self.loading_until = {}
         self.refused_until = {}
         self.pace = None
-        self.heard_at = LONG_AGO
-        self._others = 0
-        self._others_until = 0.0
+        self.last_received_at = LONG_AGO
+        self._other_callers_load = 0
+        self._other_callers_load_deadline = 0.0
 
     @property
-    def usable(self):
-        """Whether it may get new work."""
+    def is_usable(self):
+        """Whether it may get new work: not leaving, and listed or in the grace period."""
         return not self.listing.leaving and (
             self.absent_until is None or not passed(self.absent_until)
         )
 
     @property
     def load(self):
-        """Estimated places taken: own calls, and others' where told of late."""
-        others = 0 if passed(self._others_until) else self._others
-        return self.state.in_flight + others
+        """Estimated slots in use: own calls, and those of others by a recent report."""
+        others_load = (
+            0 if passed(self._other_callers_load_deadline) else self._other_callers_load
+        )
+        return self.state.in_flight + others_load
 
     @property
-    def room(self):
-        """Estimated free places."""
+    def free_slots(self):
+        """Estimated free slots."""
         return self.listing.slots - self.load
 
     def candidate(self):
-        """Return a ``Candidate``: its estimated state at this moment."""
-        closed = {model for model, at in self.loading_until.items() if not passed(at)}
-        closed |= {model for model, at in self.refused_until.items() if not passed(at)}
-        return Candidate(self, self.load, self.state.suspect, closed)
-
-    def told_load(self, running, waiting):
-        """Take the load told beside an answer; own calls are part of it."""
-        self._others = max(0, running + waiting - self.state.in_flight)
-        self._others_until = deadline_in(LOAD_TRUSTED_FOR)
+        """Return the current estimated state as a ``Candidate``."""
+        unavailable_models = {
+            model
+            for model, deadline in self.loading_until.items()
+            if not passed(deadline)
+        }
+        unavailable_models |= {
+            model
+            for model, deadline in self.refused_until.items()
+            if not passed(deadline)
+        }
+        return Candidate(self, self.load, self.state.is_suspect, unavailable_models)
+
+    def record_load(self, running, waiting):
+        """Record the load reported with an answer; it includes own calls."""
+        self._other_callers_load = max(0, running + waiting - self.state.in_flight)
+        self._other_callers_load_deadline = deadline_in(LOAD_REPORT_LIFETIME)
 
     @property
-    def loading(self):
-        """Whether a load that this process ordered has not ended yet."""
-        return any(not passed(at) for at in self.loading_until.values())
+    def is_loading(self):
+        """Whether a load of weights that this process ordered is in progress."""
+        return any(not passed(deadline) for deadline in self.loading_until.values())
 
-    def told_gap(self, seconds):
-        """Take the time between two events of one of its streams."""
+    def record_event_interval(self, seconds):
+        """Record the seconds between two events of one stream."""
         if self.pace is None:
             self.pace = seconds
         self.pace += PACE_WEIGHT * (seconds - self.pace)
 
-    def told_version(self, model, version):
-        """Take the weight version told beside an answer or by an order's reply."""
+    def record_version(self, model, version):
+        """Record the weight version reported with an answer."""
         self.versions[model] = version
 
 
 class Replicas:
     """All known replicas by identity.
 
-    ``heartbeat`` is the time in seconds between two heartbeats of a replica;
-    ``list_tail`` is the reader of the platform's list, None without one.
+    ``heartbeat`` is the seconds between two heartbeats of a replica; ``list_tail`` is
+    the reader of the platform's list, or None.
     """
 
     __slots__ = (
@@ -151,7 +156,7 @@
         "list_tail",
     )
 
-    def __init__(self, zone, heartbeat=USUAL_HEARTBEAT):
+    def __init__(self, zone, heartbeat=DEFAULT_HEARTBEAT_INTERVAL):
         self._zone = zone
         self._heartbeat = heartbeat
         self._known = {}
@@ -161,126 +166,133 @@
 
     @property
     def count(self):
-        """How many replicas are known."""
+        """Number of known replicas."""
         return len(self._known)
 
     def on_change(self, callback):
-        """Call ``callback()`` when a replica comes, goes or changes."""
+        """Call ``callback()`` when a replica is added, removed or changed."""
         self._callbacks.append(callback)
 
     def on_restart(self, callback):
-        """Call ``callback(replica)`` with an incarnation that another one replaces."""
+        """Call ``callback(replica)`` with each incarnation that is replaced by another."""
         self._restart_callbacks.append(callback)
 
     def of_service(self, service):
-        """Return the replicas of a service that may get work."""
+        """Return the usable replicas of a service."""
         return [
-            one
-            for one in self._known.values()
-            if one.listing.service == service and one.usable
+            replica
+            for replica in self._known.values()
+            if replica.listing.service == service and replica.is_usable
         ]
 
     def get(self, identity):
         """Return the replica, or None."""
         return self._known.get(identity)
 
-    def listed(self, identity, listing):
-        """Take an entry of the platform's list.
+    def update_listing(self, identity, listing):
+        """Apply an entry of the platform's list.
 
-        One of an earlier incarnation that comes late changes nothing.
+        A late entry of an earlier incarnation is ignored.
         """
-        known = self._known.get(identity)
-        if known is not None and listing.born < known.listing.born:
+        replica = self._known.get(identity)
+        if replica is not None and listing.born < replica.listing.born:
             note("replica.entry_late", replica=identity, born=listing.born)
             return
-        if known is not None and listing.born > known.listing.born:
-            known = self._restarted(known)
-        if known is None:
-            known = self._known[identity] = Replica(identity, listing)
-            self._note("listed", known)
-        elif known.listing.leaving != listing.leaving:
-            self._note("leaving", known)
-        elif known.absent_until is not None:
-            self._note("back", known)
+        if replica is not None and listing.born > replica.listing.born:
+            replica = self._forget_incarnation(replica)
+        if replica is None:
+            replica = self._known[identity] = Replica(identity, listing)
+            self._note("listed", replica)
+        elif replica.listing.leaving != listing.leaving:
+            self._note("leaving", replica)
+        elif replica.absent_until is not None:
+            self._note("back", replica)
         for model, version in listing.versions.items():
-            if listing.versions != known.listing.versions:
-                known.versions[model] = version
-        known.listing = listing
-        known.absent_until = None
+            if listing.versions != replica.listing.versions:
+                replica.versions[model] = version
+        replica.listing = listing
+        replica.absent_until = None
         self._changed()
 
-    def _restarted(self, known):
-        """Forget an incarnation; its place is free for the next."""
-        # A replica that starts again under its identity holds nothing and knows
-        # nothing. Its former versions believed, steps would be sent to weights that
-        # are not there; its former failures believed, it would stand idle.
-        del self._known[known.identity]
-        self._note("restarted", known)
+    def _forget_incarnation(self, replica):
+        """Remove an incarnation that has been replaced."""
+        # A restarted replica has lost its weights. With its former versions it would get
+        # items for weights that it lacks; with its former failures it would stay idle.
+        del self._known[replica.identity]
+        self._note("restarted", replica)
         for callback in self._restart_callbacks:
-            callback(known)
+            callback(replica)
 
-    def refuse(self, identity):
-        """Drop a replica whose newest entry names none that could be used."""
+    def discard(self, identity):
+        """Remove a replica whose newest entry is invalid."""
         if self._known.pop(identity, None) is not None:
             self._changed()
 
-    def unlisted(self, identity):
-        """Take the end of an entry.
+    def remove_listing(self, identity):
+        """Apply the removal of an entry.
 
-        Entries also lapse while the list itself is away, and come back within
-        seconds if the replica lives: dropping all of them at once would refuse
-        every request after each outage of the platform.
+        Entries also lapse in an outage of the list, and return within seconds if the
+        replica is alive: removing all replicas at once would refuse every request after
+        each outage of the platform.
         """
-        known = self._known.get(identity)
-        if known is None:
+        replica = self._known.get(identity)
+        if replica is None:
             return
-        tried_until = self._lapses_until
-        if passed(tried_until):
+        deadline = self._lapse_deadline
+        if passed(deadline):
             del self._known[identity]
-            self._note("gone", known)
+            self._note("gone", replica)
         else:
-            known.absent_until = tried_until
-            self._note("absent", known, **self._silence_fields(tried_until))
+            replica.absent_until = deadline
+            self._note("absent", replica, **self._outage_fields(deadline))
         self._changed()
 
-    def sweep(self):
-        """Forget replicas whose entry did not come back."""
-        for identity, one in list(self._known.items()):
-            if one.absent_until is not None and passed(one.absent_until):
+    def remove_lapsed(self):
+        """Remove replicas whose entry did not return in time."""
+        for identity, replica in list(self._known.items()):
+            if replica.absent_until is not None and passed(replica.absent_until):
                 del self._known[identity]
-                self._note("gone", one)
+                self._note("gone", replica)
 
     @property
-    def _lapses_until(self):
-        """Until when the end of an entry may be a lapse of the list's last outage.
+    def _lapse_deadline(self):
+        """Time until which a removed entry may be due to the list's last outage.
 
-        Counted from the entry's end instead of from the list's return, or after any lost
-        read, it would give work to a replica that left without a word until it exits.
+        Counted from the removal instead of from the end of the outage, or granted after
+        any lost read, it would keep a replica that left unannounced in use until it exits.
         """
         silence = self.list_tail.silence if self.list_tail is not None else None
         if silence is None:
             return LONG_AGO
-        if silence.until - silence.since < MISSED_TO_LAPSE * self._heartbeat:
+        if silence.until - silence.since < MIN_MISSED_HEARTBEATS * self._heartbeat:
             return LONG_AGO
-        return silence.until + OUTAGE_GRACE
+        return silence.until + OUTAGE_GRACE_PERIOD
 
     def choose(self, service, avoid=()):
         """Return the least loaded replica of a service, or None.
 
-        One in this zone is preferred while its load is close to the best: its
-        kept connections are used again and no bytes cross zones.
+        One in this zone is preferred while its load is close to the lowest: this reuses
+        connections and causes no traffic between zones.
         """
-        found = [one for one in self.of_service(service) if one.identity not in avoid]
-        sound = [one for one in found if not one.state.suspect] or found
-        return min(sound, key=self._cost, default=None)
-
-    def _cost(self, one):
-        share = (one.load + one.state.weighing_failures) / max(1, one.listing.slots)
-        away = 0.0 if one.listing.zone == self._zone else ZONE_PENALTY
-        return (share + away, one.identity)
+        candidates = [
+            replica
+            for replica in self.of_service(service)
+            if replica.identity not in avoid
+        ]
+        healthy = [
+            replica for replica in candidates if not replica.state.is_suspect
+        ] or candidates
+        return min(healthy, key=self._cost, default=None)
+
+    def _cost(self, replica):
+        share = (replica.load + replica.state.recent_failures) / max(
+            1, replica.listing.slots
+        )
+        zone_penalty = 0.0 if replica.listing.zone == self._zone else ZONE_PENALTY
+        return (share + zone_penalty, replica.identity)
 
-    def _silence_fields(self, until):
-        """Return what decided for how long a lapsed entry is believed on."""
+    def _outage_fields(self, until):
+        """Return log fields with what determined the grace period of a lapsed entry."""
         fields = {"tried_seconds": round(remaining(until), 3)}
         silence = self.list_tail.silence
         if silence is None:
@@ -290,14 +302,14 @@
         fields["list_back_seconds"] = round(now() - silence.until, 3)
         return fields
 
-    def _note(self, kind, one, **fields):
+    def _note(self, kind, replica, **fields):
         LISTED.inc({"kind": kind})
         note(
             f"replica.{kind}",
-            replica=one.identity,
-            service=one.listing.service,
-            address=one.listing.address,
-            zone=one.listing.zone,
+            replica=replica.identity,
+            service=replica.listing.service,
+            address=replica.listing.address,
+            zone=replica.listing.zone,
             **fields,
         )
 
--- a/sassafrasdoor/steps/durable/rewards.py
+++ b/sassafrasdoor/steps/durable/rewards.py
@@ -93,7 +93,7 @@
         slots = sum(
             replica.listing.slots
             for replica in self._replicas.of_service(service)
-            if not replica.state.suspect
+            if not replica.state.is_suspect
         )
         return reward_order.free_slots(slots, self._in_flight.get(service, 0))
 
--- a/sassafrasdoor/steps/durable/runner.py
+++ b/sassafrasdoor/steps/durable/runner.py
@@ -17,7 +17,7 @@
 from sassafrasdoor.requests.crash_watch import CrashWatch
 from sassafrasdoor.requests.direct import DirectService
 from sassafrasdoor.routing import placement
-from sassafrasdoor.routing.replicas import SUSPECT_FOR
+from sassafrasdoor.routing.replicas import SUSPECT_DURATION
 from sassafrasdoor.steps.durable.jobs import Job
 from sassafrasdoor.steps.durable.order import ordered
 from sassafrasdoor.steps.durable.records import (
@@ -131,7 +131,7 @@
             except TimeoutError:
                 pass
             self._wake.clear()
-            self._replicas.sweep()
+            self._replicas.remove_lapsed()
             self._abort_silent_attempts()
             self._append_due_progress()
             self._dispatch()
@@ -351,7 +351,7 @@
             return passed(job.last_event_at + GAP_TIMEOUT)
         replica = job.replica
         return placement.is_unresponsive(
-            job.sent_at, replica.heard_at, replica.loading, now()
+            job.sent_at, replica.last_received_at, replica.is_loading, now()
         )
 
     async def _run_attempt(self, job, replica):
@@ -387,14 +387,14 @@
         """Handle one event; return whether to continue the stream."""
         if event.version and event.version < job.step.spec.min_version:
             job.abort_reason = OUTDATED
-            job.replica.told_version(job.step.spec.model, event.version)
+            job.replica.record_version(job.step.spec.model, event.version)
             job.task.cancel()
             return False
         timeout.reschedule(None)
         if job.last_event_at is not None:
-            job.replica.told_gap(now() - job.last_event_at)
+            job.replica.record_event_interval(now() - job.last_event_at)
         job.append_event(event)
-        job.replica.heard_at = job.last_event_at
+        job.replica.last_received_at = job.last_event_at
         return True
 
     def _handle_result(self, job, replica, route, result):
@@ -412,7 +412,7 @@
             self._handle_refusal(job, replica, result)
         else:
             if job.abort_reason != MIGRATED:
-                replica.state.failed(SUSPECT_FOR)
+                replica.state.failed(SUSPECT_DURATION)
             if job.abort_reason not in ABORT_REASONS:
                 job.broke_at = now()
                 self._crashes.judged(_ItemRequest(job), replica, result)
@@ -449,7 +449,7 @@
         model = job.step.spec.model
         replica.refused_until[model] = deadline_in(REFUSAL_DELAY)
         if isinstance(result, WrongReplica):
-            replica.state.failed(SUSPECT_FOR)
+            replica.state.failed(SUSPECT_DURATION)
         self._requeue(job, replica, result.reason)
 
     def _requeue(self, job, replica, reason):
--- a/sassafrasdoor/steps/durable/tests/fixtures.py
+++ b/sassafrasdoor/steps/durable/tests/fixtures.py
@@ -76,7 +76,7 @@
         listing = Listing(
             SERVICE, f"10.0.0.{at}:80", "zone-a", slots, False, {MODEL: version}
         )
-        replica_set.listed(f"e{at}", listing)
+        replica_set.update_listing(f"e{at}", listing)
     return replica_set
 
 
@@ -85,7 +85,7 @@
     for at in range(count):
         address = f"10.0.1.{at}:80"
         listing = Listing(SCORER, address, "zone-a", slots, False, {})
-        replica_set.listed(f"s{at}", listing)
+        replica_set.update_listing(f"s{at}", listing)
     return replica_set
 
 
--- a/sassafrasdoor/steps/durable/tests/test_runner.py
+++ b/sassafrasdoor/steps/durable/tests/test_runner.py
@@ -168,7 +168,7 @@
         await self.start(ScriptedClient(), items=1, min_version=2)
         await asyncio.sleep(0)
         self.assertEqual(self.client.sent, [])
-        self.replicas.get("e0").told_version(MODEL, 2)
+        self.replicas.get("e0").record_version(MODEL, 2)
         self.client.script = [[(0, "x", 2)]]
         await self.samples(1)
 
@@ -233,7 +233,7 @@
         self.assertEqual(sample.text, "a\nb")
         sent = [(name, after) for name, _, after in self.client.sent]
         self.assertEqual(sent, [(origin, None), (other[origin], 0)])
-        self.assertFalse(replica_set.get(origin).state.suspect)
+        self.assertFalse(replica_set.get(origin).state.is_suspect)
 
     async def test_attempt_that_has_not_started_is_not_migrated(self):
         """Guards against an item lost by cancelling an attempt that has not begun."""
--- a/sassafrasdoor/weights/named.py
+++ b/sassafrasdoor/weights/controller.py
@@ -1,8 +1,9 @@
-"""Orders replicas to load the named versions of their models, from one fenced holder.
+"""Orders replicas to load the announced versions of their models.
 
-The replicas of a service are assigned to its models by demand; a replica keeps its
-model where possible, and only a model's own replicas follow its versions. A replica's
-versions are known from the platform's list and from answers.
+Only the holder of the lease sends orders, with its fencing number. The replicas of a
+service are assigned to its models by demand; a replica keeps its model where possible
+and loads the versions of that model only. The versions that replicas have are known from
+the platform's list and from answers.
 """
 
 import asyncio
@@ -12,23 +13,23 @@
 from sassafrasdoor.clock import LONG_AGO, deadline_in, now, passed
 from sassafrasdoor.decisions import note
 from sassafrasdoor.metrics import counter, histogram
-from sassafrasdoor.weights import pace
+from sassafrasdoor.weights import load_policy
 
 # Durations in seconds.
 POLL_INTERVAL = 0.1
 IDLE_POLL_INTERVAL = 1.0  # of a process that does not hold the lease
 MIN_CONCURRENT_LOADS = 2
 CONCURRENT_LOAD_SHARE = 0.4  # of a service's replicas
-LOAD_TIME = 1.2  # after an order until its load counts as ended
-MIN_LOAD_TIME = 0.9  # after an accepted order in which the replica refuses items
-REPORT_LAG = 3.5  # after an accepted order until the list must show its version
+LOAD_TIME = 1.2  # from an order until its load counts as ended
+MIN_LOAD_TIME = 0.9  # after an accepted order; the replica refuses items meanwhile
+REPORT_LAG = 3.5  # from an accepted order until the list must show its version
 ORDER_TIMEOUT = 1.5
 RETRY_DELAY = 0.4  # after a refused or lost order
 
-FIRST_FENCE = 1  # of the first holder ever, which takes over from nobody
+FIRST_FENCE = 1  # of the first holder, which has no predecessor
 
 ORDERS = counter("weights_named_orders_total", "Orders to replicas, by result.")
-WAITED = histogram(
+ORDER_DELAY = histogram(
     "weights_named_wait_seconds",
     "Seconds from a version's name to an accepted order of it.",
     buckets=[0.1, 0.3, 0.6, 1, 1.5, 2.5, 4, 8],
@@ -36,9 +37,10 @@
 
 
 class _LastOrder:
-    """The last order to an incarnation of a replica.
+    """The last order to one incarnation of a replica.
 
-    It is not repeated before ``retry_deadline``; its load ends at ``load_deadline``.
+    It is not repeated before ``retry_deadline``; its load counts as ended after
+    ``load_deadline``.
     """
 
     __slots__ = ("load_deadline", "model", "replica", "retry_deadline", "version")
@@ -54,8 +56,8 @@
 class WeightsController:
     """Orders loads while ``holder.fence`` is set and the handover has passed.
 
-    ``handover()`` returns the seconds to wait for a former holder's orders. ``work``
-    tells of the steps that run here: ``queued_items(model)`` is the number of queued items,
+    ``handover()`` returns the seconds to wait for orders of a former holder. ``work``
+    describes the steps run here: ``queued_items(model)`` returns the number of queued items,
     ``oldest_allowed(model)`` the oldest version that serves all open steps.
     """
 
@@ -67,8 +69,8 @@
         "_fence",
         "_handover",
         "_holder",
-        "_named",
-        "_named_at",
+        "_target_versions",
+        "_target_set_at",
         "_replicas",
         "_routes",
         "_last_orders",
@@ -85,8 +87,8 @@
         self._routes = routes
         self._handover = handover
         self._work = work
-        self._named = {}
-        self._named_at = {}
+        self._target_versions = {}
+        self._target_set_at = {}
         self._demand = {}
         self._assigned = {}
         self._last_orders = {}
@@ -96,16 +98,16 @@
         self._tasks = set()
         self._wake = asyncio.Event()
 
-    def named(self, model, version):
-        """Take a version that a trainer has named; older ones change nothing."""
-        if version > self._named.get(model, 0):
-            self._named[model] = version
-            self._named_at[model] = now()
+    def set_target_version(self, model, version):
+        """Record a version announced by a trainer; older ones are ignored."""
+        if version > self._target_versions.get(model, 0):
+            self._target_versions[model] = version
+            self._target_set_at[model] = now()
             note("weights.named", model=model, version=version)
             self._wake.set()
 
     def record_demand(self, step):
-        """Take a step's tokens as its model's demand."""
+        """Record the tokens of a step as the demand of its model."""
         if step.spec.model:
             self._demand[step.spec.model] = sum(item.tokens for item in step.spec.items)
 
@@ -124,7 +126,7 @@
             except TimeoutError:
                 pass
             self._wake.clear()
-            if self._named and self._may_act():
+            if self._target_versions and self._may_act():
                 self._order_loads()
 
     def _may_act(self):
@@ -132,11 +134,11 @@
         if not fence or fence <= self._stale_fence:
             return False
         if fence != self._fence:
-            # A former holder's last orders may still be in flight.
-            first = fence == FIRST_FENCE
+            # The last orders of a former holder may still be in flight.
+            is_first_holder = fence == FIRST_FENCE
             self._fence = fence
             self._handover_deadline = (
-                LONG_AGO if first else deadline_in(self._handover())
+                LONG_AGO if is_first_holder else deadline_in(self._handover())
             )
             self._last_orders.clear()
             self._assigned.clear()
@@ -154,17 +156,21 @@
 
     def _order_due(self, replicas):
         loading = sum(
-            not passed(one.load_deadline) for one in self._last_orders.values()
+            not passed(order.load_deadline) for order in self._last_orders.values()
         )
-        most = max(MIN_CONCURRENT_LOADS, int(CONCURRENT_LOAD_SHARE * len(replicas)))
-        for replica in sorted(replicas, key=lambda one: one.state.in_flight):
+        max_loads = max(
+            MIN_CONCURRENT_LOADS, int(CONCURRENT_LOAD_SHARE * len(replicas))
+        )
+        for replica in sorted(replicas, key=lambda replica: replica.state.in_flight):
             for model in self._assigned.get(replica.identity, ()):
-                if loading >= most:
+                if loading >= max_loads:
                     return
-                version = self._named.get(model, 0)
+                version = self._target_versions.get(model, 0)
                 if not self._is_due(replica, model, version):
                     continue
-                if not self._defers(replica, model) and self._may_load(replica, model):
+                if not self._should_defer(replica, model) and self._may_load(
+                    replica, model
+                ):
                     loading += 1
                     self._start_order(replica, model, version)
                     break
@@ -172,33 +178,35 @@
     def _is_due(self, replica, model, version):
         if replica.versions.get(model, 0) >= version:
             return False
-        sent = self._last_orders.get(replica.identity)
-        if sent is None or sent.replica is not replica:
+        last_order = self._last_orders.get(replica.identity)
+        if last_order is None or last_order.replica is not replica:
             return True
-        if not passed(sent.load_deadline):
+        if not passed(last_order.load_deadline):
             return False
-        same = (sent.model, sent.version) == (model, version)
-        return not same or passed(sent.retry_deadline)
+        is_same_order = (last_order.model, last_order.version) == (model, version)
+        return not is_same_order or passed(last_order.retry_deadline)
 
     def _may_load(self, replica, model):
-        own = sum(model in models for models in self._assigned.values())
+        assigned = sum(model in models for models in self._assigned.values())
         loading = sum(
-            one.model == model and not passed(one.load_deadline)
-            for one in self._last_orders.values()
+            order.model == model and not passed(order.load_deadline)
+            for order in self._last_orders.values()
+        )
+        return load_policy.may_load(
+            assigned, loading, self._serves_open_steps(replica, model)
         )
-        return pace.may_load(own, loading, self._serves(replica, model))
 
-    def _serves(self, replica, model):
-        """Say whether the weights of a replica are new enough for all open steps."""
+    def _serves_open_steps(self, replica, model):
+        """Return whether a replica's weights are new enough for all open steps."""
         return replica.versions.get(model, 0) >= self._work.oldest_allowed(model)
 
-    def _defers(self, replica, model):
-        """Say whether a load is deferred, so that its replica serves queued items."""
-        return pace.should_defer(
-            self._named_at[model],
+    def _should_defer(self, replica, model):
+        """Return whether a load is deferred so that the replica serves queued items."""
+        return load_policy.should_defer(
+            self._target_set_at[model],
             now(),
             bool(self._work.queued_items(model)),
-            self._serves(replica, model),
+            self._serves_open_steps(replica, model),
         )
 
     def _start_order(self, replica, model, version):
@@ -208,13 +216,13 @@
         task.add_done_callback(self._tasks.discard)
 
     async def _order(self, replica, model, version):
-        sent = self._last_orders[replica.identity]
+        last_order = self._last_orders[replica.identity]
         order = VersionOrder(
             model,
             version,
             self._holder.identity,
             self._fence,
-            self._finish_first(replica),
+            self._must_finish_first(replica),
             deadline_in(ORDER_TIMEOUT),
         )
         result = await self._client.order(replica, order)
@@ -226,25 +234,25 @@
             model=model,
             version=version,
             believed=replica.versions.get(model, 0),
-            seconds_since_named=round(now() - self._named_at[model], 2),
+            seconds_since_named=round(now() - self._target_set_at[model], 2),
             fence=order.fence,
             outcome=outcome,
             reason="" if result is True else result.reason,
         )
         if result is True:
-            sent.retry_deadline = deadline_in(REPORT_LAG)
+            last_order.retry_deadline = deadline_in(REPORT_LAG)
             replica.loading_until[model] = deadline_in(MIN_LOAD_TIME)
-            WAITED.observe({}, now() - self._named_at[model])
+            ORDER_DELAY.observe({}, now() - self._target_set_at[model])
             return
-        sent.retry_deadline = deadline_in(RETRY_DELAY)
+        last_order.retry_deadline = deadline_in(RETRY_DELAY)
         if isinstance(result, OrderRefused):
-            sent.load_deadline = sent.retry_deadline
+            last_order.load_deadline = last_order.retry_deadline
         if isinstance(result, Stale):
-            # Another process holds the lease already.
+            # Another process already holds the lease.
             self._stale_fence = max(self._stale_fence, order.fence)
 
-    def _finish_first(self, replica):
-        """Say whether samples must end under the weights that they began with."""
+    def _must_finish_first(self, replica):
+        """Return whether samples must finish with the weights that they started with."""
         routes = self._routes.current.routes
         return any(
             route.one_version
@@ -253,50 +261,58 @@
         )
 
     def _assign(self, replicas, models):
-        """Assign the replicas to the models; each keeps its own where possible."""
-        wanted = shares(len(replicas), models, self._demand)
-        left = {one.identity: one for one in replicas}
+        """Assign the replicas to the models; each keeps its model where possible."""
+        targets = allocate_replicas(len(replicas), models, self._demand)
+        unassigned = {replica.identity: replica for replica in replicas}
         if len(replicas) < len(models):
-            order = sorted(left)
-            for number, model in enumerate(models):
-                identity = order[number % len(order)]
-                if number < len(order):
+            order = sorted(unassigned)
+            for index, model in enumerate(models):
+                identity = order[index % len(order)]
+                if index < len(order):
                     self._assigned[identity] = ()
                 self._assigned[identity] += (model,)
             return
-        taken = {}
+        assigned = {}
         for model in models:
-            mine = sorted(left.values(), key=lambda one: self._distance(one, model))
-            for one in mine[: wanted[model]]:
-                if self._is_assigned(one, model):
-                    taken[one.identity] = (model,)
-        for identity in taken:
-            del left[identity]
+            preferred = sorted(
+                unassigned.values(),
+                key=lambda replica: self._assignment_cost(replica, model),
+            )
+            for replica in preferred[: targets[model]]:
+                if self._is_assigned(replica, model):
+                    assigned[replica.identity] = (model,)
+        for identity in assigned:
+            del unassigned[identity]
         for model in models:
-            have = sum(found == (model,) for found in taken.values())
-            mine = sorted(left.values(), key=lambda one: self._distance(one, model))
-            for one in mine[: max(0, wanted[model] - have)]:
-                taken[one.identity] = (model,)
-                del left[one.identity]
-        if taken != {key: self._assigned.get(key) for key in taken}:
+            assigned_count = sum(
+                assigned_models == (model,) for assigned_models in assigned.values()
+            )
+            preferred = sorted(
+                unassigned.values(),
+                key=lambda replica: self._assignment_cost(replica, model),
+            )
+            for replica in preferred[: max(0, targets[model] - assigned_count)]:
+                assigned[replica.identity] = (model,)
+                del unassigned[replica.identity]
+        if assigned != {key: self._assigned.get(key) for key in assigned}:
             note(
                 "weights.assigned",
-                replicas={key: value[0] for key, value in taken.items()},
+                replicas={key: value[0] for key, value in assigned.items()},
             )
-        self._assigned = {**self._assigned, **taken}
+        self._assigned = {**self._assigned, **assigned}
 
     def _is_assigned(self, replica, model):
         return self._assigned.get(replica.identity) == (model,)
 
-    def _distance(self, replica, model):
-        kept = 0 if self._is_assigned(replica, model) else 1
-        return (kept, -replica.versions.get(model, 0), replica.identity)
+    def _assignment_cost(self, replica, model):
+        change_cost = 0 if self._is_assigned(replica, model) else 1
+        return (change_cost, -replica.versions.get(model, 0), replica.identity)
 
 
-def shares(count, models, demand):
-    """Return how many of ``count`` replicas each model gets, by its demand.
+def allocate_replicas(count, models, demand):
+    """Return the number of replicas of each model, by demand, for ``count`` in total.
 
-    Every model gets one; each further one goes to the largest shortfall.
+    Every model gets one; each further one goes to the model with the largest shortfall.
     """
     if count < len(models):
         return dict.fromkeys(models, 1)
@@ -305,8 +321,10 @@
         weights = dict.fromkeys(models, 1)
     total = sum(weights.values())
     exact = {model: count * weight / total for model, weight in weights.items()}
-    found = dict.fromkeys(models, 1)
-    while sum(found.values()) < count:
-        least = max(exact, key=lambda model: (exact[model] - found[model], model))
-        found[least] += 1
-    return found
+    allocated = dict.fromkeys(models, 1)
+    while sum(allocated.values()) < count:
+        neediest = max(
+            exact, key=lambda model: (exact[model] - allocated[model], model)
+        )
+        allocated[neediest] += 1
+    return allocated
--- a/sassafrasdoor/weights/plan.py
+++ b/sassafrasdoor/weights/plan.py
@@ -1,7 +1,7 @@
 """Chooses the engines that swap weights next; no I/O.
 
 Swaps run in a sliding window without a barrier between waves, so a swap that hangs
-holds one place of the window only.
+occupies only one slot of the window.
 """
 
 import math
@@ -20,9 +20,9 @@
 
 
 class EngineState:
-    """An engine's state by its own reports; ``versions`` is None before the first.
+    """An engine's state by its own reports; ``versions`` is None without a report.
 
-    No order is sent before ``retry_deadline``; its report is outdated after
+    No order is sent before ``retry_deadline``; the report is outdated after
     ``check_deadline``. Both are monotonic.
     """
 
@@ -50,9 +50,9 @@
         self.retry_deadline = LONG_AGO
 
     def is_behind(self, model, version):
-        """Say whether its report shows an older version.
+        """Return whether the engine reports an older version.
 
-        A newer one is no reason to swap, since our own view may be outdated.
+        A newer one does not count, since the own view may be outdated.
         """
         return self.versions is not None and self.versions.get(model, 0) < version
 
@@ -86,13 +86,13 @@
     return max(sums, key=sums.get)
 
 
-def max_concurrent_swaps(settings, wanted, engines):
+def max_concurrent_swaps(settings, preferred, engines):
     """Return how many of a model's engines may be out of service for swaps.
 
     Engines without a report count as out of service. One swap is always allowed, so
     that a rollout makes progress with few live engines.
     """
-    share = getattr(settings.weights.serving_share, wanted)
+    share = getattr(settings.weights.serving_share, preferred)
     reachable = sum(engine.versions is not None for engine in engines)
     return max(1, reachable - math.ceil(share * len(engines)))
 
@@ -109,14 +109,18 @@
     if free <= 0:
         return []
     for model, version in sorted(view.weights.items()):
-        mine = [engine for engine in engines if model in engine.backend.models]
-        out = sum(e.phase is not Phase.IDLE or e in chosen for e in mine)
+        model_engines = [engine for engine in engines if model in engine.backend.models]
+        out_of_service = sum(
+            engine.phase is not Phase.IDLE or engine in chosen
+            for engine in model_engines
+        )
         allowed = (
-            max_concurrent_swaps(settings, preference(view.table, model), mine) - out
+            max_concurrent_swaps(settings, preference(view.table, model), model_engines)
+            - out_of_service
         )
         ready = [
             engine
-            for engine in mine
+            for engine in model_engines
             if engine.is_ready
             and engine not in chosen
             and engine.is_behind(model, version)
--- a/sassafrasdoor/weights/tests/test_named.py
+++ b/sassafrasdoor/weights/tests/test_controller.py
@@ -1,4 +1,4 @@
-"""Which replica is ordered to which version, by whom and when."""
+"""Tests of the orders to replicas: which version, by which holder, when."""
 
 import asyncio
 import unittest
@@ -10,8 +10,8 @@
 from sassafrasdoor.routing.replicas import Listing, Replicas
 from sassafrasdoor.steps.durable.tests.fixtures import SERVICE, route
 from sassafrasdoor.table.routes import Configuration, Limits, RoutesInForce
-from sassafrasdoor.weights import named as module
-from sassafrasdoor.weights.named import WeightsController, shares
+from sassafrasdoor.weights import controller as module
+from sassafrasdoor.weights.controller import WeightsController, allocate_replicas
 
 
 class Holder:
@@ -20,7 +20,7 @@
 
 
 class Work:
-    """No items wait, unless said so."""
+    """Stand-in for the steps; no items are queued by default."""
 
     def __init__(self):
         self.queue = 0
@@ -33,8 +33,8 @@
         return self.oldest
 
 
-class Client:
-    """Carries orders out at once, unless told to answer otherwise."""
+class RecordingClient:
+    """Carries out orders at once, unless ``answers`` holds other results."""
 
     def __init__(self):
         self.orders = []
@@ -45,7 +45,7 @@
         self.fences = [order.fence]
         answer = self.answers.pop(0) if self.answers else True
         if answer is True:
-            replica.told_version(order.model, order.version)
+            replica.record_version(order.model, order.version)
         return answer
 
 
@@ -56,21 +56,21 @@
         for at in range(5):
             versions = dict.fromkeys(self.models, 1)
             listing = Listing(SERVICE, f"h{at}:1", "z", 4, False, versions)
-            self.replicas.listed(f"e{at}", listing)
+            self.replicas.update_listing(f"e{at}", listing)
         self.routes = RoutesInForce()
         self.configure()
-        self.client, self.holder, self.work = Client(), Holder(), Work()
+        self.client, self.holder, self.work = RecordingClient(), Holder(), Work()
         self.controller = self.make(0.0)
-        load, module.LOAD_TIME = module.LOAD_TIME, 0.05
-        self.addCleanup(setattr, module, "LOAD_TIME", load)
-        pause, module.RETRY_DELAY = module.RETRY_DELAY, 0.05
-        self.addCleanup(setattr, module, "RETRY_DELAY", pause)
+        load_time, module.LOAD_TIME = module.LOAD_TIME, 0.05
+        self.addCleanup(setattr, module, "LOAD_TIME", load_time)
+        retry_delay, module.RETRY_DELAY = module.RETRY_DELAY, 0.05
+        self.addCleanup(setattr, module, "RETRY_DELAY", retry_delay)
 
     def configure(self, version=1, **fields):
         limits = Limits(1, 1, 1)
         rows = [route(**fields)]
-        found = Configuration(version, rows, {SERVICE: self.models}, limits)
-        self.routes.take(found)
+        configuration = Configuration(version, rows, {SERVICE: self.models}, limits)
+        self.routes.take(configuration)
 
     def make(self, handover):
         return WeightsController(
@@ -87,38 +87,38 @@
         self.addCleanup(task.cancel)
 
     async def until(self, condition):
-        limit = deadline_in(20)
+        deadline = deadline_in(20)
         while not condition():
-            self.assertFalse(passed(limit), "condition never came true")
+            self.assertFalse(passed(deadline), "condition never came true")
             await asyncio.sleep(0.01)
 
     def at(self, model, version):
         return [
-            one.identity
-            for one in self.replicas.of_service(SERVICE)
-            if one.versions.get(model) == version
+            replica.identity
+            for replica in self.replicas.of_service(SERVICE)
+            if replica.versions.get(model) == version
         ]
 
-    async def test_half_of_a_models_replicas_go_on_while_the_others_load(self):
-        """Guards against all replicas of a model that load at once."""
+    async def test_half_of_a_models_replicas_keep_serving_while_the_others_load(self):
+        """Guards against loads by all replicas of a model at once."""
         self.models = ["a"]
         self.configure(2)
         module.LOAD_TIME = 1000.0
         share, module.CONCURRENT_LOAD_SHARE = module.CONCURRENT_LOAD_SHARE, 1.0
         self.addCleanup(setattr, module, "CONCURRENT_LOAD_SHARE", share)
         self.run_controller()
-        self.controller.named("a", 2)
+        self.controller.set_target_version("a", 2)
         await self.until(lambda: len(self.client.orders) == 2)
         await asyncio.sleep(3 * module.POLL_INTERVAL)
         self.assertEqual(len(self.client.orders), 2)
         self.work.oldest = 2
         await self.until(lambda: len(self.client.orders) == 5)
 
-    async def test_only_a_models_own_replicas_follow_it(self):
-        """Guards against loads at replicas of other models."""
+    async def test_only_replicas_assigned_to_a_model_load_it(self):
+        """Guards against loads by replicas of other models."""
         self.run_controller()
-        self.controller.named("a", 2)
-        self.controller.named("b", 2)
+        self.controller.set_target_version("a", 2)
+        self.controller.set_target_version("b", 2)
         await self.until(lambda: len(self.client.orders) == 5)
         await asyncio.sleep(0.3)
         self.assertEqual(len(self.client.orders), 5)
@@ -126,38 +126,38 @@
 
     async def test_replicas_keep_their_model(self):
         self.run_controller()
-        self.controller.named("a", 2)
+        self.controller.set_target_version("a", 2)
         await self.until(lambda: len(self.at("a", 2)) >= 2)
         before = self.at("a", 2)
-        self.controller.named("a", 3)
+        self.controller.set_target_version("a", 3)
         await self.until(lambda: self.at("a", 3) == before)
 
     async def test_restarted_replica_is_ordered_at_once(self):
-        """Guards against the retry deadline of an earlier incarnation."""
+        """Guards against a retry deadline kept from an earlier incarnation."""
         lag, module.REPORT_LAG = module.REPORT_LAG, 1000.0
         self.addCleanup(setattr, module, "REPORT_LAG", lag)
         self.models = ["a"]
         self.configure(version=2)
         self.run_controller()
-        self.controller.named("a", 2)
+        self.controller.set_target_version("a", 2)
         await self.until(lambda: len(self.at("a", 2)) == 5)
         reborn = Listing(SERVICE, "h0:1", "z", 4, False, {"a": 1}, born=5)
-        self.replicas.listed("e0", reborn)
+        self.replicas.update_listing("e0", reborn)
         await self.until(lambda: len(self.at("a", 2)) == 5)
         self.assertEqual(self.client.orders.count(("e0", "a", 2)), 2)
 
-    async def test_without_the_duty_nothing_is_ordered(self):
+    async def test_no_orders_without_the_lease(self):
         self.holder.fence = 0
         self.run_controller()
-        self.controller.named("a", 2)
+        self.controller.set_target_version("a", 2)
         await asyncio.sleep(0.3)
         self.assertEqual(self.client.orders, [])
 
-    async def test_new_holder_waits_for_the_former_ones_orders(self):
+    async def test_new_holder_waits_for_orders_of_the_former_holder(self):
         self.holder.fence = 7
         self.controller = self.make(1000.0)
         self.run_controller()
-        self.controller.named("a", 2)
+        self.controller.set_target_version("a", 2)
         await asyncio.sleep(0.3)
         self.assertEqual(self.client.orders, [])
 
@@ -166,7 +166,7 @@
         self.client.answers = [Stale("old", 9)] * 2
         self.work.oldest = 2
         self.run_controller()
-        self.controller.named("a", 2)
+        self.controller.set_target_version("a", 2)
         await self.until(lambda: len(self.client.orders) == 2)
         await asyncio.sleep(0.4)
         self.assertEqual(len(self.client.orders), 2)
@@ -176,60 +176,60 @@
     async def test_refused_and_lost_orders_are_sent_again(self):
         self.client.answers = [OrderRefused("busy"), ReplyLost("lost")]
         self.run_controller()
-        self.controller.named("a", 2)
+        self.controller.set_target_version("a", 2)
         await self.until(lambda: len(self.at("a", 2)) >= 2)
 
-    async def test_replica_that_went_back_is_ordered_again(self):
-        """Guards against a replica that went back to an older version unnoticed."""
+    async def test_replica_that_reverted_is_ordered_again(self):
+        """Guards against a replica that silently reverted to an older version."""
         self.run_controller()
-        self.controller.named("a", 2)
+        self.controller.set_target_version("a", 2)
         await self.until(lambda: self.at("a", 2))
         (replica, *_) = self.at("a", 2)
         for sent in self.controller._last_orders.values():
             sent.retry_deadline = sent.load_deadline = LONG_AGO
-        self.replicas.get(replica).told_version("a", 1)
+        self.replicas.get(replica).record_version("a", 1)
         await self.until(lambda: replica in self.at("a", 2))
 
-    async def test_load_waits_while_items_need_the_version_before(self):
+    async def test_load_is_deferred_while_items_are_queued(self):
         self.work.queue, self.work.oldest = 3, 1
         self.run_controller()
-        self.controller.named("a", 2)
+        self.controller.set_target_version("a", 2)
         await asyncio.sleep(0.3)
         self.assertEqual(self.client.orders, [])
         self.work.queue = 0
         await self.until(lambda: self.client.orders)
 
-    async def test_load_does_not_wait_where_items_need_it(self):
+    async def test_load_is_not_deferred_where_queued_items_need_it(self):
         self.work.queue, self.work.oldest = 3, 2
         self.run_controller()
-        self.controller.named("a", 2)
+        self.controller.set_target_version("a", 2)
         await self.until(lambda: self.client.orders)
 
-    async def test_few_load_at_once(self):
+    async def test_concurrent_loads_are_bounded(self):
         module.LOAD_TIME = 1000.0
         self.run_controller()
-        self.controller.named("a", 2)
-        self.controller.named("b", 2)
+        self.controller.set_target_version("a", 2)
+        self.controller.set_target_version("b", 2)
         await self.until(lambda: len(self.client.orders) == module.MIN_CONCURRENT_LOADS)
         await asyncio.sleep(0.3)
         self.assertEqual(len(self.client.orders), module.MIN_CONCURRENT_LOADS)
 
-    async def test_more_load_at_once_where_there_are_more(self):
+    async def test_bound_on_loads_grows_with_the_service(self):
         """Guards against a bound on loads that ignores the size of the service."""
         for at in range(5, 20):
             listing = Listing(SERVICE, f"h{at}:1", "z", 4, False, {"a": 1, "b": 1})
-            self.replicas.listed(f"e{at}", listing)
+            self.replicas.update_listing(f"e{at}", listing)
         module.LOAD_TIME = 1000.0
         self.run_controller()
-        self.controller.named("a", 2)
-        self.controller.named("b", 2)
+        self.controller.set_target_version("a", 2)
+        self.controller.set_target_version("b", 2)
         await self.until(lambda: len(self.client.orders) == 8)
         await asyncio.sleep(0.3)
         self.assertEqual(len(self.client.orders), 8)
 
 
-class SharesTest(unittest.TestCase):
-    def test_shares_follow_demand_and_leave_nobody_out(self):
+class AllocateReplicasTest(unittest.TestCase):
+    def test_allocation_follows_demand_and_includes_every_model(self):
         cases = [
             (5, {"a": 60, "b": 40}, {"a": 3, "b": 2}),
             (5, {"a": 100, "b": 1, "c": 1}, {"a": 3, "b": 1, "c": 1}),
@@ -239,4 +239,6 @@
         ]
         for count, demand, expected in cases:
             with self.subTest(count=count, demand=demand):
-                self.assertEqual(shares(count, list(expected), demand), expected)
+                self.assertEqual(
+                    allocate_replicas(count, list(expected), demand), expected
+                )
