--- a/sassafrasdoor/platform/front.py
+++ b/sassafrasdoor/platform/front.py
@@ -266,7 +266,7 @@
         self._handler._head(200, headers)
         await self._flush()
 
-    async def pass_on(self, block):
+    async def send_event(self, block):
         self._handler.write(block)
         await self._flush()
 
--- a/sassafrasdoor/platform/process.py
+++ b/sassafrasdoor/platform/process.py
@@ -120,7 +120,7 @@
         self._crash_list = KeyedTail(
             self._log,
             CRASHES_TOPIC,
-            self._crashes.take,
+            self._crashes.apply_record,
             CRASHES_PAUSE,
             self._peers.newest,
             # Apart from the others: while it is late the steps are read all the same.
--- a/sassafrasdoor/platform/tests/test_front.py
+++ b/sassafrasdoor/platform/tests/test_front.py
@@ -79,7 +79,7 @@
                 return step
             if not number:
                 await caller.begin([(wire.STAMP, "x")])
-            await caller.pass_on(step)
+            await caller.send_event(step)
         return True
 
 
@@ -272,7 +272,7 @@
     async def failing(self, request, caller):
         """Fail after one event."""
         await caller.begin([])
-        await caller.pass_on(EVENTS[0])
+        await caller.send_event(EVENTS[0])
         raise ValueError("a fault of ours")
 
     async def connect(self, path):
--- a/sassafrasdoor/platform/tests/test_health.py
+++ b/sassafrasdoor/platform/tests/test_health.py
@@ -117,7 +117,7 @@
             proxy.set({"clear": True})
         # A replica that broke a connection is connected to without a request.
         limit = deadline_in(60)
-        while self.crashes.looking:
+        while self.crashes.is_checking:
             self.assertFalse(passed(limit), "looked after for ever")
             await asyncio.sleep(0.02)
         before = sum(proxy.accepted for proxy in self.proxies)
--- a/sassafrasdoor/requests/attempts.py
+++ b/sassafrasdoor/requests/attempts.py
@@ -15,12 +15,12 @@
 """Seconds a refused caller should wait: about two usual calls end in that time."""
 NO_REPLICA_RETRY_AFTER = 0.4
 """Seconds to wait where no replica is known; the list is read more often than that."""
-MOST_REFUSALS = 4
+MAX_REFUSALS = 4
 """Replicas asked in a row that say they are full, before the caller is refused."""
 SERVER_ERROR = 500
 NOT_RUN_STATUSES = {408, 421, 429, 503}
 """Statuses that callers take for the promise that a request has not run."""
-CALLER_HEADERS = ("host", "authorization")
+FINGERPRINT_HEADERS = ("host", "authorization")
 """Headers that are the same each time a caller sends a request again."""
 FINGERPRINT_BYTES = 16
 REPEATABLE = {Repeat.SAFE, Repeat.RESUME}
@@ -60,8 +60,8 @@
 
 def fingerprint(headers, method, path, body):
     """Return a digest of caller, method, path and body; ``headers`` are pairs."""
-    known = {name.lower(): value for name, value in headers}
-    parts = [known.get(name, "") for name in CALLER_HEADERS]
+    values = {name.lower(): value for name, value in headers}
+    parts = [values.get(name, "") for name in FINGERPRINT_HEADERS]
     digest = hashlib.blake2b(digest_size=FINGERPRINT_BYTES)
     for part in (*parts, method, path):
         digest.update(f"{len(part)}:{part}".encode())
@@ -77,7 +77,7 @@
     """
 
     __slots__ = (
-        "alone",
+        "at_most_once",
         "failures",
         "may_have_run",
         "refusals",
@@ -94,7 +94,7 @@
         self.sent = 0
         self.refusals = 0
         self.failures = 0
-        self.alone = False
+        self.at_most_once = False
         self.tried = set()
         self.running = {}
         self.may_have_run = False
@@ -109,13 +109,13 @@
         """Whether one more send is within the budget, the time and the promise."""
         if self.sent >= self.request.route.attempts:
             return False
-        if self.refusals >= MOST_REFUSALS or passed(self.request.deadline):
+        if self.refusals >= MAX_REFUSALS or passed(self.request.deadline):
             return False
-        if self.repeatable and not self.alone:
+        if self.repeatable and not self.at_most_once:
             return True
         return not (self.may_have_run or self.running)
 
-    def sending(self, replica, why):
+    def begin_send(self, replica, why):
         """Count a send to ``replica``; return the ``DirectCall``."""
         self.tried.add(replica.identity)
         self.sent += 1
@@ -133,7 +133,7 @@
             fresh=not self.repeatable,
         )
 
-    def judge(self, replica, result):
+    def record_outcome(self, replica, result):
         """Take what became of one send into account; return it."""
         if isinstance(result, Answer):
             self.may_have_run = True
@@ -145,7 +145,7 @@
             replica.state.failed(SUSPECT_FOR)
         elif isinstance(result, NotRun):
             reason = result.reason
-            self._not_sent()
+            self._count_refusal()
             if isinstance(result, WrongReplica):
                 replica.state.failed(SUSPECT_FOR)
         else:
@@ -154,7 +154,7 @@
             if result.began:
                 self.may_have_run = True
             else:
-                self._not_sent()
+                self._count_refusal()
         note(
             "request.try_failed",
             request=self.request.request_id,
@@ -166,7 +166,7 @@
         )
         return result
 
-    def final(self, last):
+    def final_outcome(self, last):
         """Return the outcome for the caller after ``last``, logged."""
         if isinstance(last, Answer):
             if self.repeatable or last.status not in NOT_RUN_STATUSES:
@@ -184,7 +184,7 @@
             refused = NotRun("every replica asked was full or away", RETRY_AFTER)
         return self.give_up(refused)
 
-    def out_of_time(self):
+    def timeout_outcome(self):
         """Return the outcome for the caller at the deadline, logged."""
         if self.may_have_run or self.running:
             return self.give_up(Unknown("out of time"))
@@ -215,6 +215,6 @@
         )
         return result
 
-    def _not_sent(self):
+    def _count_refusal(self):
         self.sent -= 1
         self.refusals += 1
--- a/sassafrasdoor/requests/calls.py
+++ b/sassafrasdoor/requests/calls.py
@@ -6,7 +6,7 @@
 from sassafrasdoor.backends.interface import Answer, Broken, Call
 from sassafrasdoor.clock import deadline_in, passed, remaining
 from sassafrasdoor.outcomes import NotRun, Unknown
-from sassafrasdoor.requests.messages import graver
+from sassafrasdoor.requests.messages import combine_outcomes
 
 MAX_TRIES = 3
 # A first try may use this part of the time left if another may follow: a server
@@ -18,7 +18,7 @@
 RETRIES = metrics.counter("sassafrasdoor_retries_total", "Calls sent once more.")
 
 
-class Calls:
+class CallRunner:
     """Runs calls of applications on plain services."""
 
     __slots__ = (
@@ -44,9 +44,9 @@
         if not permit:
             return permit
         with permit:
-            return await self._tries(row, request)
+            return await self._run_attempts(row, request)
 
-    async def _tries(self, row, request):
+    async def _run_attempts(self, row, request):
         self._budget.earned()
         tried, last = [], None
         while True:
@@ -54,18 +54,18 @@
                 self._view_getter(), row.service, exclude=tried
             )
             if not backend:
-                return graver(last, backend)
+                return combine_outcomes(last, backend)
             # An instance that was paused wakes here with an old request. Its
             # caller gave up long ago and may have asked elsewhere: sent now it
             # would run behind everybody's back.
             if passed(request.deadline):
-                return graver(last, NotRun("deadline passed", RETRY_AFTER))
-            last = graver(last, await self._try(backend, request))
+                return combine_outcomes(last, NotRun("deadline passed", RETRY_AFTER))
+            last = combine_outcomes(last, await self._attempt(backend, request))
             tried.append(backend.name)
             if last or not self._may_retry(last, request, tried):
                 return last
 
-    async def _try(self, backend, request):
+    async def _attempt(self, backend, request):
         outcome = None
         self._chooser.started(backend)
         TRIES.inc({})
@@ -73,7 +73,7 @@
             outcome = await self._service.call(backend, self._call(request))
         finally:
             self._chooser.finished(backend, outcome)
-        return _settled(outcome)
+        return _outcome_of(outcome)
 
     def _call(self, request):
         return Call(
@@ -103,18 +103,18 @@
 
 
 @singledispatch
-def _settled(outcome):
+def _outcome_of(outcome):
     """Return how one try ended as ``Answer``, ``NotRun`` or ``Unknown``."""
     raise TypeError(f"no outcome of a call: {outcome!r}")
 
 
-@_settled.register(Answer)
-@_settled.register(NotRun)
+@_outcome_of.register(Answer)
+@_outcome_of.register(NotRun)
 def _(outcome):
     return outcome
 
 
-@_settled.register
+@_outcome_of.register
 def _(outcome: Broken):
     if outcome.began:
         return Unknown(outcome.reason)
--- a/sassafrasdoor/requests/claims.py
+++ b/sassafrasdoor/requests/claims.py
@@ -65,7 +65,7 @@
         """Say whether we are that owner."""
         return owner.incarnation == self._owner.incarnation
 
-    def owned(self, row_name, key):
+    def owns_key(self, row_name, key):
         """Say whether a claim of ours on the key is known to have won."""
         name = claim_name(row_name, key)
         owner = self._stream(name).owner(name)
@@ -81,8 +81,8 @@
     __slots__ = (
         "_committer",
         "_lifetime",
+        "_local_owner",
         "_log",
-        "_me",
         "_owners",
         "_pending",
         "_position",
@@ -90,11 +90,11 @@
         "_stream",
     )
 
-    def __init__(self, settings, log, stream, me):
+    def __init__(self, settings, log, stream, owner):
         self._lifetime = settings.requests.key_lifetime
         self._log = log
         self._stream = stream
-        self._me = me
+        self._local_owner = owner
         self._position = 0
         self._owners = OrderedDict()
         self._pending = {}
@@ -104,8 +104,8 @@
     def owner(self, name):
         """Return the owner known of a key, or None."""
         self._forget_expired()
-        found = self._owners.get(name)
-        return found[0] if found else None
+        entry = self._owners.get(name)
+        return entry[0] if entry else None
 
     async def claim(self, name, deadline):
         """Return the key's owner, claiming it if nobody has."""
@@ -132,25 +132,25 @@
                 refusal = await self._commit(names)
                 for name, future in batch.items():
                     del self._pending[name]
-                    future.set_result(refusal or self._won(name))
+                    future.set_result(refusal or self._owner_or_not_run(name))
         finally:
             self._committer = None
             for future in self._pending.values():
                 future.set_result(NotRun("claiming failed", RETRY_AFTER))
             self._pending.clear()
 
-    def _won(self, name):
+    def _owner_or_not_run(self, name):
         owner = self.owner(name)
         return owner or NotRun("the claim was not found", RETRY_AFTER)
 
     async def _commit(self, names):
         """Append a claim on all names and read up to it; return None or NotRun."""
-        identity = uuid.uuid4().hex
+        claim_id = uuid.uuid4().hex
         body = {
             "kind": KIND,
-            "id": identity,
-            "instance": self._me.instance,
-            "incarnation": self._me.incarnation,
+            "id": claim_id,
+            "instance": self._local_owner.instance,
+            "incarnation": self._local_owner.incarnation,
             "names": names,
         }
         APPENDS.inc({})
@@ -161,20 +161,20 @@
             logs.changed("claims:reply-lost", stream=self._stream)
         elif not isinstance(outcome, int):
             return NotRun(f"the log takes no claims: {outcome.reason}", RETRY_AFTER)
-        return await self._find(identity)
+        return await self._read_until_found(claim_id)
 
-    async def _find(self, identity):
+    async def _read_until_found(self, claim_id):
         """Read until our record shows; return None, or ``NotRun`` if it does not.
 
         Whether it was appended or its reply lost makes no difference: it counts
         where the log has it. If it shows up later it is a claim of ours on keys
         that did not run; the caller's next try here or by forwarding runs them.
         """
-        limit = deadline_in(FIND_TIMEOUT)
-        while identity not in self._seen_ids:
-            if passed(limit):
+        find_deadline = deadline_in(FIND_TIMEOUT)
+        while claim_id not in self._seen_ids:
+            if passed(find_deadline):
                 return NotRun("the claim did not show in the log", RETRY_AFTER)
-            if not await self._read_page(min(READ_WAIT, remaining(limit))):
+            if not await self._read_page(min(READ_WAIT, remaining(find_deadline))):
                 await asyncio.sleep(READ_RETRY)
         self._seen_ids.clear()
         return None
@@ -195,20 +195,20 @@
     def _fold(self, body):
         if not _well_formed(body):
             return
-        if body["incarnation"] == self._me.incarnation:
+        if body["incarnation"] == self._local_owner.incarnation:
             self._seen_ids.add(body["id"])
         owner = Owner(body["instance"], body["incarnation"])
         # Counted from our reading, which is later than the append: to keep a
         # claim too long is safe, to forget it early would run its key twice.
-        expires = deadline_in(self._lifetime)
+        expires_at = deadline_in(self._lifetime)
         self._forget_expired()
         for name in body["names"]:
-            self._owners.setdefault(name, (owner, expires))
+            self._owners.setdefault(name, (owner, expires_at))
 
     def _forget_expired(self):
         while self._owners:
-            name, (_, expires) = next(iter(self._owners.items()))
-            if not passed(expires):
+            name, (_, expires_at) = next(iter(self._owners.items()))
+            if not passed(expires_at):
                 return
             del self._owners[name]
 
@@ -224,10 +224,10 @@
     return (
         isinstance(body, dict)
         and body.get("kind") == KIND
-        and all(isinstance(body.get(name), str) for name in FIELDS)
+        and all(isinstance(body.get(name), str) for name in TEXT_FIELDS)
         and isinstance(body.get("names"), list)
         and all(isinstance(name, str) for name in body["names"])
     )
 
 
-FIELDS = ("id", "instance", "incarnation")
+TEXT_FIELDS = ("id", "instance", "incarnation")
--- a/sassafrasdoor/requests/crash_watch.py
+++ b/sassafrasdoor/requests/crash_watch.py
@@ -15,24 +15,24 @@
 from sassafrasdoor.metrics import counter, gauge
 from sassafrasdoor.outcomes import Outcome, Unknown
 from sassafrasdoor.requests.attempts import SERVER_ERROR
-from sassafrasdoor.requests.crashes import Crashes, State
+from sassafrasdoor.requests.crashes import CrashHistory, State
 
 TOPIC = "keyed.crashes"
-PROBE_PAUSES = (0.0, 0.3)
+PROBE_DELAYS = (0.0, 0.3)
 """Seconds before each look whether anybody still listens at the replica's address."""
-LIST_PAUSE = 0.25
+LISTING_CHECK_INTERVAL = 0.25
 """Seconds between looks at the list where the address tells neither way."""
-GONE_WITHIN = 6.0
+CRASH_CONFIRM_TIMEOUT = 6.0
 """Seconds after a broken connection in which the end of the replica's entry confirms a
 crash: three heartbeats and the reading of the list, with room for a slow one."""
-SETTLED_WITHIN = 1.0
+SUSPECT_WAIT_TIMEOUT = 1.0
 """Seconds that a suspect waits for what became of the replica it ran at."""
 APPEND_TIMEOUT = 1.0
-RETRY_PAUSE = 0.25
-MOST_WAITING = 4096
+APPEND_RETRY_INTERVAL = 0.25
+MAX_PENDING_RECORDS = 4096
 """Records that wait for the log; beyond them the oldest is left out."""
-EXPIRY_PAUSE = 60.0
-LONGEST_NAME = 128
+EXPIRY_INTERVAL = 60.0
+MAX_IDENTITY_LENGTH = 128
 """Characters of a replica's identity in a record's key, which has 255 bytes."""
 
 CRASHES = counter(
@@ -41,7 +41,9 @@
 QUARANTINED = counter(
     "requests_quarantined_total", "Requests not sent, since they crash replicas."
 )
-KNOWN = gauge("crash_requests_known", "Requests under which a replica has crashed.")
+TRACKED_REQUESTS = gauge(
+    "crash_requests_known", "Requests under which a replica has crashed."
+)
 
 
 class Quarantined(Unknown):
@@ -58,51 +60,58 @@
     """
 
     __slots__ = (
-        "_broken",
+        "_broken_requests",
+        "_checks",
         "_client",
-        "_crashes",
-        "_expires",
+        "_history",
+        "_instance_name",
+        "_is_expiry_owner",
+        "_lock_releases",
         "_log",
-        "_name",
+        "_pending",
         "_replicas",
-        "_settling",
-        "_tasks",
-        "_turns",
-        "_waiting",
+        "_suspect_locks",
         "_wake",
     )
 
-    def __init__(self, client, replicas, log=None, name="", expires=lambda: False):
+    def __init__(
+        self,
+        client,
+        replicas,
+        log=None,
+        instance_name="",
+        is_expiry_owner=lambda: False,
+    ):
         self._client = client
         self._replicas = replicas
         self._log = log
-        self._name = name
-        self._expires = expires
-        self._crashes = Crashes()
-        self._broken = {}
-        self._tasks = {}
-        self._turns = {}
-        self._settling = set()
-        self._waiting = {}
+        self._instance_name = instance_name
+        self._is_expiry_owner = is_expiry_owner
+        self._history = CrashHistory()
+        self._broken_requests = {}
+        self._checks = {}
+        self._suspect_locks = {}
+        self._lock_releases = set()
+        self._pending = {}
         self._wake = asyncio.Event()
 
     @property
-    def looking(self):
+    def is_checking(self):
         """Whether some replica is being looked after."""
-        return bool(self._tasks)
+        return bool(self._checks)
 
     @property
-    def telling(self):
+    def has_unpublished_records(self):
         """Whether the log has not acknowledged everything yet."""
-        return bool(self._waiting)
+        return bool(self._pending)
 
     def refusal(self, request):
         """Return ``Quarantined`` if a request must not be sent, else None."""
-        if not self.quarantines(request):
+        if not self.is_quarantined(request):
             return None
         QUARANTINED.inc({})
         fingerprint = request.fingerprint
-        replicas = self._crashes.replicas(fingerprint)
+        replicas = self._history.replicas(fingerprint)
         note(
             "request.quarantined",
             request=request.request_id,
@@ -110,168 +119,172 @@
             crashes=len(replicas),
             replicas=replicas,
         )
-        if self._crashes.came(fingerprint):
-            self._tell(fingerprint, replicas[:1])
+        if self._history.record_arrival(fingerprint):
+            self._enqueue(fingerprint, replicas[:1])
         return Quarantined(f"the request has crashed {len(replicas)} replicas")
 
-    def quarantines(self, request):
+    def is_quarantined(self, request):
         """Say whether a request must not be sent."""
         return self._state(request) is State.QUARANTINED
 
-    def suspects(self, request):
+    def is_suspect(self, request):
         """Say whether a request is to run alone."""
         return self._state(request) is State.SUSPECT
 
     @contextlib.asynccontextmanager
-    async def turn(self, service):
+    async def suspect_lock(self, service):
         """Let the suspects of a service run one after the other.
 
         The next one waits until it is known what became of the replica that the one
         before ran at: two that crash together could not be told apart.
         """
-        turn = self._turns.setdefault(service, asyncio.Lock())
-        await turn.acquire()
+        lock = self._suspect_locks.setdefault(service, asyncio.Lock())
+        await lock.acquire()
         try:
             yield
         finally:
             # The caller has its answer meanwhile.
-            settling = asyncio.ensure_future(self._settle(turn))
-            self._settling.add(settling)
-            settling.add_done_callback(self._settling.discard)
+            release_task = asyncio.ensure_future(self._release_after_checks(lock))
+            self._lock_releases.add(release_task)
+            release_task.add_done_callback(self._lock_releases.discard)
 
-    async def _settle(self, turn):
+    async def _release_after_checks(self, lock):
         try:
-            if self._tasks:
-                await asyncio.wait(self._tasks.values(), timeout=SETTLED_WITHIN)
+            if self._checks:
+                await asyncio.wait(self._checks.values(), timeout=SUSPECT_WAIT_TIMEOUT)
         finally:
-            turn.release()
+            lock.release()
 
-    def judged(self, request, replica, result):
+    def record_result(self, request, replica, result):
         """Take what became of a send; ``result`` is True for a whole stream."""
         if isinstance(result, Broken):
             if result.began:
-                self._broke(request, replica)
+                self._start_check(request, replica)
         elif result is True or (
             isinstance(result, Answer) and result.status < SERVER_ERROR
         ):
-            self._answered(request)
+            self._clear(request)
 
-    def take(self, key, value):
+    def apply_record(self, key, value):
         """Take a record of the log: a crash, or with no value that it is withdrawn."""
         fingerprint, separator, replica = key.partition("/")
         if not separator:
             note("crash.record_unreadable", key=key)
         elif not value:
-            self._crashes.withdrawn(fingerprint, replica)
-        elif self._crashes.crashed(fingerprint, replica):
+            self._history.remove_crash(fingerprint, replica)
+        elif self._history.add_crash(fingerprint, replica):
             note(
                 "crash.learned",
                 fingerprint=fingerprint,
                 replica=replica,
-                crashes=len(self._crashes.replicas(fingerprint)),
-                state=self._crashes.state(fingerprint).value,
-                by=value.decode("utf-8", "replace")[:LONGEST_NAME],
+                crashes=len(self._history.replicas(fingerprint)),
+                state=self._history.state(fingerprint).value,
+                by=value.decode("utf-8", "replace")[:MAX_IDENTITY_LENGTH],
             )
-        KNOWN.set({}, len(self._crashes))
+        TRACKED_REQUESTS.set({}, len(self._history))
 
     async def run(self):
         """Append what others must know until cancelled."""
         while True:
             await self._wake.wait()
-            batch = dict(self._waiting)
+            batch = dict(self._pending)
             records = [keyed_record(key, value) for key, value in batch.items()]
             deadline = deadline_in(APPEND_TIMEOUT)
             result = await self._log.append(TOPIC, 0, records, deadline)
             if isinstance(result, Outcome):
                 note("crash.not_told", records=len(batch), reason=result.reason)
-                await asyncio.sleep(RETRY_PAUSE)
+                await asyncio.sleep(APPEND_RETRY_INTERVAL)
                 continue
             for key, value in batch.items():
-                if self._waiting.get(key) == value:
-                    del self._waiting[key]
-            if not self._waiting:
+                if self._pending.get(key) == value:
+                    del self._pending[key]
+            if not self._pending:
                 self._wake.clear()
 
     async def expire(self):
         """Forget what lies long back until cancelled."""
         while True:
-            await asyncio.sleep(EXPIRY_PAUSE)
-            for fingerprint in self._crashes.expired():
-                self._withdraw(fingerprint, told=self._expires())
+            await asyncio.sleep(EXPIRY_INTERVAL)
+            for fingerprint in self._history.expired():
+                self._forget(fingerprint, publish=self._is_expiry_owner())
 
     def _state(self, request):
         # Most requests are asked about while no crash is known: no digest is made.
-        if not len(self._crashes):
+        if not len(self._history):
             return State.CLEAR
-        return self._crashes.state(request.fingerprint)
+        return self._history.state(request.fingerprint)
 
-    def _answered(self, request):
-        if not len(self._crashes):
+    def _clear(self, request):
+        if not len(self._history):
             return
         fingerprint = request.fingerprint
-        if self._crashes.replicas(fingerprint):
+        if self._history.replicas(fingerprint):
             note("crash.cleared", request=request.request_id, fingerprint=fingerprint)
-            self._withdraw(fingerprint, told=True)
-
-    def _withdraw(self, fingerprint, told):
-        replicas = self._crashes.replicas(fingerprint)
-        self._crashes.forget(fingerprint)
-        KNOWN.set({}, len(self._crashes))
-        if told:
-            self._tell(fingerprint, replicas, b"")
-
-    def _broke(self, request, replica):
-        running = self._broken.setdefault(replica, {})
-        running[request.fingerprint] = request.request_id
-        if replica not in self._tasks:
-            self._tasks[replica] = asyncio.ensure_future(self._look_after(replica))
-
-    async def _look_after(self, replica):
+            self._forget(fingerprint, publish=True)
+
+    def _forget(self, fingerprint, publish):
+        replicas = self._history.replicas(fingerprint)
+        self._history.forget(fingerprint)
+        TRACKED_REQUESTS.set({}, len(self._history))
+        if publish:
+            self._enqueue(fingerprint, replicas, b"")
+
+    def _start_check(self, request, replica):
+        request_ids = self._broken_requests.setdefault(replica, {})
+        request_ids[request.fingerprint] = request.request_id
+        if replica not in self._checks:
+            self._checks[replica] = asyncio.ensure_future(self._check_replica(replica))
+
+    async def _check_replica(self, replica):
         try:
             if await self._has_crashed(replica):
-                self._crashed(replica, self._broken[replica])
+                self._record_crash(replica, self._broken_requests[replica])
         finally:
-            del self._broken[replica], self._tasks[replica]
+            del self._broken_requests[replica], self._checks[replica]
 
     async def _has_crashed(self, replica):
-        limit = deadline_in(GONE_WITHIN)
-        for pause in PROBE_PAUSES:
+        confirm_deadline = deadline_in(CRASH_CONFIRM_TIMEOUT)
+        for pause in PROBE_DELAYS:
             await asyncio.sleep(pause)
-            reached = await self._client.reach(replica)
-            if isinstance(reached, Refused):
+            probe_result = await self._client.reach(replica)
+            if isinstance(probe_result, Refused):
                 return True
-        if reached is True:
+        if probe_result is True:
             return False
-        while not passed(limit):
+        while not passed(confirm_deadline):
             if self._replicas.get(replica.identity) is not replica:
                 return not replica.listing.leaving
             if not replica.state.failures:
                 return False
-            await asyncio.sleep(LIST_PAUSE)
+            await asyncio.sleep(LISTING_CHECK_INTERVAL)
         return False
 
-    def _crashed(self, replica, running):
+    def _record_crash(self, replica, request_ids):
         CRASHES.inc({})
-        name = f"{replica.identity[:LONGEST_NAME]}@{replica.listing.born}"
-        for fingerprint in running:
-            self._crashes.crashed(fingerprint, name)
-            self._tell(fingerprint, [name])
+        crashed_replica = (
+            f"{replica.identity[:MAX_IDENTITY_LENGTH]}@{replica.listing.born}"
+        )
+        for fingerprint in request_ids:
+            self._history.add_crash(fingerprint, crashed_replica)
+            self._enqueue(fingerprint, [crashed_replica])
         note(
             "replica.crashed",
             replica=replica.identity,
             address=replica.listing.address,
-            requests=list(running.values()),
-            fingerprints=list(running),
-            crashes=[len(self._crashes.replicas(one)) for one in running],
+            requests=list(request_ids.values()),
+            fingerprints=list(request_ids),
+            crashes=[len(self._history.replicas(key)) for key in request_ids],
         )
-        KNOWN.set({}, len(self._crashes))
+        TRACKED_REQUESTS.set({}, len(self._history))
 
-    def _tell(self, fingerprint, replicas, value=None):
+    def _enqueue(self, fingerprint, replicas, value=None):
         if self._log is None:
             return
         for replica in replicas:
             key = f"{fingerprint}/{replica}"
-            self._waiting[key] = self._name.encode() if value is None else value
-        while len(self._waiting) > MOST_WAITING:
-            del self._waiting[next(iter(self._waiting))]
+            self._pending[key] = (
+                self._instance_name.encode() if value is None else value
+            )
+        while len(self._pending) > MAX_PENDING_RECORDS:
+            del self._pending[next(iter(self._pending))]
         self._wake.set()
--- a/sassafrasdoor/requests/crashes.py
+++ b/sassafrasdoor/requests/crashes.py
@@ -18,13 +18,13 @@
 
 from sassafrasdoor.clock import deadline_in, passed
 
-FEW, CERTAIN, ANYWAY = 2, 3, 5
-KEEP_FOR = 3600.0
+SUSPECT_THRESHOLD, QUARANTINE_THRESHOLD, UNCONDITIONAL_THRESHOLD = 2, 3, 5
+RETENTION_PERIOD = 3600.0
 """Seconds that crashes are remembered after the last, or after the last time that the
 request came."""
-RENEW_AFTER = KEEP_FOR / 4
+RENEWAL_INTERVAL = RETENTION_PERIOD / 4
 """Seconds after which others are told that a quarantined request still comes."""
-MOST_REQUESTS = 4096
+MAX_REQUESTS = 4096
 """Requests remembered; the one that was longest without a crash gives way."""
 
 
@@ -36,7 +36,7 @@
     QUARANTINED = "quarantined"
 
 
-class _Known:
+class _CrashedRequest:
     """What is known of one request: the replicas that crashed under it."""
 
     __slots__ = ("expires_at", "renew_at", "replicas")
@@ -46,118 +46,132 @@
         self.renew()
 
     def renew(self):
-        self.expires_at = deadline_in(KEEP_FOR)
-        self.renew_at = deadline_in(RENEW_AFTER)
+        self.expires_at = deadline_in(RETENTION_PERIOD)
+        self.renew_at = deadline_in(RENEWAL_INTERVAL)
 
 
-class Crashes:
+class CrashHistory:
     """Crashed replicas by the fingerprints of the requests that ran there.
 
     The states follow from all that is known, not from its order: instances that have
     heard the same agree.
     """
 
-    __slots__ = ("_blamed", "_known", "_ran_at")
+    __slots__ = ("_culprits", "_requests", "_requests_by_replica")
 
     def __init__(self):
-        self._known = OrderedDict()
-        self._ran_at = {}
-        self._blamed = None
+        self._requests = OrderedDict()
+        self._requests_by_replica = {}
+        self._culprits = None
 
     def __len__(self):
-        return len(self._known)
+        return len(self._requests)
 
     def replicas(self, fingerprint):
         """Return the replicas known to have crashed under a request, in order."""
-        known = self._known.get(fingerprint)
-        return sorted(known.replicas) if known is not None else []
+        entry = self._requests.get(fingerprint)
+        return sorted(entry.replicas) if entry is not None else []
 
     def state(self, fingerprint):
         """Return the ``State`` of a request."""
-        if fingerprint not in self._known:
+        if fingerprint not in self._requests:
             return State.CLEAR
-        if self._blamed is None:
-            self._blamed = self._found_to_blame()
-        if fingerprint in self._blamed:
+        if self._culprits is None:
+            self._culprits = self._find_culprits()
+        if fingerprint in self._culprits:
             return State.QUARANTINED
-        unexplained = self._unexplained(fingerprint, self._blamed)
-        return State.SUSPECT if len(unexplained) >= FEW else State.CLEAR
+        unexplained = self._unexplained_crashes(fingerprint, self._culprits)
+        return State.SUSPECT if len(unexplained) >= SUSPECT_THRESHOLD else State.CLEAR
 
-    def crashed(self, fingerprint, replica):
+    def add_crash(self, fingerprint, replica):
         """Take a crash of a replica at which a request ran; say whether it is new."""
-        known = self._known.setdefault(fingerprint, _Known())
-        self._known.move_to_end(fingerprint)
-        known.renew()
-        if replica in known.replicas:
+        entry = self._requests.setdefault(fingerprint, _CrashedRequest())
+        self._requests.move_to_end(fingerprint)
+        entry.renew()
+        if replica in entry.replicas:
             return False
-        known.replicas.add(replica)
-        self._ran_at.setdefault(replica, set()).add(fingerprint)
-        self._blamed = None
-        while len(self._known) > MOST_REQUESTS:
-            self.forget(next(iter(self._known)))
+        entry.replicas.add(replica)
+        self._requests_by_replica.setdefault(replica, set()).add(fingerprint)
+        self._culprits = None
+        while len(self._requests) > MAX_REQUESTS:
+            self.forget(next(iter(self._requests)))
         return True
 
-    def withdrawn(self, fingerprint, replica):
+    def remove_crash(self, fingerprint, replica):
         """Forget one crash of a request."""
-        known = self._known.get(fingerprint)
-        if known is None or replica not in known.replicas:
+        entry = self._requests.get(fingerprint)
+        if entry is None or replica not in entry.replicas:
             return
-        known.replicas.discard(replica)
-        ran = self._ran_at[replica]
-        ran.discard(fingerprint)
-        if not ran:
-            del self._ran_at[replica]
-        if not known.replicas:
-            del self._known[fingerprint]
-        self._blamed = None
+        entry.replicas.discard(replica)
+        fingerprints = self._requests_by_replica[replica]
+        fingerprints.discard(fingerprint)
+        if not fingerprints:
+            del self._requests_by_replica[replica]
+        if not entry.replicas:
+            del self._requests[fingerprint]
+        self._culprits = None
 
     def forget(self, fingerprint):
         """Forget all crashes of a request."""
         for replica in self.replicas(fingerprint):
-            self.withdrawn(fingerprint, replica)
+            self.remove_crash(fingerprint, replica)
 
-    def came(self, fingerprint):
+    def record_arrival(self, fingerprint):
         """Remember a request that came for longer; say whether to tell others."""
-        known = self._known[fingerprint]
-        is_due = passed(known.renew_at)
-        known.expires_at = deadline_in(KEEP_FOR)
+        entry = self._requests[fingerprint]
+        is_due = passed(entry.renew_at)
+        entry.expires_at = deadline_in(RETENTION_PERIOD)
         if is_due:
-            known.renew()
+            entry.renew()
         return is_due
 
     def expired(self):
         """Return the fingerprints that need not be remembered any more."""
-        return [key for key, known in self._known.items() if passed(known.expires_at)]
+        return [
+            key for key, entry in self._requests.items() if passed(entry.expires_at)
+        ]
 
-    def _found_to_blame(self):
+    def _find_culprits(self):
         """Return the requests to blame, the worst first: it explains its crashes."""
         worst_first = sorted(
-            (key for key in self._known if self._count(key) >= CERTAIN),
-            key=self._count,
+            (
+                key
+                for key in self._requests
+                if self._crash_count(key) >= QUARANTINE_THRESHOLD
+            ),
+            key=self._crash_count,
             reverse=True,
         )
-        blamed = set()
-        for _, equals in groupby(worst_first, self._count):
-            blamed.update([one for one in equals if self._is_to_blame(one, blamed)])
-        return blamed
-
-    def _is_to_blame(self, fingerprint, blamed):
-        unexplained = self._unexplained(fingerprint, blamed)
-        count = self._count(fingerprint)
+        culprits = set()
+        for _, candidates in groupby(worst_first, self._crash_count):
+            culprits.update(
+                [key for key in candidates if self._is_culprit(key, culprits)]
+            )
+        return culprits
+
+    def _is_culprit(self, fingerprint, culprits):
+        unexplained = self._unexplained_crashes(fingerprint, culprits)
+        count = self._crash_count(fingerprint)
         is_worst = any(
             all(
-                self._count(other) < count
-                for other in self._ran_at[replica] - {fingerprint}
+                self._crash_count(other) < count
+                for other in self._requests_by_replica[replica] - {fingerprint}
             )
             for replica in unexplained
         )
-        return len(unexplained) >= (CERTAIN if is_worst else ANYWAY)
+        return len(unexplained) >= (
+            QUARANTINE_THRESHOLD if is_worst else UNCONDITIONAL_THRESHOLD
+        )
 
-    def _unexplained(self, fingerprint, blamed):
+    def _unexplained_crashes(self, fingerprint, culprits):
         """Return the crashes of a request at which no other ran that is to blame."""
-        others = blamed - {fingerprint}
-        replicas = self._known[fingerprint].replicas
-        return [one for one in replicas if others.isdisjoint(self._ran_at[one])]
-
-    def _count(self, fingerprint):
-        return len(self._known[fingerprint].replicas)
+        others = culprits - {fingerprint}
+        replicas = self._requests[fingerprint].replicas
+        return [
+            replica
+            for replica in replicas
+            if others.isdisjoint(self._requests_by_replica[replica])
+        ]
+
+    def _crash_count(self, fingerprint):
+        return len(self._requests[fingerprint].replicas)
--- a/sassafrasdoor/requests/executions.py
+++ b/sassafrasdoor/requests/executions.py
@@ -14,7 +14,7 @@
 RETRY_AFTER = 1.0
 # A run ends at its own deadline; whoever waits for it waits a moment longer, to
 # hear how it ended and not that it still runs.
-SETTLE_TIME = 0.2
+OUTCOME_MARGIN = 0.2
 
 REPEATED = metrics.counter(
     "sassafrasdoor_repeated_keys_total", "Requests whose key was here before."
@@ -27,11 +27,11 @@
 class Execution:
     """One keyed request: what it asks, its run, and until when it is kept."""
 
-    __slots__ = ("expires", "fingerprint", "outcome", "task")
+    __slots__ = ("expires_at", "fingerprint", "outcome", "task")
 
-    def __init__(self, fingerprint, expires, task):
+    def __init__(self, fingerprint, expires_at, task):
         self.fingerprint = fingerprint
-        self.expires = expires
+        self.expires_at = expires_at
         self.task = task
         self.outcome = None
 
@@ -39,21 +39,21 @@
 class Executions:
     """The keyed requests of this process, oldest first; bounded by their expiry."""
 
-    __slots__ = ("_bytes", "_kept", "_lifetime")
+    __slots__ = ("_bytes", "_executions", "_lifetime")
 
     def __init__(self, settings):
         self._lifetime = settings.requests.key_lifetime
-        self._kept = OrderedDict()
+        self._executions = OrderedDict()
         self._bytes = 0
 
     def __len__(self):
-        return len(self._kept)
+        return len(self._executions)
 
     def __contains__(self, scope):
         self._forget_expired()
-        return scope in self._kept
+        return scope in self._executions
 
-    async def once(self, scope, request, run):
+    async def run_once(self, scope, request, run):
         """Return the outcome of the one run under ``scope`` (row name, key).
 
         ``run()`` is awaited in a task of its own: a caller who leaves does not
@@ -61,23 +61,23 @@
         """
         self._forget_expired()
         fingerprint = request.fingerprint()
-        execution = self._kept.get(scope)
+        execution = self._executions.get(scope)
         if execution is None:
             if passed(request.deadline):
                 return NotRun("deadline passed", RETRY_AFTER)
-            if len(self._kept) >= MAX_KEYS:
+            if len(self._executions) >= MAX_KEYS:
                 return NotRun("too many keys in use", RETRY_AFTER)
-            execution = self._begin(scope, fingerprint, run)
+            execution = self._start(scope, fingerprint, run)
         else:
             REPEATED.inc({})
         if execution.fingerprint != fingerprint:
             return Conflict("the key was used before for another request")
         return await self._outcome(execution, request)
 
-    def _begin(self, scope, fingerprint, run):
+    def _start(self, scope, fingerprint, run):
         task = asyncio.ensure_future(self._run(scope, run))
         execution = Execution(fingerprint, deadline_in(self._lifetime), task)
-        self._kept[scope] = execution
+        self._executions[scope] = execution
         return execution
 
     async def _run(self, scope, run):
@@ -85,15 +85,15 @@
         try:
             outcome = await run()
         finally:
-            self._settle(scope, outcome)
+            self._record_outcome(scope, outcome)
         return outcome
 
-    def _settle(self, scope, outcome):
-        execution = self._kept[scope]
+    def _record_outcome(self, scope, outcome):
+        execution = self._executions[scope]
         execution.outcome = outcome
         if isinstance(outcome, NotRun):
             # It truly did not run, so the same key may try again here.
-            del self._kept[scope]
+            del self._executions[scope]
         elif isinstance(outcome, Answer):
             self._bytes += len(outcome.body)
             self._make_room()
@@ -102,21 +102,21 @@
         if execution.outcome is not None:
             return execution.outcome
         try:
-            async with asyncio.timeout(remaining(request.deadline) + SETTLE_TIME):
+            async with asyncio.timeout(remaining(request.deadline) + OUTCOME_MARGIN):
                 return await asyncio.shield(execution.task)
         except TimeoutError:
             return Unknown("it still runs")
 
     def _forget_expired(self):
-        while self._kept:
-            scope, oldest = next(iter(self._kept.items()))
-            if not passed(oldest.expires) or oldest.outcome is None:
+        while self._executions:
+            scope, oldest = next(iter(self._executions.items()))
+            if not passed(oldest.expires_at) or oldest.outcome is None:
                 return
-            del self._kept[scope]
+            del self._executions[scope]
             self._drop_answer(oldest)
 
     def _make_room(self):
-        for execution in self._kept.values():
+        for execution in self._executions.values():
             if self._bytes <= MAX_ANSWER_BYTES:
                 return
             if isinstance(execution.outcome, Answer):
--- a/sassafrasdoor/requests/handlers.py
+++ b/sassafrasdoor/requests/handlers.py
@@ -19,16 +19,16 @@
     chunk_document,
     finished_document,
 )
-from sassafrasdoor.requests.streams import Generate
+from sassafrasdoor.requests.streams import GenerateRequest
 
 __all__ = ["RequestsService", "handlers"]
 
 # So much of a body that is too large is read and thrown away, so that its
 # sender gets to read the refusal.
-DISCARDED_BODIES = 16
+DISCARD_LIMIT_FACTOR = 16
 
 OUTCOMES = metrics.counter("sassafrasdoor_outcomes_total", "Outcomes by their name.")
-LEFT = metrics.counter(
+DISCONNECTS = metrics.counter(
     "sassafrasdoor_callers_left_total", "Callers gone before their answer."
 )
 
@@ -50,12 +50,12 @@
         self._requests = requests
         self._row = None
         self._body = bytearray()
-        self._work = None
+        self._task = None
 
     def prepare(self):
         """Check the key and the length."""
         limit = self._requests.settings.requests.body_limit
-        self.request.connection.set_max_body_size(limit * DISCARDED_BODIES)
+        self.request.connection.set_max_body_size(limit * DISCARD_LIMIT_FACTOR)
         self._row = self.application.settings["authorize"](self, self.path_args[0])
         if self._row is None:
             return
@@ -70,9 +70,9 @@
 
     def on_connection_close(self):
         """End the work of a caller who left: it would take capacity for nobody."""
-        LEFT.inc({})
-        if self._work is not None:
-            self._work.cancel()
+        DISCONNECTS.inc({})
+        if self._task is not None:
+            self._task.cancel()
 
     def write_error(self, status_code, **kwargs):
         """Answer a failure without a traceback."""
@@ -84,10 +84,10 @@
         if len(self._body) > self._requests.settings.requests.body_limit:
             self._refuse_body()
             return
-        self._work = asyncio.ensure_future(self._run())
+        self._task = asyncio.ensure_future(self._run())
         with contextlib.suppress(asyncio.CancelledError, StreamClosedError):
-            with self._requests.progress():
-                await self._work
+            with self._requests.track_progress():
+                await self._task
 
     async def _run(self):
         raise NotImplementedError
@@ -99,7 +99,7 @@
 
     @reply.register
     async def _(self, outcome: Answer):
-        self._say(outcome.status, messages.ANSWERED)
+        self._set_outcome(outcome.status, messages.ANSWERED)
         self.clear_header("Content-Type")
         for name, value in reading.returned_headers(outcome.headers):
             self.add_header(name, value)
@@ -129,11 +129,11 @@
         self._refuse(413, messages.REJECTED, f"the body is longer than {limit} bytes")
 
     def _refuse(self, status, name, reason, findings=()):
-        self._say(status, name)
+        self._set_outcome(status, name)
         listed = [finding.as_dict() for finding in findings]
         self.finish({"outcome": name, "reason": reason, "findings": listed})
 
-    def _say(self, status, name):
+    def _set_outcome(self, status, name):
         OUTCOMES.inc({"outcome": name})
         self.set_status(status)
         self.set_header("X-Outcome", name)
@@ -183,7 +183,7 @@
             request = Rejected("the row names no model", [finding])
         if not request:
             await self.reply(request)
-        elif body.stream and not request.once:
+        elif body.stream and not request.is_deduplicated:
             await self._stream(request, body)
         else:
             # A keyed answer is kept, so that asking again gives the same one;
@@ -195,41 +195,41 @@
         if refusal is not None:
             await self.reply(refusal)
             return
-        generate = Generate(
+        generate_request = GenerateRequest(
             request.request_id,
             body.prompt,
             body.max_tokens,
             repeatable=request.repeatable,
             restartable=False,
         )
-        items = self._requests.generate(self._row, generate, request.deadline)
+        items = self._requests.generate(self._row, generate_request, request.deadline)
         async with contextlib.aclosing(items):
-            await self._send(items)
+            await self._send_items(items)
 
-    async def _send(self, items):
+    async def _send_items(self, items):
         started = False
         async for item in items:
             if isinstance(item, Chunk):
-                started = started or self._start()
-                self._line(chunk_document(item))
+                started = started or self._start_stream()
+                self._write_line(chunk_document(item))
                 await self.flush()
             elif isinstance(item, Finished):
-                started = started or self._start()
-                self._line(finished_document(item))
+                started = started or self._start_stream()
+                self._write_line(finished_document(item))
                 OUTCOMES.inc({"outcome": messages.ANSWERED})
                 await self.finish()
             elif isinstance(item, NotRun | Unknown):
-                await (self._cut(item) if started else self.reply(item))
+                await (self._abort_stream(item) if started else self.reply(item))
 
-    def _start(self):
+    def _start_stream(self):
         self.set_header("Content-Type", "application/x-ndjson")
         self.set_header("X-Table-Revision", str(self._requests.view.revision))
         return True
 
-    def _line(self, document):
+    def _write_line(self, document):
         self.write(json.dumps(document) + "\n")
 
-    async def _cut(self, outcome):
+    async def _abort_stream(self, outcome):
         """End a streamed answer that is not whole.
 
         Ended as usual it would look whole to a caller who does not look for the
@@ -237,6 +237,6 @@
         without the end of the chunked body: every client reports that.
         """
         OUTCOMES.inc({"outcome": messages.UNKNOWN})
-        self._line({"outcome": messages.UNKNOWN, "reason": outcome.reason})
+        self._write_line({"outcome": messages.UNKNOWN, "reason": outcome.reason})
         await self.flush()
         self.detach().close()
--- a/sassafrasdoor/requests/issued.py
+++ b/sassafrasdoor/requests/issued.py
@@ -50,20 +50,22 @@
 
     def prefix(self):
         """Return a prefix; with any ending of the caller's it makes a key."""
-        return f"{PREFIX}~{self._instance}~{self.incarnation}~{self._second()}~"
+        return (
+            f"{PREFIX}~{self._instance}~{self.incarnation}~{self._elapsed_seconds()}~"
+        )
 
     def owns(self, issued):
         """Say whether this very process issued the key."""
         return issued.incarnation == self.incarnation
 
-    def lapsed(self, issued):
+    def has_lapsed(self, issued):
         """Say whether the key is too old to be run.
 
         What ran is remembered for a lifetime after its run. A key that could
         be used for longer than that after its issue might run a second time
         once the first is forgotten.
         """
-        return not 0 <= self._second() - issued.second <= self._lifetime
+        return not 0 <= self._elapsed_seconds() - issued.second <= self._lifetime
 
-    def _second(self):
+    def _elapsed_seconds(self):
         return int(now() - self._started)
--- a/sassafrasdoor/requests/messages.py
+++ b/sassafrasdoor/requests/messages.py
@@ -60,7 +60,7 @@
         self.deadline = deadline
 
     @property
-    def once(self):
+    def is_deduplicated(self):
         """Whether its key guards it against running twice."""
         return bool(self.key) and not self.repeatable
 
@@ -79,7 +79,7 @@
     __slots__ = ()
 
 
-def identity(row_name, key):
+def keyed_request_id(row_name, key):
     """Return the name under which backend servers know a keyed request.
 
     The row is part of it: the same key of two rows names two requests.
@@ -121,7 +121,7 @@
     return list(headers.items())
 
 
-def graver(last, outcome):
+def combine_outcomes(last, outcome):
     """Return the outcome of all tries so far, ``last`` being None before the first.
 
     Once one of them may have run, a later one that surely did not cannot make
--- a/sassafrasdoor/requests/peer.py
+++ b/sassafrasdoor/requests/peer.py
@@ -16,7 +16,7 @@
 SCHEMA = capnp.load(str(pathlib.Path(__file__).with_name("peer.capnp")))
 CONNECT_TIMEOUT = 2.0
 # The answer of a run that ends just at its deadline must still come through.
-REPLY_SLACK = 0.5
+REPLY_MARGIN = 0.5
 
 FORWARDED = metrics.counter(
     "sassafrasdoor_forwarded_total", "Keyed requests forwarded to their owner."
@@ -51,12 +51,12 @@
     FORWARDED.inc({})
     link = PeerLink(settings, address, SCHEMA.Requests)
     try:
-        failed = await link.open(min(CONNECT_TIMEOUT, remaining(request.deadline)))
-        if failed is not None:
-            return Unknown(f"the key's owner does not answer: {failed.reason}")
+        failure = await link.open(min(CONNECT_TIMEOUT, remaining(request.deadline)))
+        if failure is not None:
+            return Unknown(f"the key's owner does not answer: {failure.reason}")
         reply = await link.call(
             "run",
-            timeout=remaining(request.deadline) + REPLY_SLACK,
+            timeout=remaining(request.deadline) + REPLY_MARGIN,
             request=request_message(incarnation, row, request),
         )
         if not reply:
@@ -91,7 +91,7 @@
         key=message.key,
         kind=message.kind,
         repeatable=False,
-        request_id=messages.identity(message.row, message.key),
+        request_id=messages.keyed_request_id(message.row, message.key),
         deadline=deadline_in(message.remainingMs / 1000),
     )
 
@@ -133,8 +133,8 @@
     return [{"name": name, "value": value} for name, value in pairs]
 
 
-def _headers_from(listed):
+def _headers_from(entries):
     headers = HTTPHeaders()
-    for header in listed:
+    for header in entries:
         headers.add(header.name, header.value)
     return headers
--- a/sassafrasdoor/requests/reading.py
+++ b/sassafrasdoor/requests/reading.py
@@ -8,7 +8,7 @@
 from sassafrasdoor.headers import ONE_HOP
 from sassafrasdoor.outcomes import Finding, Rejected, findings_of
 from sassafrasdoor.requests import messages
-from sassafrasdoor.requests.messages import Request, identity
+from sassafrasdoor.requests.messages import Request, keyed_request_id
 
 MAX_KEY_LENGTH = 256
 MAX_DEADLINE_DIGITS = 12
@@ -46,8 +46,8 @@
     key = http.headers.get("Idempotency-Key", "")
     if len(key) > MAX_KEY_LENGTH or not key.isascii():
         findings.append(Finding("Idempotency-Key", "too long, or not ASCII"))
-    word = http.headers.get("X-Repeatable", "").lower()
-    if word not in REPEATABLE:
+    repeatable_text = http.headers.get("X-Repeatable", "").lower()
+    if repeatable_text not in REPEATABLE:
         findings.append(Finding("X-Repeatable", "neither yes nor no"))
     if findings:
         return Rejected("the headers are invalid", findings)
@@ -57,8 +57,8 @@
         body=body,
         key=key,
         # What the operators call not repeatable no caller can make repeatable.
-        repeatable=row.repeatable and REPEATABLE[word],
-        request_id=identity(row.name, key) if key else f"r-{uuid.uuid4().hex}",
+        repeatable=row.repeatable and REPEATABLE[repeatable_text],
+        request_id=keyed_request_id(row.name, key) if key else f"r-{uuid.uuid4().hex}",
         deadline=deadline,
         **fields,
     )
@@ -82,7 +82,7 @@
 
 
 def _forwarded(headers):
-    named = {one.strip().lower() for one in headers.get("Connection", "").split(",")}
+    named = {name.strip().lower() for name in headers.get("Connection", "").split(",")}
     dropped = NOT_FORWARDED | named
     return {
         name: value for name, value in headers.items() if name.lower() not in dropped
--- a/sassafrasdoor/requests/service.py
+++ b/sassafrasdoor/requests/service.py
@@ -8,11 +8,11 @@
 from sassafrasdoor.clock import passed
 from sassafrasdoor.outcomes import NotRun, Unknown
 from sassafrasdoor.requests import messages, peer
-from sassafrasdoor.requests.calls import Calls
+from sassafrasdoor.requests.calls import CallRunner
 from sassafrasdoor.requests.claims import Claims
 from sassafrasdoor.requests.executions import Executions
 from sassafrasdoor.requests.issued import Issuer, parse
-from sassafrasdoor.requests.streams import Generate, Restart, Streams
+from sassafrasdoor.requests.streams import GenerateRequest, Restart, StreamRunner
 from sassafrasdoor.view import State
 
 REFUSING_RETRY_AFTER = 0.5
@@ -39,12 +39,12 @@
         self, settings, view_getter, admission, chooser, engine, service, log=None
     ):
         budget = RetryBudget(settings)
-        work = (settings, view_getter, admission, chooser)
+        shared = (settings, view_getter, admission, chooser)
         self.settings = settings
         self._view_getter = view_getter
         self._admission = admission
-        self._calls = Calls(*work, service, budget)
-        self._streams = Streams(*work, engine, budget)
+        self._calls = CallRunner(*shared, service, budget)
+        self._streams = StreamRunner(*shared, engine, budget)
         self._issuer = Issuer(settings)
         self._claims = Claims(settings, log, self._issuer.incarnation) if log else None
         self._executions = Executions(settings)
@@ -63,9 +63,9 @@
         reach another instance after this one has ended, and would be answered
         unknown although it never ran.
         """
-        return "" if self._refusing or self._leaving() else self._issuer.prefix()
+        return "" if self._refusing or self._is_leaving() else self._issuer.prefix()
 
-    def _leaving(self):
+    def _is_leaving(self):
         name = self.settings.instance.name
         return any(
             member.name == name and member.state is State.LEAVING
@@ -90,7 +90,7 @@
         }
 
     @contextlib.contextmanager
-    def progress(self):
+    def track_progress(self):
         """Count one request in progress, up to its last byte to the caller."""
         self._in_progress += 1
         try:
@@ -111,7 +111,7 @@
         refusal = self.refusal(request)
         if refusal is not None:
             return refusal
-        if not request.once:
+        if not request.is_deduplicated:
             return await self._run_here(row, request)
         issued = parse(request.key)
         if issued is None:
@@ -126,52 +126,54 @@
         if incarnation != self._issuer.incarnation or row is None:
             return Unknown("the key's owner is gone")
         issued = parse(request.key)
-        with self.progress():
+        with self.track_progress():
             if issued is not None:
                 return await self._run_issued(row, request, issued)
-            if self._claims and self._claims.owned(row_name, request.key):
-                return await self._once(row, request)
+            if self._claims and self._claims.owns_key(row_name, request.key):
+                return await self._run_once(row, request)
             return Unknown("the key was not claimed here")
 
-    async def generate(self, row, generate, deadline):
+    async def generate(self, row, request, deadline):
         """Yield the items of ``Streams.run`` for a streamed answer."""
         async with contextlib.aclosing(
-            self._streams.run(row, generate, deadline)
+            self._streams.run(row, request, deadline)
         ) as items:
             async for item in items:
                 yield item
 
     async def _run_issued(self, row, request, issued):
-        if self._issuer.lapsed(issued):
+        if self._issuer.has_lapsed(issued):
             return Unknown("the key has lapsed; whether it ran is not kept")
-        return await self._once(row, request)
+        return await self._run_once(row, request)
 
     async def _run_claimed(self, row, request):
         if (row.name, request.key) in self._executions:
-            return await self._once(row, request)
+            return await self._run_once(row, request)
         if self._claims is None:
             return NotRun("caller-chosen keys are not taken here", REFUSING_RETRY_AFTER)
         owner = await self._claims.claim(row.name, request.key, request.deadline)
         if isinstance(owner, NotRun):
             return owner
         if self._claims.owns(owner):
-            return await self._once(row, request)
+            return await self._run_once(row, request)
         return await self._forward(owner, row, request)
 
-    async def _once(self, row, request):
-        return await self._executions.once(
-            (row.name, request.key), request, lambda: self._counted(row, request)
+    async def _run_once(self, row, request):
+        return await self._executions.run_once(
+            (row.name, request.key), request, lambda: self._run_counted(row, request)
         )
 
-    async def _counted(self, row, request):
+    async def _run_counted(self, row, request):
         # Its caller may have left: a planned stop must wait for it all the same.
-        with self.progress():
+        with self.track_progress():
             return await self._run_here(row, request)
 
     async def _forward(self, owner, row, request):
         """Have the key's owner (an ``IssuedKey`` or ``Owner``) run the request."""
         members = self.view.members
-        member = next((one for one in members if one.name == owner.instance), None)
+        member = next(
+            (member for member in members if member.name == owner.instance), None
+        )
         if member is None or not member.peer_address:
             return Unknown("the key's owner is gone")
         return await peer.forward(
@@ -186,7 +188,7 @@
 
     async def _run_generate(self, row, request):
         document = json.loads(request.body)
-        generate = Generate(
+        generate_request = GenerateRequest(
             request.request_id,
             document["prompt"],
             document["max_tokens"],
@@ -195,7 +197,7 @@
         )
         chunks, last = [], None
         async with contextlib.aclosing(
-            self.generate(row, generate, request.deadline)
+            self.generate(row, generate_request, request.deadline)
         ) as items:
             async for last in items:
                 if isinstance(last, Chunk):
--- a/sassafrasdoor/requests/streaming.py
+++ b/sassafrasdoor/requests/streaming.py
@@ -15,7 +15,7 @@
 from sassafrasdoor.requests.crash_watch import CrashWatch, Quarantined
 from sassafrasdoor.table.routes import Repeat
 
-LONGEST_SILENCE = 1.5
+SILENCE_TIMEOUT = 1.5
 """Seconds without an event after which a resumable stream goes on elsewhere: ten times
 the usual pause of 150 ms, and sooner than callers give up (2 s)."""
 
@@ -30,20 +30,20 @@
         """Send the head, of status 200; ``headers`` are pairs."""
 
     @abstractmethod
-    async def pass_on(self, block):
+    async def send_event(self, block):
         """Send a whole event; returns when there is room for more."""
 
 
-class _Passing:
+class _StreamRelay:
     """What of a stream has been passed on; ``last`` is the last event's number."""
 
-    __slots__ = ("_caller", "_headers", "begun", "last", "timeout")
+    __slots__ = ("_caller", "_headers", "begun", "last_event", "timeout")
 
     def __init__(self, caller):
         self._caller = caller
         self._headers = None
         self.begun = False
-        self.last = None
+        self.last_event = None
         self.timeout = None
 
     def head(self, headers):
@@ -54,12 +54,12 @@
     async def event(self, number, block):
         """Pass an event on, after the head."""
         # Time in which the caller does not read is no silence of the replica.
-        self.rest()
+        self.stop_timeout()
         await self.begin()
-        await self._caller.pass_on(block)
+        await self._caller.send_event(block)
         if number is not None:
-            self.last = number
-        self.expect_more()
+            self.last_event = number
+        self.restart_timeout()
 
     async def begin(self):
         """Send the head unless it is sent."""
@@ -67,27 +67,27 @@
             self.begun = True
             await self._caller.begin(self._headers)
 
-    def rest(self):
+    def stop_timeout(self):
         """Let no time limit run."""
         if self.timeout is not None:
             self.timeout.reschedule(None)
 
-    def expect_more(self):
+    def restart_timeout(self):
         """Let the limit for silence run anew."""
         if self.timeout is not None:
-            at = asyncio.get_running_loop().time() + LONGEST_SILENCE
+            at = asyncio.get_running_loop().time() + SILENCE_TIMEOUT
             self.timeout.reschedule(at)
 
 
 class StreamService:
     """Passes replicas' streams on to callers."""
 
-    __slots__ = ("_client", "_crashes", "_replicas")
+    __slots__ = ("_client", "_crash_watch", "_replicas")
 
-    def __init__(self, client, replicas, crashes=None):
+    def __init__(self, client, replicas, crash_watch=None):
         self._client = client
         self._replicas = replicas
-        self._crashes = crashes or CrashWatch(client, replicas)
+        self._crash_watch = crash_watch or CrashWatch(client, replicas)
 
     async def answer(self, request, caller):
         """Pass a stream on; return True when it is whole.
@@ -96,60 +96,60 @@
         also come after the ``StreamCaller`` was sent a part.
         """
         attempts = Attempts(request)
-        passing = _Passing(caller)
+        relay = _StreamRelay(caller)
         try:
             async with asyncio.timeout_at(request.deadline):
-                result = await self._run(attempts, passing)
+                result = await self._run(attempts, relay)
         except TimeoutError:
-            result = attempts.out_of_time()
+            result = attempts.timeout_outcome()
         outcome = "whole" if result is True else type(result).__name__
         STREAMS.inc({"outcome": outcome})
         return result
 
-    async def _run(self, attempts, passing):
+    async def _run(self, attempts, relay):
         last = None
         while attempts.may_send:
-            refusal = self._crashes.refusal(attempts.request)
+            refusal = self._crash_watch.refusal(attempts.request)
             if refusal is not None:
                 last = refusal
                 break
             replica = self._replicas.choose(attempts.service, attempts.tried)
             if replica is None:
                 break
-            result = await self._attempt(attempts, passing, replica)
+            result = await self._attempt(attempts, relay, replica)
             # Only now: at the deadline, what is running counts as perhaps run.
             attempts.running.clear()
             if result is True:
-                self._crashes.judged(attempts.request, replica, result)
+                self._crash_watch.record_result(attempts.request, replica, result)
                 replica.state.answered()
                 attempts.answered(200)
                 return True
-            last = attempts.judge(replica, result)
-            self._crashes.judged(attempts.request, replica, last)
+            last = attempts.record_outcome(replica, result)
+            self._crash_watch.record_result(attempts.request, replica, last)
             if isinstance(last, Answer) and last.status < SERVER_ERROR:
                 break
-        if passing.begun:
+        if relay.begun:
             reason = getattr(last, "reason", "") or "no replica goes on"
             return attempts.give_up(Unknown(f"stream cut: {reason}"))
         if isinstance(last, Quarantined):
             return attempts.give_up(last)
-        return attempts.final(last)
+        return attempts.final_outcome(last)
 
-    async def _attempt(self, attempts, passing, replica):
-        call = attempts.sending(replica, "resumed" if passing.begun else "first")
-        call.after = passing.last
+    async def _attempt(self, attempts, relay, replica):
+        call = attempts.begin_send(replica, "resumed" if relay.begun else "first")
+        call.after = relay.last_event
         resumable = attempts.request.route.repeat is Repeat.RESUME
-        silence = LONGEST_SILENCE if resumable else None
+        silence = SILENCE_TIMEOUT if resumable else None
         attempts.running[asyncio.current_task()] = replica
         replica.state.started()
         try:
             async with asyncio.timeout(silence) as timeout:
-                passing.timeout = timeout if resumable else None
-                result = await self._client.stream(replica, call, passing)
+                relay.timeout = timeout if resumable else None
+                result = await self._client.stream(replica, call, relay)
                 if result is True:
                     # A stream may be whole without any event.
-                    passing.rest()
-                    await passing.begin()
+                    relay.stop_timeout()
+                    await relay.begin()
                 return result
         except TimeoutError:
             return Broken("stream went silent", began=True)
--- a/sassafrasdoor/requests/streams.py
+++ b/sassafrasdoor/requests/streams.py
@@ -14,11 +14,11 @@
 from sassafrasdoor.clock import passed
 from sassafrasdoor.events import EVENTS
 from sassafrasdoor.outcomes import NotRun, Unavailable, Unknown
-from sassafrasdoor.requests.messages import graver
+from sassafrasdoor.requests.messages import combine_outcomes
 
 MAX_TRIES = 3
 MAX_RESUMES = 5
-CANCEL_PAUSES = (0.0, 1.0)
+CANCEL_DELAYS = (0.0, 1.0)
 RESUME_DELAY = 0.1
 RETRY_AFTER = 1.0
 
@@ -28,7 +28,7 @@
 )
 
 
-class Generate:
+class GenerateRequest:
     """What a caller asks an engine to write."""
 
     __slots__ = ("max_tokens", "prompt", "repeatable", "restartable", "stream")
@@ -43,7 +43,7 @@
         self.restartable = restartable
 
 
-class Streams:
+class StreamRunner:
     """Runs streams of applications on model engines."""
 
     __slots__ = (
@@ -65,7 +65,7 @@
         self._budget = budget
         self._cancels = set()
 
-    async def run(self, row, generate, deadline):
+    async def run(self, row, request, deadline):
         """Yield ``Chunk``s, then one ``Finished``, ``NotRun`` or ``Unknown``.
 
         A ``Restart`` among them takes back all chunks before it. Closing the
@@ -77,45 +77,45 @@
             return
         with permit:
             async with contextlib.aclosing(
-                self._tries(row, generate, deadline)
+                self._run_attempts(row, request, deadline)
             ) as items:
                 async for item in items:
                     yield item
 
-    async def _tries(self, row, generate, deadline):
+    async def _run_attempts(self, row, request, deadline):
         self._budget.earned()
         tried, last = [], None
         while True:
-            backend = self._choose(row, generate, tried)
+            backend = self._choose(row, request, tried)
             if backend and passed(deadline):
                 backend = NotRun("deadline passed", RETRY_AFTER)
             if not backend:
-                yield graver(last, backend)
+                yield combine_outcomes(last, backend)
                 return
-            attempt = _Attempt(self, backend, row, generate, deadline)
+            attempt = _Attempt(self, backend, row, request, deadline)
             async with contextlib.aclosing(attempt.items()) as items:
                 async for item in items:
                     yield item
             tried.append(backend.name)
-            last = graver(last, attempt.outcome)
-            if last or not self._may_retry(last, attempt.offset, generate, tried):
+            last = combine_outcomes(last, attempt.outcome)
+            if last or not self._may_retry(last, attempt.offset, request, tried):
                 yield last
                 return
             yield Restart()
 
-    def _choose(self, row, generate, tried):
+    def _choose(self, row, request, tried):
         return self._chooser.choose(
             self._view_getter(),
             row.service,
             row.model,
-            affinity=prefix_key(generate.prompt),
+            affinity=prefix_key(request.prompt),
             exclude=tried,
         )
 
-    def _may_retry(self, last, offset, generate, tried):
-        allowed = isinstance(last, NotRun) or generate.repeatable
-        kept = offset > 0 and not generate.restartable
-        if not allowed or kept or len(tried) >= MAX_TRIES:
+    def _may_retry(self, last, offset, request, tried):
+        allowed = isinstance(last, NotRun) or request.repeatable
+        is_delivered = offset > 0 and not request.restartable
+        if not allowed or is_delivered or len(tried) >= MAX_TRIES:
             return False
         return self._budget.spend()
 
@@ -133,11 +133,11 @@
     async def _cancel(self, backend, stream):
         # Said again after a while: the first may be lost, or overtake an order
         # that is still on its way, and the engine would then start the stream.
-        for pause in CANCEL_PAUSES:
+        for pause in CANCEL_DELAYS:
             await asyncio.sleep(pause)
             await self._engine.cancel(backend, stream)
 
-    async def has(self, backend, stream):
+    async def has_stream(self, backend, stream):
         """Say whether the engine still has the stream; ``Unavailable`` if unsure."""
         states = await self._engine.streams(backend, stream)
         if isinstance(states, Unavailable):
@@ -172,17 +172,24 @@
     ``outcome`` is ``Finished``, ``NotRun`` or ``Unknown`` once ``items`` ended.
     """
 
-    __slots__ = ("_backend", "_began", "_deadline", "_generate", "_last", "_resumes")
+    __slots__ = (
+        "_backend",
+        "_began",
+        "_deadline",
+        "_request",
+        "_last_item",
+        "_resumes",
+    )
     __slots__ += ("_row", "_streams", "offset", "outcome")
 
-    def __init__(self, streams, backend, row, generate, deadline):
+    def __init__(self, streams, backend, row, request, deadline):
         self._streams = streams
         self._backend = backend
         self._row = row
-        self._generate = generate
+        self._request = request
         self._deadline = deadline
         self._began = False
-        self._last = None
+        self._last_item = None
         self._resumes = 0
         self.offset = 0
         self.outcome = None
@@ -193,15 +200,15 @@
         chooser.started(self._backend)
         try:
             while self.outcome is None:
-                async with contextlib.aclosing(self._connection()) as chunks:
+                async with contextlib.aclosing(self._read_connection()) as chunks:
                     async for chunk in chunks:
                         yield chunk
         finally:
-            chooser.finished(self._backend, self._last)
-            if self._may_run_on():
-                self._streams.cancel(self._backend, self._generate.stream)
+            chooser.finished(self._backend, self._last_item)
+            if self._may_still_run():
+                self._streams.cancel(self._backend, self._request.stream)
 
-    def _may_run_on(self):
+    def _may_still_run(self):
         """Say whether the engine may go on with the stream for nobody.
 
         A caller may leave after the engine has begun and before its first chunk
@@ -209,7 +216,7 @@
         """
         return self.outcome is None or (self._began and not self.outcome)
 
-    async def _connection(self):
+    async def _read_connection(self):
         """Yield chunks from one connection and settle what comes after it."""
         last = Broken("the stream ended without its last line")
         items = self._streams.engine.stream(self._backend, self._order())
@@ -224,15 +231,15 @@
                     break
                 self.offset += item.tokens
                 yield item
-        await self._settle(last)
+        await self._handle_end(last)
 
     def _order(self):
         requests = self._streams.settings.requests
         return StreamOrder(
-            self._generate.stream,
+            self._request.stream,
             self._row.model,
-            self._generate.prompt,
-            self._generate.max_tokens,
+            self._request.prompt,
+            self._request.max_tokens,
             priority=self._row.priority,
             offset=self.offset,
             first_byte_timeout=requests.first_byte_timeout,
@@ -240,8 +247,8 @@
             deadline=self._deadline,
         )
 
-    async def _settle(self, last):
-        self._last = last
+    async def _handle_end(self, last):
+        self._last_item = last
         if isinstance(last, Finished):
             # A last line that tells another length than was received belongs to
             # something else; passed on, the caller would hold a part as whole.
@@ -263,14 +270,16 @@
         """
         while self._resumes < MAX_RESUMES and not passed(self._deadline):
             self._resumes += 1
-            found = await self._streams.has(self._backend, self._generate.stream)
-            if found is True:
+            is_held = await self._streams.has_stream(
+                self._backend, self._request.stream
+            )
+            if is_held is True:
                 RESUMES.inc({})
                 EVENTS.add(
                     "stream-resumed", row=self._row.name, backend=self._backend.name
                 )
                 return True
-            if found is False:
+            if is_held is False:
                 return False
             await asyncio.sleep(RESUME_DELAY * self._resumes)
         return False
--- a/sassafrasdoor/requests/tests/cases.py
+++ b/sassafrasdoor/requests/tests/cases.py
@@ -5,34 +5,36 @@
 from sassafrasdoor.cluster import KEYS, Cluster
 from sassafrasdoor.support import until
 
-QUICK = {
+SHORT_TIMEOUTS = {
     "requests": {"first_byte_timeout": 1.5, "gap_timeout": 0.7},
     "admission": {"grant_duration": 1.5},
 }
-ASK = {"prompt": "how many spaces are free", "max_tokens": 40}
+GENERATE_BODY = {"prompt": "how many spaces are free", "max_tokens": 40}
 
 
 class ProcessCase(unittest.IsolatedAsyncioTestCase):
     """A cluster for each test, with what all tests ask of it."""
 
-    async def cluster(self, settings=QUICK, **counts):
+    async def cluster(self, settings=SHORT_TIMEOUTS, **counts):
         """Start a cluster whose instances have slots to give."""
         cluster = await self.enterAsyncContext(Cluster(settings))
         await cluster.start(**counts)
         self.cluster = cluster
         for instance in cluster.instances:
             for row in ("idempotent", "chat"):
-                await until(lambda one=instance, row=row: self.served(one, row))
+                await until(
+                    lambda instance=instance, row=row: self.is_served(instance, row)
+                )
         return cluster
 
-    async def served(self, instance, row):
+    async def is_served(self, instance, row):
         """Say whether an instance has slots for a row's service."""
         if row == "chat":
             status, _ = await self.generate(instance)
             return status == 200
-        return (await self.ask(instance, "idempotent")).code == 200
+        return (await self.send_request(instance, "idempotent")).code == 200
 
-    async def ask(self, instance, row, key="", body=None, **headers):
+    async def send_request(self, instance, row, key="", body=None, **headers):
         """Call a row's service at one instance."""
         sent = {name.replace("_", "-"): value for name, value in headers.items()}
         if key:
@@ -47,15 +49,15 @@
         return await self.cluster.post(
             instance.address,
             "/v1/generate/chat",
-            {**ASK, **fields},
+            {**GENERATE_BODY, **fields},
             KEYS["chat"],
             headers,
         )
 
     async def prefix(self, instance):
         """Return a prefix for keys that this instance alone runs."""
-        _, found = await self.cluster.get(instance.address, "/v1/addresses?row=once")
-        return found["key_prefix"]
+        _, answer = await self.cluster.get(instance.address, "/v1/addresses?row=once")
+        return answer["key_prefix"]
 
     async def runs(self, request_id):
         """Return how often the services ran a request."""
@@ -71,7 +73,7 @@
             if name.startswith("service"):
                 await self.cluster.faults(name, **faults)
 
-    async def busy(self, name):
+    async def running_calls(self, name):
         """Say whether a service runs something now, by its load report."""
         address = self.cluster.backends[name].ready["address"]
         _, load = await self.cluster.get(address, "/load")
--- a/sassafrasdoor/requests/tests/fakes.py
+++ b/sassafrasdoor/requests/tests/fakes.py
@@ -24,9 +24,9 @@
 
 def settings(**sections):
     """Return settings with some sections changed."""
-    made = from_document(sections)
-    assert made, made.findings
-    return made
+    result = from_document(sections)
+    assert result, result.findings
+    return result
 
 
 def row_document(name, **fields):
@@ -37,9 +37,9 @@
 
 def table(*rows):
     """Return a table of row documents."""
-    made = table_from({"rows": list(rows)})
-    assert made, made.findings
-    return made
+    result = table_from({"rows": list(rows)})
+    assert result, result.findings
+    return result
 
 
 def backends(count, kind="service", **fields):
--- a/sassafrasdoor/requests/tests/test_calls.py
+++ b/sassafrasdoor/requests/tests/test_calls.py
@@ -8,7 +8,7 @@
 from sassafrasdoor.backends.interface import Answer, Broken
 from sassafrasdoor.clock import deadline_in
 from sassafrasdoor.outcomes import NotRun, Unknown
-from sassafrasdoor.requests.calls import Calls
+from sassafrasdoor.requests.calls import CallRunner
 from sassafrasdoor.requests.messages import Request
 from sassafrasdoor.requests.tests.fakes import FakeService, settings, view
 from sassafrasdoor.routing.chooser import Chooser
@@ -20,21 +20,29 @@
 
 
 class CallsTest(unittest.IsolatedAsyncioTestCase):
-    def calls(self, service, seen, **sections):
+    def calls(self, service, current_view, **sections):
         """Return the runner of calls over a fake service."""
-        made = settings(**sections)
-        self.chooser = Chooser(made)
-        self.admission = Admission(made)
-        work = (made, lambda: seen, self.admission, self.chooser, service)
-        return Calls(*work, RetryBudget(made))
+        test_settings = settings(**sections)
+        self.chooser = Chooser(test_settings)
+        self.admission = Admission(test_settings)
+        work = (
+            test_settings,
+            lambda: current_view,
+            self.admission,
+            self.chooser,
+            service,
+        )
+        return CallRunner(*work, RetryBudget(test_settings))
 
-    async def run_one(self, service, seen=None, within=10.0, **fields):
+    async def run_one(self, service, current_view=None, within=10.0, **fields):
         """Run one request and return its outcome."""
-        seen = seen or view(count=len(service.script))
+        current_view = current_view or view(count=len(service.script))
         request = Request(
             "POST", "/x", request_id="id", deadline=deadline_in(within), **fields
         )
-        return await self.calls(service, seen).run(seen.row("app"), request)
+        return await self.calls(service, current_view).run(
+            current_view.row("app"), request
+        )
 
     async def test_table_of_faults(self):
         """Symptom: a payment is booked twice, or a refusal is a lie.
@@ -87,8 +95,8 @@
         arrival.
         """
         service = FakeService(b0=OK)
-        seen = view(count=1)
-        calls = self.calls(service, seen)
+        current_view = view(count=1)
+        calls = self.calls(service, current_view)
         request = Request("POST", "/x", request_id="id", deadline=deadline_in(60))
         choose = Chooser.choose
 
@@ -98,22 +106,22 @@
 
         Chooser.choose = slow_choose
         self.addCleanup(setattr, Chooser, "choose", choose)
-        outcome = await calls.run(seen.row("app"), request)
+        outcome = await calls.run(current_view.row("app"), request)
         self.assertIsInstance(outcome, NotRun)
         self.assertEqual(service.calls, [])
 
-    async def test_caller_that_leaves_frees_slot_and_server(self):
+    async def test_disconnected_caller_frees_slot_and_server(self):
         service = FakeService(b0=OK)
         service.gate = asyncio.Event()
-        seen = view(count=1)
-        calls = self.calls(service, seen)
+        current_view = view(count=1)
+        calls = self.calls(service, current_view)
         request = Request("POST", "/x", request_id="id", deadline=deadline_in(60))
-        task = asyncio.ensure_future(calls.run(seen.row("app"), request))
+        task = asyncio.ensure_future(calls.run(current_view.row("app"), request))
         await until(lambda: service.calls)
-        self.assertEqual(self.chooser.in_flight(seen.backends[0]), 1)
+        self.assertEqual(self.chooser.in_flight(current_view.backends[0]), 1)
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
-        self.assertEqual(self.chooser.in_flight(seen.backends[0]), 0)
+        self.assertEqual(self.chooser.in_flight(current_view.backends[0]), 0)
         self.assertEqual(self.admission.in_use(), {})
 
     async def test_first_try_leaves_time_for_a_second(self):
@@ -131,12 +139,14 @@
         many others are.
         """
         service = FakeService(b0=CUT, b1=CUT, b2=CUT)
-        seen = view(count=3)
-        calls = self.calls(service, seen, routing={"suspect_backend_for": 0.001})
+        current_view = view(count=3)
+        calls = self.calls(
+            service, current_view, routing={"suspect_backend_for": 0.001}
+        )
         for number in range(200):
             request = Request("GET", "/", request_id=str(number))
             request.deadline = deadline_in(10)
-            await calls.run(seen.row("app"), request)
+            await calls.run(current_view.row("app"), request)
         self.assertLess(len(service.calls), 200 * 1.2)
 
 
--- a/sassafrasdoor/requests/tests/test_claims.py
+++ b/sassafrasdoor/requests/tests/test_claims.py
@@ -12,7 +12,7 @@
 from sassafrasdoor.outcomes import NotRun, Unknown
 from sassafrasdoor.requests import claims as claims_module
 from sassafrasdoor.requests.claims import ClaimStream, Owner
-from sassafrasdoor.requests.messages import Conflict, identity
+from sassafrasdoor.requests.messages import Conflict, keyed_request_id
 from sassafrasdoor.requests.tests.fakes import (
     FakeService,
     row_document,
@@ -59,10 +59,10 @@
         owner = await stream.claim(name, deadline_in(within))
         return getattr(owner, "instance", owner)
 
-    async def test_first_offset_wins_for_everybody(self):
+    async def test_first_offset_wins_for_all_instances(self):
         log = MemoryLog(stride=3)
         streams = [stream_of(log, name) for name in "abc"]
-        owners = await asyncio.gather(*[self.claim(one) for one in streams])
+        owners = await asyncio.gather(*[self.claim(stream) for stream in streams])
         self.assertEqual(len(set(owners)), 1)
         late = stream_of(log, "late")
         self.assertEqual(await self.claim(late), owners[0])
@@ -93,13 +93,13 @@
                     self.assertEqual(await self.claim(stream_of(log, "b")), expected)
                     self.assertEqual(log.appends, 2)
 
-    async def test_lost_reply_of_a_second_claim_does_not_steal(self):
+    async def test_lost_reply_of_a_second_claim_keeps_the_owner(self):
         log = MemoryLog()
         await self.claim(stream_of(log, "a"))
         log.lose_replies = 1
         self.assertEqual(await self.claim(stream_of(log, "b")), "a")
 
-    async def test_append_that_never_shows_is_not_run(self):
+    async def test_append_that_cannot_be_read_is_not_run(self):
         log = LaggingLog(lag=10**9)
         with mock.patch.object(claims_module, "FIND_TIMEOUT", 0.05):
             stream = stream_of(log)
@@ -114,7 +114,7 @@
         await asyncio.gather(*[self.claim(stream, name) for name in names])
         self.assertLess(log.appends, 10)
 
-    async def test_records_that_are_no_longer_kept_and_garbage(self):
+    async def test_expired_and_malformed_records_are_skipped(self):
         log = MemoryLog()
         for body in (None, [], {"kind": "claims"}, {"kind": "claims", "names": [1]}):
             await log.append("claims-0", body)
@@ -142,55 +142,55 @@
         log = log or MemoryLog()
         service = FakeService(**script)
         rows = [row_document(name, repeatable=False) for name in ("once", "other")]
-        seen = view(*rows, count=2)
-        made = [Instance(name, service, seen, log) for name in ("a", "b")]
-        seen.members = [await instance.listen() for instance in made]
-        return log, service, made
+        current_view = view(*rows, count=2)
+        instances = [Instance(name, service, current_view, log) for name in ("a", "b")]
+        current_view.members = [await instance.listen() for instance in instances]
+        return log, service, instances
 
-    async def close(self, made):
+    async def close(self, instances):
         """End the listeners."""
-        for instance in made:
+        for instance in instances:
             await instance.peers.close()
 
     async def test_same_key_everywhere_at_once_runs_once(self):
         async with capnp.kj_loop():
-            _, service, made = await self.cluster()
-            asked = [one.ask(KEY) for one in made * 3]
-            outcomes = await asyncio.gather(*asked)
+            _, service, instances = await self.cluster()
+            pending = [instance.send_request(KEY) for instance in instances * 3]
+            outcomes = await asyncio.gather(*pending)
             bodies = {outcome.body for outcome in outcomes}
-            self.assertEqual(bodies, {identity("once", KEY).encode()})
+            self.assertEqual(bodies, {keyed_request_id("once", KEY).encode()})
             self.assertEqual(sum(service.ran.values()), 1)
-            await self.close(made)
+            await self.close(instances)
 
-    async def test_log_down_is_not_run_but_known_answers_are_given(self):
+    async def test_log_outage_refuses_new_keys_and_returns_kept_answers(self):
         async with capnp.kj_loop():
-            log, service, made = await self.cluster()
-            await made[0].ask(KEY)
+            log, service, instances = await self.cluster()
+            await instances[0].send_request(KEY)
             log.down = True
-            self.assertIsInstance(await made[0].ask(KEY), Answer)
-            self.assertIsInstance(await made[1].ask("new"), NotRun)
+            self.assertIsInstance(await instances[0].send_request(KEY), Answer)
+            self.assertIsInstance(await instances[1].send_request("new"), NotRun)
             self.assertEqual(sum(service.ran.values()), 1)
-            await self.close(made)
+            await self.close(instances)
 
     async def test_claimant_gone_is_unknown(self):
         async with capnp.kj_loop():
-            _, service, made = await self.cluster()
-            await made[0].ask(KEY)
-            await made[0].peers.close()
-            self.assertIsInstance(await made[1].ask(KEY), Unknown)
+            _, service, instances = await self.cluster()
+            await instances[0].send_request(KEY)
+            await instances[0].peers.close()
+            self.assertIsInstance(await instances[1].send_request(KEY), Unknown)
             self.assertEqual(sum(service.ran.values()), 1)
-            await made[1].peers.close()
+            await instances[1].peers.close()
 
     async def test_rows_and_bodies_do_not_mix(self):
         async with capnp.kj_loop():
-            _, service, made = await self.cluster()
-            first = await made[0].ask(KEY, row="once")
-            second = await made[1].ask(KEY, row="other")
+            _, service, instances = await self.cluster()
+            first = await instances[0].send_request(KEY, row="once")
+            second = await instances[1].send_request(KEY, row="other")
             self.assertNotEqual(first.body, second.body)
-            conflict = await made[1].ask(KEY, row="once", body=b"other")
+            conflict = await instances[1].send_request(KEY, row="once", body=b"other")
             self.assertIsInstance(conflict, Conflict)
             self.assertEqual(len(service.calls), 2)
-            await self.close(made)
+            await self.close(instances)
 
     async def test_frozen_between_claim_and_dispatch(self):
         """Symptom: a call runs minutes after its caller was told unknown.
@@ -200,8 +200,8 @@
         look at the deadline again. It may run the key only when asked anew.
         """
         async with capnp.kj_loop():
-            _, service, made = await self.cluster()
-            first, second = made
+            _, service, instances = await self.cluster()
+            first, second = instances
             late = request(KEY, within=60.0)
             claim = first.requests._claims.claim
 
@@ -211,13 +211,13 @@
                 return owner
 
             with mock.patch.object(claims_module.Claims, "claim", side_effect=frozen):
-                outcome = await first.requests.run(first.seen.row("once"), late)
+                outcome = await first.requests.run(first.current_view.row("once"), late)
             self.assertIsInstance(outcome, NotRun)
             self.assertEqual(service.calls, [])
-            self.assertIsInstance(await second.ask(KEY), Answer)
-            self.assertIsInstance(await first.ask(KEY), Answer)
+            self.assertIsInstance(await second.send_request(KEY), Answer)
+            self.assertIsInstance(await first.send_request(KEY), Answer)
             self.assertEqual(len(service.calls), 1)
-            await self.close(made)
+            await self.close(instances)
 
 
 if __name__ == "__main__":
--- a/sassafrasdoor/requests/tests/test_crash_watch.py
+++ b/sassafrasdoor/requests/tests/test_crash_watch.py
@@ -22,7 +22,7 @@
 from sassafrasdoor.steps.durable.tests.fixtures import replicas, route
 
 DOWN = Refused("nobody listens")
-PATIENCE = 20.0
+CONDITION_TIMEOUT = 20.0
 CRASHED = "replica.crashed"
 
 
@@ -31,72 +31,72 @@
 
     def __init__(self, *answers):
         self.answers = list(answers)
-        self.looks = 0
+        self.probes = 0
 
     async def reach(self, replica):
-        self.looks += 1
+        self.probes += 1
         return self.answers.pop(0) if len(self.answers) > 1 else self.answers[0]
 
 
 class CrashWatchTest(unittest.IsolatedAsyncioTestCase):
     def setUp(self):
         self.replicas = replicas(2)
-        self.one = self.replicas.get("e0")
-        lines = mock.patch.object(module, "note")
-        self.note = lines.start()
-        self.addCleanup(lines.stop)
+        self.replica = self.replicas.get("e0")
+        note_patch = mock.patch.object(module, "note")
+        self.note = note_patch.start()
+        self.addCleanup(note_patch.stop)
 
     def watch(self, *answers):
         self.client = Client(*answers)
         return CrashWatch(self.client, self.replicas)
 
-    def broke(self, watch, request_id="r1", path="/p"):
+    def break_connection(self, watch, request_id="r1", path="/p"):
         request = direct_request(route(), request_id=request_id, path=path)
-        self.one.state.failed(1.0)
-        watch.judged(request, self.one, LOST)
+        self.replica.state.failed(1.0)
+        watch.record_result(request, self.replica, LOST)
 
-    def seen(self):
+    def crashed_requests(self):
         """Return the requests of each crash that was found."""
         notes = self.note.call_args_list
-        return [one.kwargs["requests"] for one in notes if one.args == (CRASHED,)]
+        return [call.kwargs["requests"] for call in notes if call.args == (CRASHED,)]
 
     async def until(self, condition):
-        limit = deadline_in(PATIENCE)
+        limit = deadline_in(CONDITION_TIMEOUT)
         while not condition():
             self.assertFalse(passed(limit), "condition never came true")
             await asyncio.sleep(0.005)
 
-    async def test_replica_that_nobody_listens_for_has_crashed(self):
+    async def test_replica_that_refuses_connections_has_crashed(self):
         watch = self.watch(DOWN)
-        self.broke(watch)
-        self.broke(watch, "r2", "/q")
-        await self.until(lambda: self.seen() == [["r1", "r2"]])
-        self.assertEqual(self.client.looks, 1)
+        self.break_connection(watch)
+        self.break_connection(watch, "r2", "/q")
+        await self.until(lambda: self.crashed_requests() == [["r1", "r2"]])
+        self.assertEqual(self.client.probes, 1)
 
     async def test_replica_that_stops_listening_soon_after_has_crashed(self):
-        self.broke(self.watch(True, DOWN))
-        await self.until(lambda: self.seen() == [["r1"]])
+        self.break_connection(self.watch(True, DOWN))
+        await self.until(lambda: self.crashed_requests() == [["r1"]])
 
-    async def test_replica_whose_entry_ends_has_crashed(self):
-        self.broke(self.watch(Broken("connect timeout", began=False)))
+    async def test_replica_whose_listing_ends_has_crashed(self):
+        self.break_connection(self.watch(Broken("connect timeout", began=False)))
         self.replicas.unlisted("e0")
-        await self.until(lambda: self.seen() == [["r1"]])
+        await self.until(lambda: self.crashed_requests() == [["r1"]])
 
     async def test_replica_that_listens_or_answers_again_has_not_crashed(self):
         watch = self.watch(True)
-        self.broke(watch)
-        await self.until(lambda: not watch.looking)
+        self.break_connection(watch)
+        await self.until(lambda: not watch.is_checking)
         self.client.answers = [Broken("connect timeout", began=False)]
-        self.broke(watch)
-        self.one.state.answered()
-        await self.until(lambda: not watch.looking)
-        self.assertEqual(self.seen(), [])
+        self.break_connection(watch)
+        self.replica.state.answered()
+        await self.until(lambda: not watch.is_checking)
+        self.assertEqual(self.crashed_requests(), [])
 
-    async def test_only_a_connection_that_broke_is_looked_after(self):
+    async def test_only_broken_connections_are_checked(self):
         watch = self.watch(DOWN)
         for result in (OK, ERROR, FULL, NOT_SENT):
-            watch.judged(direct_request(route()), self.one, result)
-        self.assertFalse(watch.looking)
+            watch.record_result(direct_request(route()), self.replica, result)
+        self.assertFalse(watch.is_checking)
 
 
 class Log:
@@ -129,7 +129,7 @@
 
     async def asyncSetUp(self):
         self.tasks = [
-            asyncio.ensure_future(one.run()) for one in (self.here, self.there)
+            asyncio.ensure_future(watch.run()) for watch in (self.here, self.there)
         ]
 
     async def asyncTearDown(self):
@@ -137,7 +137,7 @@
             task.cancel()
 
     async def until(self, condition):
-        limit = deadline_in(PATIENCE)
+        limit = deadline_in(CONDITION_TIMEOUT)
         while not condition():
             self.assertFalse(passed(limit), "condition never came true")
             await asyncio.sleep(0.005)
@@ -146,35 +146,42 @@
         for name in names:
             replica = self.replicas.get(name)
             replica.state.failed(1.0)
-            watch.judged(self.request, replica, LOST)
-        await self.until(lambda: not watch.looking)
+            watch.record_result(self.request, replica, LOST)
+        await self.until(lambda: not watch.is_checking)
 
-    async def tell_all(self):
+    async def deliver_records(self):
         """Hand every record to both, as the topic's readers do."""
-        await self.until(lambda: not (self.here.telling or self.there.telling))
+        await self.until(
+            lambda: (
+                not (
+                    self.here.has_unpublished_records
+                    or self.there.has_unpublished_records
+                )
+            )
+        )
         for watch in (self.here, self.there):
             for key, value in self.log.values.items():
-                watch.take(key, value)
+                watch.apply_record(key, value)
 
     async def test_crashes_seen_by_several_instances_count_together(self):
         await self.crash(self.here, "e0", "e1")
         await self.crash(self.there, "e2")
         self.assertIsNone(self.here.refusal(self.request))
-        await self.tell_all()
+        await self.deliver_records()
         for watch in (self.here, self.there):
             self.assertIsInstance(watch.refusal(self.request), Quarantined)
         other = direct_request(route(), path="/other")
         self.assertIsNone(self.here.refusal(other))
 
-    async def test_instance_that_starts_later_knows_what_crashes_replicas(self):
+    async def test_new_instance_learns_crashes_from_the_log(self):
         await self.crash(self.here, "e0", "e1", "e2")
-        await self.until(lambda: not self.here.telling)
+        await self.until(lambda: not self.here.has_unpublished_records)
         later = CrashWatch(self.client, self.replicas)
         for key, value in self.log.values.items():
-            later.take(key, value)
+            later.apply_record(key, value)
         self.assertIsInstance(later.refusal(self.request), Quarantined)
 
-    async def test_replica_that_starts_again_under_its_identity_is_another(self):
+    async def test_restarted_replica_counts_as_another_crash(self):
         for born in range(1, 4):
             at = self.replicas.get("e0").listing
             listing = Listing(at.service, at.address, at.zone, 4, False, {}, born)
@@ -182,38 +189,38 @@
             await self.crash(self.here, "e0")
         self.assertIsInstance(self.here.refusal(self.request), Quarantined)
 
-    async def test_crashes_are_told_once_the_log_is_back(self):
+    async def test_crashes_are_published_once_the_log_recovers(self):
         self.log.failures = 2
         await self.crash(self.here, "e0", "e1", "e2")
         self.assertIsInstance(self.here.refusal(self.request), Quarantined)
-        await self.until(lambda: not self.here.telling)
+        await self.until(lambda: not self.here.has_unpublished_records)
         self.assertEqual(len(self.log.values), 3)
 
     async def test_request_that_is_answered_is_clear_everywhere(self):
         await self.crash(self.here, "e0", "e1")
-        await self.tell_all()
-        self.assertTrue(self.there.suspects(self.request))
-        self.there.judged(self.request, self.replicas.get("e3"), OK)
-        await self.tell_all()
-        self.assertFalse(self.here.suspects(self.request))
+        await self.deliver_records()
+        self.assertTrue(self.there.is_suspect(self.request))
+        self.there.record_result(self.request, self.replicas.get("e3"), OK)
+        await self.deliver_records()
+        self.assertFalse(self.here.is_suspect(self.request))
         self.assertEqual(set(self.log.values.values()), {b""})
 
-    async def test_failed_answer_clears_nobody(self):
+    async def test_error_answer_clears_no_request(self):
         await self.crash(self.here, "e0", "e1")
-        self.here.judged(self.request, self.replicas.get("e3"), ERROR)
-        self.assertTrue(self.here.suspects(self.request))
+        self.here.record_result(self.request, self.replicas.get("e3"), ERROR)
+        self.assertTrue(self.here.is_suspect(self.request))
 
     async def test_malformed_record_changes_nothing(self):
         for key in ("", "no separator"):
-            self.here.take(key, b"x")
-        self.here.take("a/r1", b"")
+            self.here.apply_record(key, b"x")
+        self.here.apply_record("a/r1", b"")
         self.assertIsNone(self.here.refusal(self.request))
 
     async def test_suspects_run_one_after_the_other(self):
         order = []
 
         async def run(name):
-            async with self.here.turn("service"):
+            async with self.here.suspect_lock("service"):
                 order.append(name)
                 await asyncio.sleep(0.01)
                 order.append(name)
@@ -221,19 +228,21 @@
         await asyncio.gather(run("a"), run("b"))
         self.assertEqual(order, ["a", "a", "b", "b"])
 
-    async def test_answer_of_a_suspect_is_not_held_back(self):
+    async def test_answer_of_a_suspect_does_not_wait_for_the_check(self):
         """Guards against callers who wait for what became of a replica."""
-        self.addCleanup(setattr, module, "SETTLED_WITHIN", module.SETTLED_WITHIN)
-        module.SETTLED_WITHIN = 1.0
-        looking = asyncio.ensure_future(asyncio.sleep(60))
-        self.addCleanup(looking.cancel)
-        self.here._tasks["replica"] = looking
+        self.addCleanup(
+            setattr, module, "SUSPECT_WAIT_TIMEOUT", module.SUSPECT_WAIT_TIMEOUT
+        )
+        module.SUSPECT_WAIT_TIMEOUT = 1.0
+        pending_check = asyncio.ensure_future(asyncio.sleep(60))
+        self.addCleanup(pending_check.cancel)
+        self.here._checks["replica"] = pending_check
         began = now()
-        async with self.here.turn("service"):
+        async with self.here.suspect_lock("service"):
             pass
-        self.assertLess(now() - began, module.SETTLED_WITHIN / 2)
-        async with self.here.turn("service"):
-            self.assertGreaterEqual(now() - began, module.SETTLED_WITHIN - 0.01)
+        self.assertLess(now() - began, module.SUSPECT_WAIT_TIMEOUT / 2)
+        async with self.here.suspect_lock("service"):
+            self.assertGreaterEqual(now() - began, module.SUSPECT_WAIT_TIMEOUT - 0.01)
 
 
 class FingerprintTest(unittest.TestCase):
--- a/sassafrasdoor/requests/tests/test_crashes.py
+++ b/sassafrasdoor/requests/tests/test_crashes.py
@@ -4,16 +4,16 @@
 from unittest import mock
 
 from sassafrasdoor.requests import crashes as module
-from sassafrasdoor.requests.crashes import Crashes, State
+from sassafrasdoor.requests.crashes import CrashHistory, State
 
 
 class CrashesTest(unittest.TestCase):
     def setUp(self):
-        self.crashes = Crashes()
+        self.crashes = CrashHistory()
 
     def crash(self, replica, *ran):
         for fingerprint in ran:
-            self.crashes.crashed(fingerprint, replica)
+            self.crashes.add_crash(fingerprint, replica)
 
     def states(self, names):
         return [self.crashes.state(name).value for name in names]
@@ -31,7 +31,7 @@
         ]
         for crashes, state in cases:
             with self.subTest(crashes):
-                self.crashes = Crashes()
+                self.crashes = CrashHistory()
                 for replica, ran in crashes:
                     self.crash(replica, *ran)
                 self.assertEqual(self.states("a"), [state])
@@ -46,10 +46,10 @@
         self.crash("r6", "b", "c")
         self.assertEqual(self.states("abc"), ["quarantined", "clear", "clear"])
 
-    def test_order_of_what_is_learned_does_not_matter(self):
-        heard = [("r1", "a"), ("r1", "b"), ("r2", "b"), ("r2", "a"), ("r3", "a")]
-        for order in (heard, heard[::-1]):
-            self.crashes = Crashes()
+    def test_states_do_not_depend_on_record_order(self):
+        records = [("r1", "a"), ("r1", "b"), ("r2", "b"), ("r2", "a"), ("r3", "a")]
+        for order in (records, records[::-1]):
+            self.crashes = CrashHistory()
             for replica, name in order:
                 self.crash(replica, name)
             self.assertEqual(self.states("ab"), ["quarantined", "clear"])
@@ -60,25 +60,25 @@
         self.crashes.forget("a")
         self.assertEqual(self.states("ab"), ["clear", "suspect"])
         self.assertEqual(self.crashes.replicas("a"), [])
-        self.crashes.withdrawn("b", "r1")
+        self.crashes.remove_crash("b", "r1")
         self.assertEqual(self.crashes.replicas("b"), ["r2"])
-        self.crashes.withdrawn("b", "r2")
+        self.crashes.remove_crash("b", "r2")
         self.assertEqual(len(self.crashes), 0)
 
-    def test_quarantine_lasts_while_the_request_comes(self):
-        with mock.patch.object(module, "KEEP_FOR", 0.0):
+    def test_quarantine_lasts_while_the_request_keeps_arriving(self):
+        with mock.patch.object(module, "RETENTION_PERIOD", 0.0):
             for replica in ("r1", "r2", "r3"):
                 self.crash(replica, "a")
             self.assertEqual(self.crashes.expired(), ["a"])
-        with mock.patch.object(module, "RENEW_AFTER", 0.0):
+        with mock.patch.object(module, "RENEWAL_INTERVAL", 0.0):
             self.crash("r1", "a")
-        self.assertTrue(self.crashes.came("a"))
-        self.assertFalse(self.crashes.came("a"))
+        self.assertTrue(self.crashes.record_arrival("a"))
+        self.assertFalse(self.crashes.record_arrival("a"))
         self.assertEqual(self.crashes.expired(), [])
         self.assertIs(self.crashes.state("a"), State.QUARANTINED)
 
     def test_memory_is_bounded(self):
-        with mock.patch.object(module, "MOST_REQUESTS", 10):
+        with mock.patch.object(module, "MAX_REQUESTS", 10):
             for at in range(30):
                 self.crash(f"r{at}", f"f{at}", "a")
         self.assertEqual(len(self.crashes), 10)
--- a/sassafrasdoor/requests/tests/test_direct.py
+++ b/sassafrasdoor/requests/tests/test_direct.py
@@ -44,7 +44,7 @@
         return outcome
 
 
-async def crashed(replica):
+async def refuse_connection(replica):
     return Refused("nobody listens")
 
 
@@ -63,7 +63,7 @@
             self.assertFalse(passed(limit), "condition never came true")
             await asyncio.sleep(0.005)
 
-    async def test_ends_of_repeatable_requests(self):
+    async def test_outcomes_of_repeatable_requests(self):
         cases = [
             ([OK], Answer, 1),
             ([ERROR, OK], Answer, 2),
@@ -81,7 +81,7 @@
                 self.assertIsInstance(result, outcome)
                 self.assertEqual(len(self.client.calls), sends)
 
-    async def test_ends_of_requests_that_may_run_once(self):
+    async def test_outcomes_of_requests_that_may_run_once(self):
         """Symptom: a payment runs twice, or runs although it was refused.
 
         Sequence: the connection breaks after the request was sent. Cause: a lost
@@ -102,7 +102,7 @@
                 self.assertEqual(len(self.client.calls), sends)
                 self.assertTrue(all(call.fresh for _, call in self.client.calls))
 
-    async def test_run_that_ends_in_a_refusal_is_no_refusal(self):
+    async def test_refusal_status_after_a_run_is_unknown(self):
         """Symptom: a payment runs twice.
 
         Sequence: a replica runs a request and answers 503 without saying that it
@@ -118,7 +118,7 @@
 
     async def test_request_that_crashes_replicas_is_refused_without_a_send(self):
         client = Client(LOST, LOST, LOST, OK)
-        client.reach = crashed
+        client.reach = refuse_connection
         service = DirectService(client, replicas(6))
         sends = []
         for at in range(5):
@@ -131,12 +131,12 @@
 
     async def test_suspect_is_sent_once_and_not_hedged(self):
         client = Client(LOST, LOST, HANG, OK)
-        client.reach = crashed
+        client.reach = refuse_connection
         service = DirectService(client, replicas(6))
-        one = route(repeat=Repeat.SAFE, attempts=2, target=0.01)
-        await service.answer(direct_request(one))
+        short_route = route(repeat=Repeat.SAFE, attempts=2, target=0.01)
+        await service.answer(direct_request(short_route))
         await asyncio.sleep(0.01)
-        result = await service.answer(direct_request(one, seconds=0.2))
+        result = await service.answer(direct_request(short_route, seconds=0.2))
         self.assertIsInstance(result, Unknown)
         self.assertEqual(len(client.calls), 3)
 
@@ -149,7 +149,7 @@
         await self.answer(LOST, LOST, LOST)
         self.assertEqual(len({name for name, _ in self.client.calls}), 3)
 
-    async def test_slow_answer_is_asked_for_once_more(self):
+    async def test_slow_request_is_hedged(self):
         result = await self.answer(HANG, OK, target=0.1)
         self.assertIs(result, OK)
         await self.until(lambda: self.client.cancelled == 1)
@@ -167,12 +167,12 @@
         self.assertEqual(len(self.client.calls), 2)
         await self.until(lambda: self.client.cancelled == 2)
 
-    async def test_no_replica_is_a_refusal(self):
+    async def test_request_without_a_replica_is_not_run(self):
         result = await self.answer(count=0)
         self.assertIsInstance(result, NotRun)
         self.assertGreater(result.retry_after, 0)
 
-    async def test_caller_who_leaves_ends_every_send(self):
+    async def test_disconnected_caller_cancels_every_send(self):
         task = asyncio.ensure_future(self.answer(HANG, HANG, target=0.01))
         self.client = Client()
         await self.until(lambda: len(self.client.calls) == 2)
--- a/sassafrasdoor/requests/tests/test_handlers.py
+++ b/sassafrasdoor/requests/tests/test_handlers.py
@@ -26,12 +26,12 @@
 from sassafrasdoor.support import until
 
 LIMIT = 1000
-ASK = {"prompt": "a prompt", "max_tokens": 3}
+GENERATE_BODY = {"prompt": "a prompt", "max_tokens": 3}
 
 
 def authorize(handler, row_name):
     """Let every caller in whose row exists."""
-    row = handler.application.settings["seen"].row(row_name)
+    row = handler.application.settings["current_view"].row(row_name)
     if row is None:
         handler.set_status(401)
         handler.finish({"outcome": "rejected"})
@@ -44,14 +44,19 @@
         self.service = FakeService()
         once = row_document("once", repeatable=False)
         plain = row_document("plain", model="")
-        self.seen = view(row_document("app"), once, plain, count=2, revision=7)
-        made = settings(requests={"body_limit": LIMIT})
-        work = (made, lambda: self.seen, Admission(made), Chooser(made))
+        self.current_view = view(row_document("app"), once, plain, count=2, revision=7)
+        test_settings = settings(requests={"body_limit": LIMIT})
+        work = (
+            test_settings,
+            lambda: self.current_view,
+            Admission(test_settings),
+            Chooser(test_settings),
+        )
         self.requests = RequestsService(*work, self.engine, self.service)
         application = tornado.web.Application(
             handlers(self.requests),
             authorize=authorize,
-            seen=self.seen,
+            current_view=self.current_view,
             log_function=lambda handler: None,
         )
         server = tornado.httpserver.HTTPServer(application, max_body_size=LIMIT)
@@ -84,7 +89,7 @@
     async def generate(self, row="app", **fields):
         """Ask an engine to write."""
         return await self.fetch(
-            f"/v1/generate/{row}", body=json.dumps({**ASK, **fields})
+            f"/v1/generate/{row}", body=json.dumps({**GENERATE_BODY, **fields})
         )
 
     async def test_call_is_passed_through(self):
@@ -137,7 +142,7 @@
             ("/v1/call/app/", {"Idempotency_Key": long_key}, b"", 400, "Idempotency"),
             ("/v1/generate/app", {}, b"{", 400, "(root)"),
             ("/v1/generate/app", {}, b'{"prompt": 1, "max_tokens": 0}', 400, "prompt"),
-            ("/v1/generate/plain", {}, json.dumps(ASK), 400, "row.model"),
+            ("/v1/generate/plain", {}, json.dumps(GENERATE_BODY), 400, "row.model"),
             ("/v1/call/app/", {}, b"x" * (LIMIT + 1), 413, ""),
             ("/v1/call/nobody/", {}, b"", 401, ""),
         ]
@@ -171,7 +176,7 @@
     async def test_expired_and_leaving_are_not_run(self):
         for path, body in (("/v1/call/app/", b""), ("/v1/generate/app", b"")):
             with self.subTest(path):
-                body = body or json.dumps({**ASK, "stream": True})
+                body = body or json.dumps({**GENERATE_BODY, "stream": True})
                 response = await self.fetch(path, body=body, X_Deadline_Ms="0")
                 self.assertEqual(response.code, 503)
                 self.assertEqual(response.headers["X-Outcome"], "not-run")
@@ -204,7 +209,7 @@
         """
         self.engine.faults = {name: [(2, Broken("cut"))] for name in ("b0", "b1")}
         self.engine.forgets = {"b0", "b1"}
-        body = json.dumps({**ASK, "stream": True}).encode()
+        body = json.dumps({**GENERATE_BODY, "stream": True}).encode()
         reader, writer = await self.send("generate/app", body)
         reply = await reader.read()
         writer.close()
@@ -213,13 +218,13 @@
         response = await self.generate()
         self.assertEqual(response.code, 200)
 
-    async def test_caller_that_leaves_ends_the_work(self):
+    async def test_disconnected_caller_cancels_the_work(self):
         self.service.gate = asyncio.Event()
         self.engine.gate = asyncio.Event()
         for path, body in (
             ("call/app/", b""),
-            ("generate/app", json.dumps(ASK).encode()),
-            ("generate/app", json.dumps({**ASK, "stream": True}).encode()),
+            ("generate/app", json.dumps(GENERATE_BODY).encode()),
+            ("generate/app", json.dumps({**GENERATE_BODY, "stream": True}).encode()),
         ):
             with self.subTest(path=path, body=body):
                 _, writer = await self.send(path, body)
--- a/sassafrasdoor/requests/tests/test_hard_limit_processes.py
+++ b/sassafrasdoor/requests/tests/test_hard_limit_processes.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from sassafrasdoor.cluster import TABLE
-from sassafrasdoor.requests.tests.cases import QUICK, ProcessCase
+from sassafrasdoor.requests.tests.cases import SHORT_TIMEOUTS, ProcessCase
 from sassafrasdoor.support import until
 
 
@@ -15,8 +15,11 @@
         process, perhaps the holder of the quota, and goes on serving. Cause:
         its slots were given away although it may still use some of them.
         """
-        quick = {**QUICK, "admission": {"grant_duration": 1.5, "overhang": 2.0}}
-        cluster = await self.cluster(quick, instances=3, engines=1, services=1)
+        short_timeouts = {
+            **SHORT_TIMEOUTS,
+            "admission": {"grant_duration": 1.5, "overhang": 2.0},
+        }
+        cluster = await self.cluster(short_timeouts, instances=3, engines=1, services=1)
         limited = [
             {**row, "limit": 0.25} if row["name"] == "once" else row
             for row in TABLE["rows"]
@@ -24,102 +27,104 @@
         _, status = await cluster.get(cluster.instances[0].address, "/v1/status")
         await cluster.propose({"rows": limited}, status["revision"], "limited")
         await self.service_faults(delay=0.3)
-        self.most = 0
-        pressing = [
-            asyncio.ensure_future(self.press(instance))
+        self.max_running = 0
+        callers = [
+            asyncio.ensure_future(self.call_repeatedly(instance))
             for instance in cluster.instances
             for _ in range(12)
         ]
-        watching = asyncio.ensure_future(self.watch())
+        sampling = asyncio.ensure_future(self.sample_running_calls())
         try:
-            await until(lambda: self.limit_known(status["revision"]))
+            await until(lambda: self.is_limit_applied(status["revision"]))
             # A grant of the table before may still be on its way to each of them.
             for _ in range(2):
                 before = await self.grant_numbers()
-                await until(lambda seen=before: self.all_renewed(seen))
-            await until(lambda: self.limit_known(status["revision"]))
-            self.most = 0
-            await until(lambda: self.most >= 10, what="use of the limit")
-            await until(self.shares_are_even, what="a share for everybody")
+                await until(lambda previous=before: self.has_renewed_grants(previous))
+            await until(lambda: self.is_limit_applied(status["revision"]))
+            self.max_running = 0
+            await until(lambda: self.max_running >= 10, what="use of the limit")
+            await until(self.has_even_shares, what="a share for everybody")
             cut, *living = cluster.instances
             before = await self.slots("once", living)
             cut.control.freeze()
-            await until(lambda: self.buried(cut, living), what="news of it")
-            await self.until_told(lambda: self.took_over(living, before), "its slots")
-            self.now = 0
-            await until(lambda: self.now >= 8, what="use of what is left")
+            await until(lambda: self.is_declared_dead(cut, living), what="news of it")
+            await self.until_or_show_quotas(
+                lambda: self.has_taken_over_slots(living, before), "its slots"
+            )
+            self.running_now = 0
+            await until(lambda: self.running_now >= 8, what="use of what is left")
             self.assertGreater(await self.slots("once", [cut]), 0)
         finally:
-            for task in (*pressing, watching):
+            for task in (*callers, sampling):
                 task.cancel()
-        self.assertLessEqual(self.most, 16)
+        self.assertLessEqual(self.max_running, 16)
 
     async def grant_numbers(self):
         """Return the number of the grant that each instance now uses."""
         statuses = [
-            await self.cluster.get(one.address, "/v1/status")
-            for one in self.cluster.instances
+            await self.cluster.get(instance.address, "/v1/status")
+            for instance in self.cluster.instances
         ]
         return [status["quota"]["once"]["grant_number"] for _, status in statuses]
 
-    async def all_renewed(self, seen):
+    async def has_renewed_grants(self, previous):
         """Say whether every instance uses a later grant than those seen."""
         newer = await self.grant_numbers()
-        return all(new > old for new, old in zip(newer, seen, strict=True))
+        return all(new > old for new, old in zip(newer, previous, strict=True))
 
-    async def shares_are_even(self):
+    async def has_even_shares(self):
         """Say whether each has about a third of the limit and of the fallback."""
         statuses = [
-            await self.cluster.get(one.address, "/v1/status")
-            for one in self.cluster.instances
+            await self.cluster.get(instance.address, "/v1/status")
+            for instance in self.cluster.instances
         ]
         quotas = [status["quota"]["once"] for _, status in statuses]
         fallbacks = [quota["fallback"] or 0 for quota in quotas]
         shares = [quota["allowed"] for quota in quotas]
         return min(shares) >= 4 and min(fallbacks) >= 2 and sum(fallbacks) == 8
 
-    async def buried(self, cut, living):
+    async def is_declared_dead(self, cut, living):
         """Say whether the others take the one cut off for dead."""
         for instance in living:
             _, status = await self.cluster.get(instance.address, "/v1/status")
-            states = {one["name"]: one["state"] for one in status["members"]}
+            states = {member["name"]: member["state"] for member in status["members"]}
             if states.get(cut.name, "dead") != "dead":
                 return False
         return True
 
-    async def until_told(self, condition, what):
+    async def until_or_show_quotas(self, condition, what):
         """Wait for a condition; one that never comes true shows all quotas."""
         try:
             await until(condition, what=what)
         except AssertionError as error:
             statuses = [
-                await self.cluster.get(one.address, "/v1/status")
-                for one in self.cluster.instances
+                await self.cluster.get(instance.address, "/v1/status")
+                for instance in self.cluster.instances
             ]
             quotas = [status["quota"]["once"] for _, status in statuses]
             raise AssertionError(f"{error}: {quotas}") from error
 
-    async def took_over(self, living, before):
+    async def has_taken_over_slots(self, living, before):
         """Say whether the living were granted more than they had."""
         return await self.slots("once", living) > before
 
-    async def press(self, instance):
+    async def call_repeatedly(self, instance):
         """Call as often as possible, one call at a time."""
         while True:
-            await self.ask(instance, "once", X_Deadline_Ms="5000")
+            await self.send_request(instance, "once", X_Deadline_Ms="5000")
 
-    async def watch(self):
+    async def sample_running_calls(self):
         """Follow how many calls run at the service."""
         while True:
-            self.now = await self.busy("service-1")
-            self.most = max(self.most, self.now)
+            self.running_now = await self.running_calls("service-1")
+            self.max_running = max(self.max_running, self.running_now)
             await asyncio.sleep(0.05)
 
-    async def limit_known(self, revision):
+    async def is_limit_applied(self, revision):
         """Say whether nothing is granted under the table before any more."""
         for instance in self.cluster.instances:
             _, status = await self.cluster.get(instance.address, "/v1/status")
             if status["revision"] <= revision:
                 return False
         within = await self.slots("once", self.cluster.instances) <= 16
-        return within and await self.busy("service-1") <= 16
+        return within and await self.running_calls("service-1") <= 16
--- a/sassafrasdoor/requests/tests/test_issued.py
+++ b/sassafrasdoor/requests/tests/test_issued.py
@@ -13,7 +13,7 @@
 from sassafrasdoor.requests import issued as issued_module
 from sassafrasdoor.requests.executions import Executions
 from sassafrasdoor.requests.issued import Issuer, parse
-from sassafrasdoor.requests.messages import Conflict, Request, identity
+from sassafrasdoor.requests.messages import Conflict, Request, keyed_request_id
 from sassafrasdoor.requests.peer import capability
 from sassafrasdoor.requests.service import RequestsService
 from sassafrasdoor.requests.tests.fakes import (
@@ -39,7 +39,7 @@
         body=body,
         key=key,
         repeatable=repeatable,
-        request_id=identity(row, key),
+        request_id=keyed_request_id(row, key),
         deadline=deadline_in(within),
     )
 
@@ -47,11 +47,11 @@
 class Instance:
     """The requests of one entry instance, over a service shared by all."""
 
-    def __init__(self, name, service, seen, log=None):
+    def __init__(self, name, service, current_view, log=None):
         self.settings = settings(instance={"name": name})
         self.service = service
-        self.seen = seen
-        work = (self.settings, lambda: self.seen, Admission(self.settings))
+        self.current_view = current_view
+        work = (self.settings, lambda: self.current_view, Admission(self.settings))
         parts = (Chooser(self.settings), FakeEngine(), service, log)
         self.requests = RequestsService(*work, *parts)
         self.peers = None
@@ -65,10 +65,10 @@
         name = self.settings.instance.name
         return Member(name, peer_address=self.peers.address)
 
-    async def ask(self, key, row="once", **fields):
+    async def send_request(self, key, row="once", **fields):
         """Run a keyed request here."""
         return await self.requests.run(
-            self.seen.row(row), request(key, row=row, **fields)
+            self.current_view.row(row), request(key, row=row, **fields)
         )
 
 
@@ -77,12 +77,15 @@
         """Return instances that know each other."""
         service = FakeService(**script)
         rows = [row_document(name, repeatable=False) for name in ("once", "other")]
-        seen = view(*rows, count=2)
-        made = [Instance(f"entry-{number}", service, seen) for number in range(count)]
-        seen.members = [await instance.listen() for instance in made]
-        return service, made
+        current_view = view(*rows, count=2)
+        instances = [
+            Instance(f"entry-{number}", service, current_view)
+            for number in range(count)
+        ]
+        current_view.members = [await instance.listen() for instance in instances]
+        return service, instances
 
-    async def test_repeated_key_gets_the_answer_of_the_one_run(self):
+    async def test_repeated_key_returns_the_answer_of_the_first_run(self):
         """Symptom: a payment is booked twice.
 
         Sequence: the caller gets no reply in time and asks again, here and at
@@ -93,20 +96,20 @@
             service, (first, second) = await self.cluster()
             service.gate = asyncio.Event()
             key = first.requests.key_prefix() + "1"
-            asked = [
-                asyncio.ensure_future(one.ask(key))
-                for one in (first, second, second, first)
+            pending = [
+                asyncio.ensure_future(instance.send_request(key))
+                for instance in (first, second, second, first)
             ]
             await until(lambda: service.calls)
             service.gate.set()
-            outcomes = [*await asyncio.gather(*asked), await second.ask(key)]
+            outcomes = [*await asyncio.gather(*pending), await second.send_request(key)]
             bodies = {outcome.body for outcome in outcomes}
-            self.assertEqual(bodies, {identity("once", key).encode()})
+            self.assertEqual(bodies, {keyed_request_id("once", key).encode()})
             self.assertEqual(sum(service.ran.values()), 1)
-            for one in (first, second):
-                await one.peers.close()
+            for instance in (first, second):
+                await instance.peers.close()
 
-    async def test_owner_frozen_dead_or_another_life(self):
+    async def test_owner_frozen_dead_or_restarted(self):
         """Symptom: a call runs a second time after an instance went away.
 
         Sequence: the key's owner is silent, gone, or restarted under its name;
@@ -118,13 +121,13 @@
             server = await asyncio.start_server(lambda *ends: None, "127.0.0.1", 0)
             self.addCleanup(server.close)
             host, port = server.sockets[0].getsockname()
-            first.seen.members[0].peer_address = f"{host}:{port}"
+            first.current_view.members[0].peer_address = f"{host}:{port}"
 
         async def dead(first):
             await first.peers.close()
 
         async def forgotten(first):
-            first.seen.members = first.seen.members[1:]
+            first.current_view.members = first.current_view.members[1:]
 
         async def restarted(first):
             first.requests._issuer.incarnation = "f" * 16
@@ -135,11 +138,11 @@
                     service, (first, second) = await self.cluster()
                     key = first.requests.key_prefix() + "1"
                     await fault(first)
-                    outcome = await second.ask(key, within=0.3)
+                    outcome = await second.send_request(key, within=0.3)
                     self.assertIsInstance(outcome, Unknown)
                     self.assertEqual(service.calls, [])
-                    for one in (first, second):
-                        await one.peers.close()
+                    for instance in (first, second):
+                        await instance.peers.close()
 
     async def test_outcomes_that_are_kept(self):
         cases = [
@@ -151,27 +154,27 @@
                 async with capnp.kj_loop():
                     service, (first, second) = await self.cluster(**script)
                     key = first.requests.key_prefix() + "1"
-                    for one in (first, second, first):
-                        self.assertIsInstance(await one.ask(key), kind)
+                    for instance in (first, second, first):
+                        self.assertIsInstance(await instance.send_request(key), kind)
                     self.assertEqual(sum(service.ran.values()), runs)
                     service.script = {}
-                    again = await second.ask(key)
+                    again = await second.send_request(key)
                     expected = Answer if kind is NotRun else Unknown
                     self.assertIsInstance(again, expected)
-                    for one in (first, second):
-                        await one.peers.close()
+                    for instance in (first, second):
+                        await instance.peers.close()
 
     async def test_same_key_other_body_is_a_conflict(self):
         async with capnp.kj_loop():
             service, (first, second) = await self.cluster()
             key = first.requests.key_prefix() + "1"
-            await first.ask(key, body=b"one")
-            for one in (first, second):
-                outcome = await one.ask(key, body=b"two")
+            await first.send_request(key, body=b"one")
+            for instance in (first, second):
+                outcome = await instance.send_request(key, body=b"two")
                 self.assertIsInstance(outcome, Conflict)
             self.assertEqual(len(service.calls), 1)
-            for one in (first, second):
-                await one.peers.close()
+            for instance in (first, second):
+                await instance.peers.close()
 
     async def test_rows_with_the_same_key_never_mix(self):
         """Symptom: a member sees another member's balance.
@@ -183,27 +186,29 @@
             service, (first, second) = await self.cluster()
             key = first.requests.key_prefix() + "1"
             bodies = [
-                (await one.ask(key, row=row)).body
-                for one in (first, second)
+                (await instance.send_request(key, row=row)).body
+                for instance in (first, second)
                 for row in ("once", "other")
             ]
             self.assertEqual(len(set(bodies)), 2)
             self.assertEqual(len(service.calls), 2)
-            for one in (first, second):
-                await one.peers.close()
+            for instance in (first, second):
+                await instance.peers.close()
 
-    async def test_run_goes_on_when_its_caller_leaves(self):
+    async def test_run_continues_when_its_caller_disconnects(self):
         service = FakeService()
         service.gate = asyncio.Event()
-        one = Instance("entry-1", service, view(row_document("once", repeatable=False)))
-        key = one.requests.key_prefix() + "1"
-        asked = asyncio.ensure_future(one.ask(key))
+        instance = Instance(
+            "entry-1", service, view(row_document("once", repeatable=False))
+        )
+        key = instance.requests.key_prefix() + "1"
+        pending = asyncio.ensure_future(instance.send_request(key))
         await until(lambda: service.calls)
-        asked.cancel()
-        await asyncio.gather(asked, return_exceptions=True)
-        self.assertEqual(one.requests.in_progress(), 1)
+        pending.cancel()
+        await asyncio.gather(pending, return_exceptions=True)
+        self.assertEqual(instance.requests.in_progress(), 1)
         service.gate.set()
-        self.assertIsInstance(await one.ask(key), Answer)
+        self.assertIsInstance(await instance.send_request(key), Answer)
         self.assertEqual(len(service.calls), 1)
 
     async def test_leaving_instance_issues_no_keys(self):
@@ -212,10 +217,10 @@
         Sequence: an instance announces its leaving, still answers discovery, and
         ends; its last keys reach others. Cause: it issued keys to the end.
         """
-        one = Instance("entry-1", FakeService(), view(row_document("once")))
-        self.assertTrue(one.requests.key_prefix())
-        one.seen.members[0].state = State.LEAVING
-        self.assertEqual(one.requests.key_prefix(), "")
+        instance = Instance("entry-1", FakeService(), view(row_document("once")))
+        self.assertTrue(instance.requests.key_prefix())
+        instance.current_view.members[0].state = State.LEAVING
+        self.assertEqual(instance.requests.key_prefix(), "")
 
     async def test_lapsed_key_is_not_run(self):
         """Symptom: a key of last week runs again.
@@ -224,12 +229,14 @@
         Cause: an old key looked like one never used.
         """
         service = FakeService()
-        one = Instance("entry-1", service, view(row_document("once", repeatable=False)))
-        key = one.requests.key_prefix() + "1"
-        one.requests._issuer._started -= 601
-        self.assertIsInstance(await one.ask(key), Unknown)
-        future = one.requests.key_prefix().replace("~601~", "~9999~") + "1"
-        self.assertIsInstance(await one.ask(future), Unknown)
+        instance = Instance(
+            "entry-1", service, view(row_document("once", repeatable=False))
+        )
+        key = instance.requests.key_prefix() + "1"
+        instance.requests._issuer._started -= 601
+        self.assertIsInstance(await instance.send_request(key), Unknown)
+        future = instance.requests.key_prefix().replace("~601~", "~9999~") + "1"
+        self.assertIsInstance(await instance.send_request(future), Unknown)
         self.assertEqual(service.calls, [])
 
 
@@ -240,7 +247,7 @@
         async def run():
             return Answer(200, {}, b"x" * size)
 
-        return await executions.once(("row", number), request(str(number)), run)
+        return await executions.run_once(("row", number), request(str(number)), run)
 
     async def test_memory_is_bounded_by_expiry_and_bytes(self):
         executions = Executions(settings(requests={"key_lifetime": 0.02}))
--- a/sassafrasdoor/requests/tests/test_operation_processes.py
+++ b/sassafrasdoor/requests/tests/test_operation_processes.py
@@ -9,11 +9,11 @@
 from sassafrasdoor.support import until
 
 # Two rows without wishes share the 64 slots of a plain service, over two instances.
-EQUAL_PARTS = [16, 16]
+EQUAL_SHARES = [16, 16]
 
 
 class OutageTest(ProcessCase):
-    async def test_calls_go_on_when_nobody_can_hold_the_quota(self):
+    async def test_calls_continue_without_a_quota_holder(self):
         """Symptom: every call is refused as long as the log is down.
 
         Sequence: the log is down for longer than the lease of the quota and the
@@ -22,34 +22,36 @@
         cluster = await self.cluster(instances=2, engines=1, services=1)
         # Right after the start one instance may hold what the other gave up or
         # has not reported for; nothing can be compared with such a moment.
-        await until(lambda: self.shared_out())
+        await until(lambda: self.has_equal_shares())
         await cluster.platform_faults(down=True)
-        await until(lambda: self.fallen_back())
+        await until(lambda: self.has_fallen_back())
         for instance in cluster.instances * 5:
-            reply = await self.ask(instance, "idempotent")
+            reply = await self.send_request(instance, "idempotent")
             self.assertEqual(reply.code, 200, reply.body)
         await cluster.platform_faults(down=False)
-        await until(lambda: self.shared_out())
+        await until(lambda: self.has_equal_shares())
 
-    async def shared_out(self):
+    async def has_equal_shares(self):
         """Say whether a holder gives each instance an equal part of the row's slots."""
         slots = [
-            await self.slots("idempotent", [one]) for one in self.cluster.instances
+            await self.slots("idempotent", [instance])
+            for instance in self.cluster.instances
         ]
-        return self.somebody_shares() and slots == EQUAL_PARTS
+        return self.has_quota_holder() and slots == EQUAL_SHARES
 
-    async def fallen_back(self):
+    async def has_fallen_back(self):
         """Say whether the grants have lapsed: nobody makes any, about half is left."""
         left = await self.slots("idempotent", self.cluster.instances)
-        return not self.somebody_shares() and left <= sum(EQUAL_PARTS)
+        return not self.has_quota_holder() and left <= sum(EQUAL_SHARES)
 
-    def somebody_shares(self):
+    def has_quota_holder(self):
         """Say whether an instance holds the lease on the service's quota, by its log."""
         return any(
-            self.last_word(instance).get("held") for instance in self.cluster.instances
+            self.last_lease_line(instance).get("held")
+            for instance in self.cluster.instances
         )
 
-    def last_word(self, instance):
+    def last_lease_line(self, instance):
         """Return the last line that an instance logged on that lease."""
         lines = [
             json.loads(line)
@@ -60,7 +62,7 @@
 
 
 class LeavingTest(ProcessCase):
-    async def test_leaving_server_gets_no_work_with_a_lagging_list(self):
+    async def test_leaving_server_gets_no_calls_despite_a_lagging_list(self):
         """Symptom: a server that is leaving gets work until it is gone.
 
         Sequence: it begins to leave; the instance list lags by far and one
@@ -74,21 +76,23 @@
             "entry-cut", "zone-b", instances_url=f"http://{proxy.address}"
         )
         await cluster.ready()
-        await until(lambda: self.served(cut, "idempotent"))
+        await until(lambda: self.is_served(cut, "idempotent"))
         proxy.freeze()
         await cluster.platform_faults(list_lag=60)
         await cluster.faults("service-1", leaving=True)
-        await until(lambda: self.left_alone("service-1", 20))
+        await until(lambda: self.gets_no_calls("service-1", 20))
         before = (await cluster.truth("service-1"))["total"]
         for instance in cluster.instances * 20:
-            self.assertEqual((await self.ask(instance, "idempotent")).code, 200)
+            self.assertEqual(
+                (await self.send_request(instance, "idempotent")).code, 200
+            )
         self.assertEqual((await cluster.truth("service-1"))["total"], before)
 
-    async def left_alone(self, name, calls):
+    async def gets_no_calls(self, name, calls):
         """Say whether a number of calls at every instance pass the server by."""
         before = (await self.cluster.truth(name))["total"]
         for instance in self.cluster.instances * calls:
-            await self.ask(instance, "idempotent")
+            await self.send_request(instance, "idempotent")
         return (await self.cluster.truth(name))["total"] == before
 
     async def test_planned_stop_cuts_nobody_off(self):
@@ -103,18 +107,18 @@
         running = [
             asyncio.ensure_future(work)
             for work in (
-                *[self.ask(leaving, "once") for _ in range(10)],
+                *[self.send_request(leaving, "once") for _ in range(10)],
                 *[self.generate(leaving, max_tokens=200) for _ in range(3)],
             )
         ]
-        await until(lambda: self.busy_with(leaving, 13))
+        await until(lambda: self.has_in_progress(leaving, 13))
         leaving.entry.signal(15)
         replies = await asyncio.gather(*running)
         self.assertEqual({reply.code for reply in replies[:10]}, {200})
         self.assertEqual({status for status, _ in replies[10:]}, {200})
         await until(lambda: leaving.entry.returncode == 0)
 
-    async def busy_with(self, instance, count):
+    async def has_in_progress(self, instance, count):
         """Say whether so many requests are in progress at an instance."""
         _, status = await self.cluster.get(instance.address, "/v1/status")
         return status["requests"]["in_progress"] >= count
--- a/sassafrasdoor/requests/tests/test_requests_processes.py
+++ b/sassafrasdoor/requests/tests/test_requests_processes.py
@@ -6,13 +6,13 @@
 
 from sassafrasdoor.clock import now
 from sassafrasdoor.cluster import KEYS
-from sassafrasdoor.requests.messages import identity
-from sassafrasdoor.requests.tests.cases import ASK, ProcessCase
+from sassafrasdoor.requests.messages import keyed_request_id
+from sassafrasdoor.requests.tests.cases import GENERATE_BODY, ProcessCase
 from sassafrasdoor.support import until
 
 
 class OutcomesTest(ProcessCase):
-    async def test_outcomes_are_true(self):
+    async def test_outcomes_match_what_ran(self):
         """Symptom: a refusal is a lie, or a payment is booked twice.
 
         Sequence: the service refuses connections, hangs up before, in the
@@ -36,8 +36,10 @@
                 with self.subTest(fault=fault, row=row):
                     key = await self.prefix(first) + str(number)
                     await self.service_faults(**fault)
-                    reply = await self.ask(first, row, key, X_Deadline_Ms="1500")
-                    runs = await self.runs(identity(row, key))
+                    reply = await self.send_request(
+                        first, row, key, X_Deadline_Ms="1500"
+                    )
+                    runs = await self.runs(keyed_request_id(row, key))
                     if row == "idempotent" and reply.code == 200:
                         # On a connection used before, curl itself sends it again.
                         self.assertEqual(runs, 2)
@@ -47,26 +49,28 @@
                     self.assertEqual(reply.headers["X-Outcome"], outcome)
                     self.assertEqual(runs, 1)
                     if row == "once":
-                        again = await self.ask(second, row, key, X_Deadline_Ms="1500")
+                        again = await self.send_request(
+                            second, row, key, X_Deadline_Ms="1500"
+                        )
                         self.assertEqual(again.code, status, again.body)
-                        self.assertEqual(await self.runs(identity(row, key)), 1)
+                        self.assertEqual(await self.runs(keyed_request_id(row, key)), 1)
         with self.subTest("closed before it was read"):
             key = await self.prefix(first) + "before"
             await self.service_faults(hang_up_before=1)
-            reply = await self.ask(first, "once", key)
+            reply = await self.send_request(first, "once", key)
             self.assertEqual(reply.code, 502, reply.body)
-            self.assertEqual(await self.runs(identity("once", key)), 0)
+            self.assertEqual(await self.runs(keyed_request_id("once", key)), 0)
         with self.subTest("connection refused"):
             key = await self.prefix(first) + "refused"
             await self.service_faults(refuse=True)
             for instance in (first, second):
-                reply = await self.ask(instance, "once", key)
+                reply = await self.send_request(instance, "once", key)
                 self.assertEqual(reply.code, 503, reply.body)
                 self.assertEqual(reply.headers["X-Outcome"], "not-run")
             address = self.cluster.backends["service-1"].ready["address"]
             self.assertEqual((await cluster.get(address, "/load"))[0], 599)
 
-    async def test_everybody_gets_their_own_answer(self):
+    async def test_concurrent_callers_get_their_own_answers(self):
         """Symptom: a member sees another's balance.
 
         Sequence: many calls at once, some answers late, some connections hung
@@ -74,16 +78,18 @@
         """
         cluster = await self.cluster(instances=2, engines=1, services=2)
         await self.service_faults(delay=0.2, hang_up=5, hang_up_middle=5)
-        keys = [await self.prefix(one) + "k" for one in cluster.instances]
+        keys = [await self.prefix(instance) + "k" for instance in cluster.instances]
 
-        async def one(number):
+        async def call_and_keep_parts(number):
             instance = cluster.instances[number % 2]
             row = ("once", "idempotent")[number % 3 == 0]
             key = f"{keys[number % 2]}{number}"
-            reply = await self.ask(instance, row, key, {"mine": number})
+            reply = await self.send_request(instance, row, key, {"mine": number})
             return number, row, key, reply
 
-        replies = await asyncio.gather(*[one(number) for number in range(60)])
+        replies = await asyncio.gather(
+            *[call_and_keep_parts(number) for number in range(60)]
+        )
         answered = 0
         for number, row, key, reply in replies:
             self.assertIn(reply.code, (200, 502))
@@ -92,7 +98,7 @@
                 body = json.loads(json.loads(reply.body)["body"])
                 self.assertEqual(body, {"mine": number})
             if row == "once":
-                self.assertLessEqual(await self.runs(identity(row, key)), 1)
+                self.assertLessEqual(await self.runs(keyed_request_id(row, key)), 1)
         self.assertGreaterEqual(answered, 40)
 
     async def test_streams_through_faults(self):
@@ -125,7 +131,7 @@
             await cluster.faults("engine-1", slow=200)
             host, port = instance.address.split(":")
             _, writer = await asyncio.open_connection(host, int(port))
-            body = json.dumps({**ASK, "prompt": "nobody waits for it"})
+            body = json.dumps({**GENERATE_BODY, "prompt": "nobody waits for it"})
             writer.write(
                 f"POST /v1/generate/chat HTTP/1.1\r\nHost: {host}\r\n"
                 f"Authorization: Bearer {KEYS['chat']}\r\n"
@@ -143,36 +149,42 @@
         """Say whether the engine writes a stream now."""
         truth = await self.cluster.truth(engine)
         streams = truth["streams"].values()
-        return [one for one in streams if not one["done"] and not one["cancelled"]]
+        return [
+            stream
+            for stream in streams
+            if not stream["done"] and not stream["cancelled"]
+        ]
 
     async def stream_cancelled(self, engine):
         """Say whether the engine was told to stop a stream before its end."""
         truth = await self.cluster.truth(engine)
-        return any(one["cancelled"] for one in truth["streams"].values())
+        return any(stream["cancelled"] for stream in truth["streams"].values())
 
     async def seconds_to_ask(self, count):
         """Return how long so many calls take that the service answers at once."""
         started = now()
         first = self.cluster.instances[0]
         keys = [f"pace{number}" for number in range(count)]
-        await asyncio.gather(*(self.ask(first, "idempotent", key) for key in keys))
+        await asyncio.gather(
+            *(self.send_request(first, "idempotent", key) for key in keys)
+        )
         return now() - started
 
-    async def test_overload_refuses_early_and_truly(self):
+    async def test_overload_refuses_early_and_refused_calls_never_run(self):
         """Symptom: refused calls ran all the same, or all are late.
 
         Sequence: many more calls come than the service has slots. Cause:
         queueing without a bound, or refusing after the call was sent.
         """
         cluster = await self.cluster(instances=2, engines=1, services=1)
-        keys = [await self.prefix(one) + "o" for one in cluster.instances]
+        keys = [await self.prefix(instance) + "o" for instance in cluster.instances]
         numbers = range(400)
         # Overload is a matter of how fast this machine asks: each call must last as
         # long as it takes to ask all of them, and may wait for three times as long.
         delay = max(0.3, await self.seconds_to_ask(100) * len(numbers) / 100)
         await self.service_faults(delay=delay)
-        asked = [
-            self.ask(
+        pending = [
+            self.send_request(
                 cluster.instances[number % 2],
                 "once",
                 f"{keys[number % 2]}{number}",
@@ -180,11 +192,11 @@
             )
             for number in numbers
         ]
-        replies = await asyncio.gather(*asked)
+        replies = await asyncio.gather(*pending)
         truth = (await cluster.truth("service-1"))["by_request"]
         refused = 0
         for number, reply in zip(numbers, replies, strict=True):
-            runs = truth.get(identity("once", f"{keys[number % 2]}{number}"), 0)
+            runs = truth.get(keyed_request_id("once", f"{keys[number % 2]}{number}"), 0)
             self.assertIn(reply.code, (200, 502, 503))
             if reply.code == 503:
                 refused += 1
@@ -197,7 +209,7 @@
 
 
 class KeysTest(ProcessCase):
-    async def test_issued_key_while_its_owner_is_alive_frozen_back_dead(self):
+    async def test_issued_key_with_its_owner_alive_frozen_resumed_dead(self):
         """Symptom: a call runs a second time at another instance.
 
         Sequence: the key's owner is busy with it, then frozen, back from its
@@ -208,33 +220,38 @@
         owner, other, third = cluster.instances
         await self.service_faults(delay=0.5)
         key = await self.prefix(owner) + "alive"
-        asked = [self.ask(one, "once", key) for one in (owner, other, third, other)]
-        replies = await asyncio.gather(*asked)
+        pending = [
+            self.send_request(instance, "once", key)
+            for instance in (owner, other, third, other)
+        ]
+        replies = await asyncio.gather(*pending)
         self.assertEqual({reply.code for reply in replies}, {200})
         self.assertEqual(len({reply.body for reply in replies}), 1)
-        self.assertEqual(await self.runs(identity("once", key)), 1)
+        self.assertEqual(await self.runs(keyed_request_id("once", key)), 1)
 
         prefix = await self.prefix(owner)
         key, unused = prefix + "frozen", prefix + "unused"
-        asked = asyncio.ensure_future(self.ask(owner, "once", key))
-        await until(lambda: self.busy("service-1"))
+        pending = asyncio.ensure_future(self.send_request(owner, "once", key))
+        await until(lambda: self.running_calls("service-1"))
         owner.entry.freeze()
-        reply = await self.ask(other, "once", key, X_Deadline_Ms="800")
+        reply = await self.send_request(other, "once", key, X_Deadline_Ms="800")
         self.assertEqual(reply.code, 502)
         owner.entry.thaw()
-        await asked
-        reply = await self.ask(other, "once", key)
+        await pending
+        reply = await self.send_request(other, "once", key)
         self.assertIn(reply.code, (200, 502))
-        self.assertEqual(await self.runs(identity("once", key)), 1)
+        self.assertEqual(await self.runs(keyed_request_id("once", key)), 1)
 
         owner.kill()
-        for gone in (key, unused):
-            reply = await self.ask(other, "once", gone, X_Deadline_Ms="800")
+        for key_of_dead_owner in (key, unused):
+            reply = await self.send_request(
+                other, "once", key_of_dead_owner, X_Deadline_Ms="800"
+            )
             self.assertEqual(reply.code, 502)
-        self.assertEqual(await self.runs(identity("once", key)), 1)
-        self.assertEqual(await self.runs(identity("once", unused)), 0)
+        self.assertEqual(await self.runs(keyed_request_id("once", key)), 1)
+        self.assertEqual(await self.runs(keyed_request_id("once", unused)), 0)
 
-    async def test_chosen_key_everywhere_and_in_an_outage_of_the_log(self):
+    async def test_caller_chosen_key_at_all_instances_and_during_a_log_outage(self):
         """Symptom: one key runs at two instances.
 
         Sequence: the caller sends its own key to three instances at once, then
@@ -242,26 +259,31 @@
         it is, or an instance does without it.
         """
         cluster = await self.cluster(instances=3, engines=1, services=1)
-        everywhere = cluster.instances * 2
+        repeated_instances = cluster.instances * 2
         await cluster.platform_faults(lose_reply=1)
         replies = await asyncio.gather(
-            *[self.ask(one, "once", "order-7") for one in everywhere]
+            *[
+                self.send_request(instance, "once", "order-7")
+                for instance in repeated_instances
+            ]
         )
         self.assertEqual({reply.code for reply in replies}, {200})
         self.assertEqual(len({reply.body for reply in replies}), 1)
-        self.assertEqual(await self.runs(identity("once", "order-7")), 1)
+        self.assertEqual(await self.runs(keyed_request_id("once", "order-7")), 1)
         await cluster.platform_faults(down=True)
         for instance in cluster.instances:
-            reply = await self.ask(instance, "once", "order-8", X_Deadline_Ms="2000")
+            reply = await self.send_request(
+                instance, "once", "order-8", X_Deadline_Ms="2000"
+            )
             self.assertEqual(reply.code, 503, reply.body)
             issued = await self.prefix(instance) + "issued"
-            reply = await self.ask(instance, "once", issued)
+            reply = await self.send_request(instance, "once", issued)
             self.assertEqual(reply.code, 200, reply.body)
-        self.assertEqual(await self.runs(identity("once", "order-8")), 0)
+        self.assertEqual(await self.runs(keyed_request_id("once", "order-8")), 0)
         await cluster.platform_faults(down=False)
-        reply = await self.ask(everywhere[0], "once", "order-8")
+        reply = await self.send_request(repeated_instances[0], "once", "order-8")
         self.assertEqual(reply.code, 200, reply.body)
-        self.assertEqual(await self.runs(identity("once", "order-8")), 1)
+        self.assertEqual(await self.runs(keyed_request_id("once", "order-8")), 1)
 
 
 if __name__ == "__main__":
--- a/sassafrasdoor/requests/tests/test_streaming.py
+++ b/sassafrasdoor/requests/tests/test_streaming.py
@@ -32,14 +32,14 @@
     async def reach(self, replica):
         return True
 
-    async def stream(self, replica, call, passing):
+    async def stream(self, replica, call, relay):
         self.calls.append((replica.identity, call.after))
         events, outcome = self.script.pop(0)
         first = 0 if call.after is None else call.after + 1
         if events is not None:
-            passing.head([("Of", replica.identity)])
+            relay.head([("Of", replica.identity)])
             for number in range(first, first + events):
-                await passing.event(number, b"%d " % number)
+                await relay.event(number, b"%d " % number)
         if outcome is HANG:
             await asyncio.Event().wait()
         return outcome
@@ -55,7 +55,7 @@
     async def begin(self, headers):
         self.headers = headers
 
-    async def pass_on(self, block):
+    async def send_event(self, block):
         self.text += block
 
 
@@ -64,11 +64,11 @@
         self.client = Client(script)
         self.caller = Caller()
         service = StreamService(self.client, replicas(3))
-        found = route(repeat=repeat, streams=True, **fields)
-        request = direct_request(found, seconds)
+        stream_route = route(repeat=repeat, streams=True, **fields)
+        request = direct_request(stream_route, seconds)
         return await service.answer(request, self.caller)
 
-    async def test_ends_of_streams(self):
+    async def test_outcomes_of_streams(self):
         # script -> outcome if resumable, text; outcome if it may run once, text
         cases = [
             ([(3, True)], True, b"0 1 2 ", True, b"0 1 2 "),
@@ -96,7 +96,7 @@
                         self.assertIsInstance(result, outcome)
                     self.assertEqual(self.caller.text, text)
 
-    async def test_stream_goes_on_after_its_last_event_elsewhere(self):
+    async def test_stream_resumes_after_its_last_event_at_another_replica(self):
         """Symptom: a text holds a piece twice, or pieces of two runs.
 
         Sequence: a replica is lost after its second event. Cause: the stream was
@@ -113,20 +113,20 @@
         self.assertIsInstance(result, Unknown)
         self.assertEqual(len(self.client.calls), 2)
 
-    async def test_silent_replica_is_left_where_another_can_go_on(self):
+    async def test_resumable_stream_leaves_a_silent_replica(self):
         """Symptom: a reader gives up on a text that stands still.
 
         Sequence: a replica loses power in the middle of a stream. Cause: nothing but
         the deadline ends the wait.
         """
-        with mock.patch.object(streaming, "LONGEST_SILENCE", 0.05):
+        with mock.patch.object(streaming, "SILENCE_TIMEOUT", 0.05):
             self.assertIs(await self.stream((1, HANG), (1, True)), True)
             self.assertEqual(self.caller.text, b"0 1 ")
             result = await self.stream((1, HANG), repeat=Repeat.ONCE, seconds=0.3)
         self.assertIsInstance(result, Unknown)
         self.assertEqual(len(self.client.calls), 1)
 
-    async def test_deadline_with_a_run_on_its_way_is_no_refusal(self):
+    async def test_deadline_during_a_send_is_unknown(self):
         result = await self.stream((None, HANG), repeat=Repeat.ONCE, seconds=0.05)
         self.assertIsInstance(result, Unknown)
 
--- a/sassafrasdoor/requests/tests/test_streams.py
+++ b/sassafrasdoor/requests/tests/test_streams.py
@@ -8,7 +8,7 @@
 from sassafrasdoor.backends.interface import Broken, Chunk, Finished
 from sassafrasdoor.clock import deadline_in
 from sassafrasdoor.outcomes import NotRun, Unknown
-from sassafrasdoor.requests.streams import Generate, Restart, Streams
+from sassafrasdoor.requests.streams import GenerateRequest, Restart, StreamRunner
 from sassafrasdoor.requests.tests.fakes import FakeEngine, settings, view
 from sassafrasdoor.routing.chooser import Chooser
 from sassafrasdoor.support import until
@@ -20,21 +20,27 @@
 
 
 class StreamsTest(unittest.IsolatedAsyncioTestCase):
-    def streams(self, engine, seen):
+    def streams(self, engine, current_view):
         """Return the runner of streams over a fake engine."""
-        made = settings()
-        self.admission, self.chooser = Admission(made), Chooser(made)
-        work = (made, lambda: seen, self.admission, self.chooser, engine)
-        return Streams(*work, RetryBudget(made))
+        test_settings = settings()
+        self.admission, self.chooser = Admission(test_settings), Chooser(test_settings)
+        work = (
+            test_settings,
+            lambda: current_view,
+            self.admission,
+            self.chooser,
+            engine,
+        )
+        return StreamRunner(*work, RetryBudget(test_settings))
 
     async def collect(
         self, engine, count=1, repeatable=False, restartable=False, within=20.0
     ):
         """Run a stream of five tokens; return the tokens kept and the last item."""
-        seen = view(count=count)
-        generate = Generate("s", "a prompt", 5, repeatable, restartable)
-        items = self.streams(engine, seen).run(
-            seen.row("app"), generate, deadline_in(within)
+        current_view = view(count=count)
+        generate = GenerateRequest("s", "a prompt", 5, repeatable, restartable)
+        items = self.streams(engine, current_view).run(
+            current_view.row("app"), generate, deadline_in(within)
         )
         tokens, last = [], None
         async for last in items:
@@ -68,8 +74,8 @@
         for faults, forgets, text, kind, starts in cases:
             with self.subTest(faults=faults, forgets=forgets):
                 engine = FakeEngine({"b0": faults}, ["b0"] if forgets else [])
-                found, last = await self.collect(engine)
-                self.assertEqual(found, text)
+                received_text, last = await self.collect(engine)
+                self.assertEqual(received_text, text)
                 self.assertIsInstance(last, kind)
                 self.assertEqual(engine.starts["s"], starts)
                 self.assertEqual(self.admission.in_use(), {})
@@ -97,13 +103,15 @@
         ]
         for fault, repeatable, restartable, kind in cases:
             with self.subTest(fault=fault, repeatable=repeatable, whole=restartable):
-                seen_first = _FirstFails(fault)
-                text, last = await self.collect(seen_first, 2, repeatable, restartable)
+                failing_engine = _FirstFails(fault)
+                text, last = await self.collect(
+                    failing_engine, 2, repeatable, restartable
+                )
                 self.assertIsInstance(last, kind)
                 if kind is Finished:
                     self.assertEqual(text, "w0 w1 w2 w3 w4 ")
 
-    async def test_caller_that_leaves_ends_the_stream_at_the_engine(self):
+    async def test_disconnected_caller_cancels_the_stream_at_the_engine(self):
         """Symptom: engines are busy although hardly anybody waits for them.
 
         Sequence: a caller disconnects in the middle. Cause: only our own end
@@ -111,26 +119,28 @@
         """
         engine = FakeEngine()
         engine.gate = asyncio.Event()
-        seen = view(count=1)
-        streams = self.streams(engine, seen)
-        generate = Generate("s", "a prompt", 5, True, False)
-        got = []
+        current_view = view(count=1)
+        streams = self.streams(engine, current_view)
+        generate = GenerateRequest("s", "a prompt", 5, True, False)
+        received = []
 
         async def read():
-            async for item in streams.run(seen.row("app"), generate, deadline_in(60)):
-                got.append(item)
+            async for item in streams.run(
+                current_view.row("app"), generate, deadline_in(60)
+            ):
+                received.append(item)
 
         task = asyncio.ensure_future(read())
-        await until(lambda: got)
+        await until(lambda: received)
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
         await until(lambda: engine.cancelled, what="the cancel order")
         self.assertEqual(set(engine.cancelled), {("b0", "s")})
         self.assertEqual(engine.closed, 1)
-        self.assertEqual(self.chooser.in_flight(seen.backends[0]), 0)
+        self.assertEqual(self.chooser.in_flight(current_view.backends[0]), 0)
         self.assertEqual(self.admission.in_use(), {})
 
-    async def test_caller_that_leaves_before_the_first_chunk(self):
+    async def test_caller_disconnects_before_the_first_chunk(self):
         """Symptom: now and then an engine writes on for nobody (1 of 4 whole runs).
 
         Sequence: the engine has begun, its first chunk is on its way, the
@@ -138,12 +148,14 @@
         """
         engine = FakeEngine()
         engine.before_first = asyncio.Event()
-        seen = view(count=1)
-        streams = self.streams(engine, seen)
-        generate = Generate("s", "a prompt", 5, True, False)
+        current_view = view(count=1)
+        streams = self.streams(engine, current_view)
+        generate = GenerateRequest("s", "a prompt", 5, True, False)
 
         async def read():
-            async for _ in streams.run(seen.row("app"), generate, deadline_in(60)):
+            async for _ in streams.run(
+                current_view.row("app"), generate, deadline_in(60)
+            ):
                 pass
 
         task = asyncio.ensure_future(read())
--- a/sassafrasdoor/soak/own.py
+++ b/sassafrasdoor/soak/own.py
@@ -10,7 +10,7 @@
 
 from sassafrasdoor.clock import deadline_in, passed
 from sassafrasdoor.cluster import KEYS, Cluster
-from sassafrasdoor.requests.messages import identity
+from sassafrasdoor.requests.messages import keyed_request_id
 from sassafrasdoor.soak import checks
 from sassafrasdoor.soak.checks import Call, Violations
 from sassafrasdoor.soak.schedule import Kind, schedule
@@ -99,7 +99,7 @@
         """Call with one key until there is an answer, at any instance."""
         clock = asyncio.get_running_loop().time
         key = f"key-{number}"
-        call = Call(identity(row, key), row == "once", clock(), key)
+        call = Call(keyed_request_id(row, key), row == "once", clock(), key)
         statuses = set()
         for _ in range(TRIES):
             reply = await self._ask(row, key, number)
--- a/sassafrasdoor/steps/durable/rewards.py
+++ b/sassafrasdoor/steps/durable/rewards.py
@@ -116,7 +116,7 @@
         service = attempts.service
         self._in_flight[service] = self._in_flight.get(service, 0) + 1
         try:
-            result = await self._direct.settle(attempts)
+            result = await self._direct.run_attempts(attempts)
         finally:
             self._in_flight[service] -= 1
             self._wake()
--- a/sassafrasdoor/steps/durable/runner.py
+++ b/sassafrasdoor/steps/durable/runner.py
@@ -255,7 +255,7 @@
         """Say whether an item that crashes replicas is to wait before its next try."""
         if job.broke_at is None or passed(job.broke_at + HELD_FOR):
             return False
-        return self._crashes.quarantines(_ItemRun(job))
+        return self._crashes.is_quarantined(_ItemRun(job))
 
     def _gave_up(self, job):
         route = self._route(job)
@@ -394,7 +394,7 @@
             self._again(job, replica, ENDED_HERE[OLD])
         elif result is True:
             replica.state.answered()
-            self._crashes.judged(_ItemRun(job), replica, result)
+            self._crashes.record_result(_ItemRun(job), replica, result)
             self._completed(job, replica, route)
         elif isinstance(result, SampleFailed):
             self._failed(job, replica, route, result)
@@ -405,7 +405,7 @@
                 replica.state.failed(SUSPECT_FOR)
             if job.why not in ENDED_HERE:
                 job.broke_at = now()
-                self._crashes.judged(_ItemRun(job), replica, result)
+                self._crashes.record_result(_ItemRun(job), replica, result)
             self._again(job, replica, result.reason)
 
     def _completed(self, job, replica, route):
