--- a/sassafrasdoor/requests/__init__.py
+++ b/sassafrasdoor/requests/__init__.py
@@ -1,1 +1,1 @@
-"""Applications' requests: outcomes, keys and at-most-once runs."""
+"""Requests of callers: outcomes, keys, at-most-once runs and crash quarantine."""
--- a/sassafrasdoor/requests/attempts.py
+++ b/sassafrasdoor/requests/attempts.py
@@ -1,4 +1,4 @@
-"""One caller's request and what has become of it so far, whole answer or stream."""
+"""A caller's request and its sends to replicas, for whole answers and streams."""
 
 import hashlib
 
@@ -11,25 +11,25 @@
 from sassafrasdoor.routing.replicas import SUSPECT_FOR
 from sassafrasdoor.table.routes import Repeat
 
-RETRY_AFTER = 0.1
-"""Seconds a refused caller should wait: about two usual calls end in that time."""
-NO_REPLICA_RETRY_AFTER = 0.4
-"""Seconds to wait where no replica is known; the list is read more often than that."""
-MAX_REFUSALS = 4
-"""Replicas asked in a row that say they are full, before the caller is refused."""
+RETRY_AFTER = 0.1  # seconds, in which about two typical calls end
+NO_REPLICA_RETRY_AFTER = 0.4  # seconds, longer than the list's read interval
+MAX_REFUSALS = 4  # sends that did not run before the caller is refused
 SERVER_ERROR = 500
+# Statuses that callers interpret as a guarantee that the request has not run.
 NOT_RUN_STATUSES = {408, 421, 429, 503}
-"""Statuses that callers take for the promise that a request has not run."""
+# Headers that do not change when a caller repeats a request.
 FINGERPRINT_HEADERS = ("host", "authorization")
-"""Headers that are the same each time a caller sends a request again."""
 FINGERPRINT_BYTES = 16
 REPEATABLE = {Repeat.SAFE, Repeat.RESUME}
 
-TRIES = counter("direct_tries_total", "Sends to replicas, by why.")
+TRIES = counter("direct_tries_total", "Sends to replicas, by the reason for the send.")
 
 
 class DirectRequest:
-    """A caller's request: what came in, its route and its deadline (monotonic)."""
+    """A caller's request with its route and monotonic deadline.
+
+    ``version`` is the version of the routes.
+    """
 
     __slots__ = (
         "_fingerprint",
@@ -50,7 +50,7 @@
 
     @property
     def fingerprint(self):
-        """A digest of caller, method, path and body, the same under each id."""
+        """A digest of caller, method, path and body that ignores the request id."""
         if self._fingerprint is None:
             self._fingerprint = fingerprint(
                 self.headers, self.method, self.path, self.body
@@ -72,8 +72,8 @@
 class Attempts:
     """The sends of one request; ``running`` maps tasks to their replicas.
 
-    ``failures`` counts the answers in which a replica says that its own work failed;
-    ``alone`` allows one send that may run, and no second beside it.
+    ``failures`` counts answers with status 500, which report a failure of the replica.
+    ``at_most_once`` forbids another send while one is running or may have run.
     """
 
     __slots__ = (
@@ -106,7 +106,7 @@
 
     @property
     def may_send(self):
-        """Whether one more send is within the budget, the time and the promise."""
+        """Whether attempts, deadline and at-most-once rule allow another send."""
         if self.sent >= self.request.route.attempts:
             return False
         if self.refusals >= MAX_REFUSALS or passed(self.request.deadline):
@@ -128,13 +128,13 @@
             request.body,
             request.request_id,
             request.deadline,
-            # A kept connection that its server closes just now leaves open whether
-            # the request ran; what may run once only could not be sent again.
+            # If the server closes a reused connection just then, it is unknown whether
+            # the request ran, and a non-repeatable request could not be sent again.
             fresh=not self.repeatable,
         )
 
     def record_outcome(self, replica, result):
-        """Take what became of one send into account; return it."""
+        """Update the replica and the counts with the result of a send; return it."""
         if isinstance(result, Answer):
             self.may_have_run = True
             if result.status < SERVER_ERROR:
@@ -167,12 +167,12 @@
         return result
 
     def final_outcome(self, last):
-        """Return the outcome for the caller after ``last``, logged."""
+        """Log and return the outcome for the caller after the last result."""
         if isinstance(last, Answer):
             if self.repeatable or last.status not in NOT_RUN_STATUSES:
                 return last
-            # A replica may run a request and answer with a status that callers take
-            # for "not run". Passed on, they would send it again, and it runs twice.
+            # A replica may run a request and still answer with a status that means
+            # "not run" to callers, who would then repeat it, and it would run twice.
             reason = f"replica answered {last.status} and may have run it"
             return self.give_up(Unknown(reason))
         if self.may_have_run:
@@ -185,13 +185,13 @@
         return self.give_up(refused)
 
     def timeout_outcome(self):
-        """Return the outcome for the caller at the deadline, logged."""
+        """Log and return the outcome for the caller at the deadline."""
         if self.may_have_run or self.running:
             return self.give_up(Unknown("out of time"))
         return self.give_up(NotRun("out of time", RETRY_AFTER))
 
     def answered(self, status):
-        """Log an answer that goes to the caller."""
+        """Log an answer that is sent to the caller."""
         note_routine(
             "request.answered",
             request=self.request.request_id,
@@ -203,7 +203,7 @@
         )
 
     def give_up(self, result):
-        """Log a failure that goes to the caller; return it."""
+        """Log and return a failure that is sent to the caller."""
         note(
             "request.given_up",
             request=self.request.request_id,
--- a/sassafrasdoor/requests/calls.py
+++ b/sassafrasdoor/requests/calls.py
@@ -1,4 +1,4 @@
-"""Calls to plain services: one try after the other, as far as it is safe."""
+"""Calls to plain services, retried where that is safe."""
 
 from functools import singledispatch
 
@@ -9,17 +9,17 @@
 from sassafrasdoor.requests.messages import combine_outcomes
 
 MAX_TRIES = 3
-# A first try may use this part of the time left if another may follow: a server
-# that hangs must leave time for the next one.
+# Fraction of the remaining time that a try may use if another may follow, so that a hanging
+# server leaves time for the next one.
 TRY_SHARE = 0.6
 RETRY_AFTER = 1.0
 
 TRIES = metrics.counter("sassafrasdoor_tries_total", "Calls sent to a server.")
-RETRIES = metrics.counter("sassafrasdoor_retries_total", "Calls sent once more.")
+RETRIES = metrics.counter("sassafrasdoor_retries_total", "Calls retried.")
 
 
 class CallRunner:
-    """Runs calls of applications on plain services."""
+    """Runs calls on plain services."""
 
     __slots__ = (
         "_admission",
@@ -55,9 +55,8 @@
             )
             if not backend:
                 return combine_outcomes(last, backend)
-            # An instance that was paused wakes here with an old request. Its
-            # caller gave up long ago and may have asked elsewhere: sent now it
-            # would run behind everybody's back.
+            # After a pause of this process, the caller may have given up and repeated
+            # the request elsewhere, so a late send would run it unnoticed.
             if passed(request.deadline):
                 return combine_outcomes(last, NotRun("deadline passed", RETRY_AFTER))
             last = combine_outcomes(last, await self._attempt(backend, request))
@@ -104,8 +103,8 @@
 
 @singledispatch
 def _outcome_of(outcome):
-    """Return how one try ended as ``Answer``, ``NotRun`` or ``Unknown``."""
-    raise TypeError(f"no outcome of a call: {outcome!r}")
+    """Return the outcome of a try as ``Answer``, ``NotRun`` or ``Unknown``."""
+    raise TypeError(f"unsupported outcome of a call: {outcome!r}")
 
 
 @_outcome_of.register(Answer)
--- a/sassafrasdoor/requests/claims.py
+++ b/sassafrasdoor/requests/claims.py
@@ -1,12 +1,12 @@
-"""Claims in the log on keys that callers chose: the first offset wins.
+"""Claims in the log on keys chosen by callers: the claim with the lowest offset wins.
 
-A process appends its claim, reads the stream up to it and then knows whether an
-earlier one stands before it. All readers see the same order, so all agree on the
-one process that may run the key. Claims of one moment share an append, because
-all instances share the log's few hundred appends a second.
+A process appends its claim and reads the stream up to it, which shows whether another
+claim precedes it. All readers see the same order and therefore agree on the one process
+that may run the key. Concurrent claims of a process are batched into one append, because
+all instances share the log's few hundred appends per second.
 
-The log has to keep records for at least ``key_lifetime``: a claim that vanished
-sooner would let its key run a second time.
+The log must retain records for at least ``key_lifetime``. If a claim were removed earlier,
+its key could run a second time.
 """
 
 import asyncio
@@ -24,8 +24,7 @@
 MAX_BATCH = 200
 READ_WAIT = 0.5
 READ_RETRY = 0.05
-# A record whose append lost its reply shows within this time, or we give up.
-FIND_TIMEOUT = 3.0
+FIND_TIMEOUT = 3.0  # seconds for an appended claim to become readable
 NAME_BYTES = 16
 RETRY_AFTER = 2.0
 
@@ -35,7 +34,7 @@
 
 
 class Owner:
-    """The one life of one instance that may run a key."""
+    """The process that may run a key: an instance and its incarnation."""
 
     __slots__ = ("incarnation", "instance")
 
@@ -45,7 +44,7 @@
 
 
 class Claims:
-    """Claims on keys for one entry process, over several streams of the log."""
+    """Claims on keys by one entry process, spread over several streams of the log."""
 
     __slots__ = ("_owner", "_streams")
 
@@ -57,16 +56,16 @@
         ]
 
     async def claim(self, row_name, key, deadline):
-        """Return the ``Owner`` of a key, or ``NotRun`` if that cannot be told."""
+        """Return the ``Owner`` of a key, or ``NotRun`` if it cannot be determined."""
         name = claim_name(row_name, key)
         return await self._stream(name).claim(name, deadline)
 
     def owns(self, owner):
-        """Say whether we are that owner."""
+        """Return whether this process is that owner."""
         return owner.incarnation == self._owner.incarnation
 
     def owns_key(self, row_name, key):
-        """Say whether a claim of ours on the key is known to have won."""
+        """Return whether this process is known to own the key."""
         name = claim_name(row_name, key)
         owner = self._stream(name).owner(name)
         return owner is not None and self.owns(owner)
@@ -76,7 +75,7 @@
 
 
 class ClaimStream:
-    """One stream of claims: what was read of it, and appends in groups."""
+    """One stream of claims: the owners read from it, and batched appends."""
 
     __slots__ = (
         "_committer",
@@ -102,13 +101,13 @@
         self._seen_ids = set()
 
     def owner(self, name):
-        """Return the owner known of a key, or None."""
+        """Return the known owner of a key, or None."""
         self._forget_expired()
         entry = self._owners.get(name)
         return entry[0] if entry else None
 
     async def claim(self, name, deadline):
-        """Return the key's owner, claiming it if nobody has."""
+        """Return the key's owner, claiming the key if it has none."""
         known = self.owner(name)
         if known is not None:
             return known
@@ -144,7 +143,7 @@
         return owner or NotRun("the claim was not found", RETRY_AFTER)
 
     async def _commit(self, names):
-        """Append a claim on all names and read up to it; return None or NotRun."""
+        """Append a claim on all names and read up to it; return None or ``NotRun``."""
         claim_id = uuid.uuid4().hex
         body = {
             "kind": KIND,
@@ -164,11 +163,11 @@
         return await self._read_until_found(claim_id)
 
     async def _read_until_found(self, claim_id):
-        """Read until our record shows; return None, or ``NotRun`` if it does not.
+        """Read until the claim appears; return None, or ``NotRun`` on timeout.
 
-        Whether it was appended or its reply lost makes no difference: it counts
-        where the log has it. If it shows up later it is a claim of ours on keys
-        that did not run; the caller's next try here or by forwarding runs them.
+        Only the claim's place in the log counts, also if the reply of its append was lost.
+        A claim that appears after the timeout belongs to this process, for keys that have
+        not run. They run when the caller tries again, here or by forwarding.
         """
         find_deadline = deadline_in(FIND_TIMEOUT)
         while claim_id not in self._seen_ids:
@@ -180,7 +179,7 @@
         return None
 
     async def _read_page(self, wait):
-        """Read on; return False if the log could not be read."""
+        """Read the next page; return False if the log could not be read."""
         batch = await self._log.read(self._stream, self._position, PAGE, wait)
         if isinstance(batch, Expired):
             self._position = batch.first
@@ -198,8 +197,8 @@
         if body["incarnation"] == self._local_owner.incarnation:
             self._seen_ids.add(body["id"])
         owner = Owner(body["instance"], body["incarnation"])
-        # Counted from our reading, which is later than the append: to keep a
-        # claim too long is safe, to forget it early would run its key twice.
+        # Counted from the read, which is later than the append. Keeping a claim too
+        # long is safe; dropping it early could run its key twice.
         expires_at = deadline_in(self._lifetime)
         self._forget_expired()
         for name in body["names"]:
@@ -214,13 +213,13 @@
 
 
 def claim_name(row_name, key):
-    """Return the name under which a key of a row is claimed."""
+    """Return the digest under which a key of a row is claimed."""
     text = f"{len(row_name)}:{row_name}{key}"
     return blake2b(text.encode(), digest_size=NAME_BYTES).hexdigest()
 
 
 def _well_formed(body):
-    """Say whether a record is a claim; the stream may hold anything."""
+    """Return whether a record is a valid claim."""
     return (
         isinstance(body, dict)
         and body.get("kind") == KIND
--- a/sassafrasdoor/requests/crash_watch.py
+++ b/sassafrasdoor/requests/crash_watch.py
@@ -1,8 +1,8 @@
-"""Finds out which broken connections were crashes, and what must not run again.
+"""Detects replica crashes and quarantines the requests that cause them.
 
-Every instance keeps the crashes of all in a keyed topic of the log: a request that has
-crashed replicas comes again at any of them, and after any restart. A record names a
-request, by its fingerprint, and one replica that crashed under it.
+Crashes are shared through a keyed topic of the log, because a caller may send the same
+request to another instance, or again after an instance has restarted. The key of a
+record is ``<request fingerprint>/<crashed replica>``.
 """
 
 import asyncio
@@ -18,45 +18,42 @@
 from sassafrasdoor.requests.crashes import CrashHistory, State
 
 TOPIC = "keyed.crashes"
-PROBE_DELAYS = (0.0, 0.3)
-"""Seconds before each look whether anybody still listens at the replica's address."""
-LISTING_CHECK_INTERVAL = 0.25
-"""Seconds between looks at the list where the address tells neither way."""
+PROBE_DELAYS = (0.0, 0.3)  # seconds before each connection probe of the replica
+LISTING_CHECK_INTERVAL = 0.25  # seconds, used when the probes are inconclusive
+# Seconds after a broken connection within which the end of the replica's listing confirms
+# a crash: three heartbeats plus a slow read of the list.
 CRASH_CONFIRM_TIMEOUT = 6.0
-"""Seconds after a broken connection in which the end of the replica's entry confirms a
-crash: three heartbeats and the reading of the list, with room for a slow one."""
-SUSPECT_WAIT_TIMEOUT = 1.0
-"""Seconds that a suspect waits for what became of the replica it ran at."""
-APPEND_TIMEOUT = 1.0
-APPEND_RETRY_INTERVAL = 0.25
-MAX_PENDING_RECORDS = 4096
-"""Records that wait for the log; beyond them the oldest is left out."""
-EXPIRY_INTERVAL = 60.0
-MAX_IDENTITY_LENGTH = 128
-"""Characters of a replica's identity in a record's key, which has 255 bytes."""
+SUSPECT_WAIT_TIMEOUT = 1.0  # seconds to wait for crash checks between two suspects
+APPEND_TIMEOUT = 1.0  # seconds
+APPEND_RETRY_INTERVAL = 0.25  # seconds
+MAX_PENDING_RECORDS = (
+    4096  # records not yet in the log; the oldest are dropped beyond it
+)
+EXPIRY_INTERVAL = 60.0  # seconds
+MAX_IDENTITY_LENGTH = 128  # characters, since a record's key is limited to 255 bytes
 
 CRASHES = counter(
-    "replica_crashes_total", "Replicas that broke a connection and ended."
+    "replica_crashes_total", "Replica crashes detected after a broken connection."
 )
 QUARANTINED = counter(
-    "requests_quarantined_total", "Requests not sent, since they crash replicas."
+    "requests_quarantined_total", "Requests refused because they crash replicas."
 )
 TRACKED_REQUESTS = gauge(
-    "crash_requests_known", "Requests under which a replica has crashed."
+    "crash_requests_known", "Requests with at least one recorded crash."
 )
 
 
 class Quarantined(Unknown):
-    """The request ran before, under other ids, and crashed the replicas that ran it."""
+    """The request ran before, under other request ids, and crashed the replicas."""
 
     __slots__ = ()
 
 
 class CrashWatch:
-    """Looks after each connection that broke while a request ran at a replica.
+    """Checks replicas after broken connections and tracks which requests crash them.
 
-    Without a ``log`` it knows its own crashes only; ``expires()`` says whether this
-    instance is the one that drops expired records.
+    Without a ``log``, only crashes detected by this instance are known.
+    ``is_expiry_owner()`` returns whether this instance deletes expired records in the log.
     """
 
     __slots__ = (
@@ -97,16 +94,16 @@
 
     @property
     def is_checking(self):
-        """Whether some replica is being looked after."""
+        """Whether a crash check of a replica is in progress."""
         return bool(self._checks)
 
     @property
     def has_unpublished_records(self):
-        """Whether the log has not acknowledged everything yet."""
+        """Whether records are waiting for an acknowledgement by the log."""
         return bool(self._pending)
 
     def refusal(self, request):
-        """Return ``Quarantined`` if a request must not be sent, else None."""
+        """Return ``Quarantined`` and log it if a request must not be sent, else None."""
         if not self.is_quarantined(request):
             return None
         QUARANTINED.inc({})
@@ -124,26 +121,26 @@
         return Quarantined(f"the request has crashed {len(replicas)} replicas")
 
     def is_quarantined(self, request):
-        """Say whether a request must not be sent."""
+        """Return whether a request must not be sent."""
         return self._state(request) is State.QUARANTINED
 
     def is_suspect(self, request):
-        """Say whether a request is to run alone."""
+        """Return whether a request may crash replicas, so that suspects run one by one."""
         return self._state(request) is State.SUSPECT
 
     @contextlib.asynccontextmanager
     async def suspect_lock(self, service):
-        """Let the suspects of a service run one after the other.
+        """Let the suspects of a service run one at a time.
 
-        The next one waits until it is known what became of the replica that the one
-        before ran at: two that crash together could not be told apart.
+        The next suspect waits for the crash checks of the previous one, up to
+        ``SUSPECT_WAIT_TIMEOUT``. Otherwise a crash could not be attributed to one of them.
         """
         lock = self._suspect_locks.setdefault(service, asyncio.Lock())
         await lock.acquire()
         try:
             yield
         finally:
-            # The caller has its answer meanwhile.
+            # In the background, so that the caller gets its answer without the wait.
             release_task = asyncio.ensure_future(self._release_after_checks(lock))
             self._lock_releases.add(release_task)
             release_task.add_done_callback(self._lock_releases.discard)
@@ -156,7 +153,7 @@
             lock.release()
 
     def record_result(self, request, replica, result):
-        """Take what became of a send; ``result`` is True for a whole stream."""
+        """Process the result of a send; ``result`` is True for a complete stream."""
         if isinstance(result, Broken):
             if result.began:
                 self._start_check(request, replica)
@@ -166,7 +163,7 @@
             self._clear(request)
 
     def apply_record(self, key, value):
-        """Take a record of the log: a crash, or with no value that it is withdrawn."""
+        """Apply a log record: a crash, or its removal if ``value`` is empty."""
         fingerprint, separator, replica = key.partition("/")
         if not separator:
             note("crash.record_unreadable", key=key)
@@ -184,7 +181,7 @@
         TRACKED_REQUESTS.set({}, len(self._history))
 
     async def run(self):
-        """Append what others must know until cancelled."""
+        """Append pending records to the log until cancelled."""
         while True:
             await self._wake.wait()
             batch = dict(self._pending)
@@ -202,14 +199,14 @@
                 self._wake.clear()
 
     async def expire(self):
-        """Forget what lies long back until cancelled."""
+        """Drop expired crashes until cancelled."""
         while True:
             await asyncio.sleep(EXPIRY_INTERVAL)
             for fingerprint in self._history.expired():
                 self._forget(fingerprint, publish=self._is_expiry_owner())
 
     def _state(self, request):
-        # Most requests are asked about while no crash is known: no digest is made.
+        # Skips the request's digest in the usual case that no crash is known.
         if not len(self._history):
             return State.CLEAR
         return self._history.state(request.fingerprint)
--- a/sassafrasdoor/requests/crashes.py
+++ b/sassafrasdoor/requests/crashes.py
@@ -1,14 +1,17 @@
-"""Which requests are to blame for the crashes of replicas.
+"""Determines which requests cause the crashes of replicas.
 
-A crash alone does not tell which of the requests that ran there caused it. The one that
-did is there at each, and no replica ever answers it; those that merely ran beside it are
-answered elsewhere, or run into few crashes that no worse suspect was part of.
+A single crash does not show which of the requests running at the replica caused it. The
+cause is present at each of its crashes, and no replica ever answers it. Requests that only
+ran beside it are answered elsewhere, or have few crashes that no worse request explains.
 
-| crashes without a quarantined request | state |
+A crash is unexplained if no other quarantined request ran at the replica. A request's
+state depends on its unexplained crashes:
+
+| unexplained crashes | state |
 |---|---|
-| none or one, or any replica answered it since | clear |
+| none or one, or any replica answered the request since | clear |
 | two or more | suspect |
-| three or more, at one of them it was the worst suspect | quarantined |
+| three or more, and at one of them no other request had as many crashes | quarantined |
 | five or more | quarantined |
 """
 
@@ -19,17 +22,14 @@
 from sassafrasdoor.clock import deadline_in, passed
 
 SUSPECT_THRESHOLD, QUARANTINE_THRESHOLD, UNCONDITIONAL_THRESHOLD = 2, 3, 5
-RETENTION_PERIOD = 3600.0
-"""Seconds that crashes are remembered after the last, or after the last time that the
-request came."""
+RETENTION_PERIOD = 3600.0  # seconds after a request's last crash or last arrival
+# Seconds after which other instances are notified that a quarantined request still arrives.
 RENEWAL_INTERVAL = RETENTION_PERIOD / 4
-"""Seconds after which others are told that a quarantined request still comes."""
-MAX_REQUESTS = 4096
-"""Requests remembered; the one that was longest without a crash gives way."""
+MAX_REQUESTS = 4096  # tracked requests; the one with the oldest last crash is evicted
 
 
 class State(Enum):
-    """What a request may do: run as usual, run alone, or not run."""
+    """Whether a request runs as usual, one at a time with other suspects, or not at all."""
 
     CLEAR = "clear"
     SUSPECT = "suspect"
@@ -37,7 +37,7 @@
 
 
 class _CrashedRequest:
-    """What is known of one request: the replicas that crashed under it."""
+    """The replicas that crashed while one request ran there, and its expiry."""
 
     __slots__ = ("expires_at", "renew_at", "replicas")
 
@@ -53,8 +53,8 @@
 class CrashHistory:
     """Crashed replicas by the fingerprints of the requests that ran there.
 
-    The states follow from all that is known, not from its order: instances that have
-    heard the same agree.
+    States do not depend on the order of the records, so instances with the same records
+    agree.
     """
 
     __slots__ = ("_culprits", "_requests", "_requests_by_replica")
@@ -68,7 +68,7 @@
         return len(self._requests)
 
     def replicas(self, fingerprint):
-        """Return the replicas known to have crashed under a request, in order."""
+        """Return the sorted replicas that crashed while a request ran there."""
         entry = self._requests.get(fingerprint)
         return sorted(entry.replicas) if entry is not None else []
 
@@ -84,7 +84,7 @@
         return State.SUSPECT if len(unexplained) >= SUSPECT_THRESHOLD else State.CLEAR
 
     def add_crash(self, fingerprint, replica):
-        """Take a crash of a replica at which a request ran; say whether it is new."""
+        """Add a crash of a replica where a request ran; return whether it is new."""
         entry = self._requests.setdefault(fingerprint, _CrashedRequest())
         self._requests.move_to_end(fingerprint)
         entry.renew()
@@ -98,7 +98,7 @@
         return True
 
     def remove_crash(self, fingerprint, replica):
-        """Forget one crash of a request."""
+        """Remove one crash of a request."""
         entry = self._requests.get(fingerprint)
         if entry is None or replica not in entry.replicas:
             return
@@ -112,12 +112,12 @@
         self._culprits = None
 
     def forget(self, fingerprint):
-        """Forget all crashes of a request."""
+        """Remove all crashes of a request."""
         for replica in self.replicas(fingerprint):
             self.remove_crash(fingerprint, replica)
 
     def record_arrival(self, fingerprint):
-        """Remember a request that came for longer; say whether to tell others."""
+        """Extend a request's retention; return whether to notify other instances."""
         entry = self._requests[fingerprint]
         is_due = passed(entry.renew_at)
         entry.expires_at = deadline_in(RETENTION_PERIOD)
@@ -126,13 +126,16 @@
         return is_due
 
     def expired(self):
-        """Return the fingerprints that need not be remembered any more."""
+        """Return the fingerprints whose retention has ended."""
         return [
             key for key, entry in self._requests.items() if passed(entry.expires_at)
         ]
 
     def _find_culprits(self):
-        """Return the requests to blame, the worst first: it explains its crashes."""
+        """Return the requests to quarantine.
+
+        Those with the most crashes are decided first, since they explain crashes of others.
+        """
         worst_first = sorted(
             (
                 key
@@ -164,7 +167,7 @@
         )
 
     def _unexplained_crashes(self, fingerprint, culprits):
-        """Return the crashes of a request at which no other ran that is to blame."""
+        """Return the crashes of a request without another culprit at the replica."""
         others = culprits - {fingerprint}
         replicas = self._requests[fingerprint].replicas
         return [
--- a/sassafrasdoor/requests/direct.py
+++ b/sassafrasdoor/requests/direct.py
@@ -1,4 +1,4 @@
-"""Callers' requests with a whole answer: tries, hedges and the time left for them."""
+"""Requests of callers that get a complete answer: retries, hedges and deadlines."""
 
 import asyncio
 
@@ -8,15 +8,15 @@
 from sassafrasdoor.requests.crash_watch import CrashWatch
 from sassafrasdoor.table.routes import Repeat
 
+# Fraction of the target latency after which a repeatable request is sent once more. A
+# second send of typical duration (a fifth of the target) still ends within the target.
 HEDGE_FRACTION = 0.55
-"""Part of the target latency after which a repeatable request is sent once more: a
-second try of usual length (a fifth of the target) still ends within the target."""
 
 OUTCOMES = counter("direct_requests_total", "Callers' requests, by outcome.")
 
 
 class DirectService:
-    """Answers callers' requests from replicas."""
+    """Sends requests of callers to replicas and returns the answers."""
 
     __slots__ = ("_client", "_crash_watch", "_replicas")
 
@@ -30,7 +30,7 @@
         return await self.run_attempts(Attempts(request))
 
     async def run_attempts(self, attempts):
-        """Send as often as need be; return as ``answer`` does."""
+        """Send until there is a final outcome; return it as ``answer`` does."""
         try:
             async with asyncio.timeout_at(attempts.request.deadline):
                 result = await self._run(attempts)
@@ -45,7 +45,7 @@
         return result
 
     async def _run(self, attempts):
-        """Send as often as need be, a suspect of crashes alone and once."""
+        """Send until there is a final outcome; serialize suspects and send them once."""
         if not self._crash_watch.is_suspect(attempts.request):
             return await self._send_until_answered(attempts)
         async with self._crash_watch.suspect_lock(attempts.service):
@@ -81,7 +81,7 @@
         return attempts.request.route.target * HEDGE_FRACTION
 
     def _send(self, attempts, why):
-        """Send to one more replica; return whether it was sent."""
+        """Send to one more replica if allowed; return whether a send was started."""
         if not attempts.may_send:
             return False
         if attempts.sent and self._crash_watch.refusal(attempts.request) is not None:
--- a/sassafrasdoor/requests/executions.py
+++ b/sassafrasdoor/requests/executions.py
@@ -1,4 +1,4 @@
-"""Outcomes of keyed requests, kept so that a repeated key never runs twice."""
+"""Outcomes of keyed requests, kept so that no key runs twice."""
 
 import asyncio
 from collections import OrderedDict
@@ -12,20 +12,19 @@
 MAX_KEYS = 200_000
 MAX_ANSWER_BYTES = 64_000_000
 RETRY_AFTER = 1.0
-# A run ends at its own deadline; whoever waits for it waits a moment longer, to
-# hear how it ended and not that it still runs.
+# Seconds beyond the deadline, at which the run itself ends, to wait for its outcome.
 OUTCOME_MARGIN = 0.2
 
 REPEATED = metrics.counter(
-    "sassafrasdoor_repeated_keys_total", "Requests whose key was here before."
+    "sassafrasdoor_repeated_keys_total", "Requests with a repeated key."
 )
 DROPPED = metrics.counter(
-    "sassafrasdoor_dropped_answers_total", "Kept answers dropped for want of room."
+    "sassafrasdoor_dropped_answers_total", "Kept answers dropped at the memory limit."
 )
 
 
 class Execution:
-    """One keyed request: what it asks, its run, and until when it is kept."""
+    """One keyed request: fingerprint, task, outcome and expiry."""
 
     __slots__ = ("expires_at", "fingerprint", "outcome", "task")
 
@@ -37,7 +36,7 @@
 
 
 class Executions:
-    """The keyed requests of this process, oldest first; bounded by their expiry."""
+    """The keyed requests of this process, oldest first, bounded by expiry and size."""
 
     __slots__ = ("_bytes", "_executions", "_lifetime")
 
@@ -56,8 +55,8 @@
     async def run_once(self, scope, request, run):
         """Return the outcome of the one run under ``scope`` (row name, key).
 
-        ``run()`` is awaited in a task of its own: a caller who leaves does not
-        end it, since it may ask again with the same key.
+        ``run()`` is awaited in a separate task that continues when the caller
+        disconnects, because the caller may repeat the request with the same key.
         """
         self._forget_expired()
         fingerprint = request.fingerprint()
@@ -92,7 +91,7 @@
         execution = self._executions[scope]
         execution.outcome = outcome
         if isinstance(outcome, NotRun):
-            # It truly did not run, so the same key may try again here.
+            # It did not run, so the same key may be tried again.
             del self._executions[scope]
         elif isinstance(outcome, Answer):
             self._bytes += len(outcome.body)
--- a/sassafrasdoor/requests/handlers.py
+++ b/sassafrasdoor/requests/handlers.py
@@ -1,4 +1,4 @@
-"""Callers' HTTP of requests: ``/v1/call`` and ``/v1/generate``."""
+"""HTTP handlers of requests: ``/v1/call`` and ``/v1/generate``."""
 
 import asyncio
 import contextlib
@@ -23,18 +23,18 @@
 
 __all__ = ["RequestsService", "handlers"]
 
-# So much of a body that is too large is read and thrown away, so that its
-# sender gets to read the refusal.
+# Multiple of the body limit that is read and discarded, so that the sender of a body that is
+# too large gets to read the refusal.
 DISCARD_LIMIT_FACTOR = 16
 
-OUTCOMES = metrics.counter("sassafrasdoor_outcomes_total", "Outcomes by their name.")
+OUTCOMES = metrics.counter("sassafrasdoor_outcomes_total", "Outcomes by name.")
 DISCONNECTS = metrics.counter(
-    "sassafrasdoor_callers_left_total", "Callers gone before their answer."
+    "sassafrasdoor_callers_left_total", "Callers that disconnected before their answer."
 )
 
 
 def handlers(requests):
-    """Return the handlers of requests for the application."""
+    """Return the Tornado routes of requests."""
     parts = {"requests": requests}
     return [
         (r"/v1/call/([A-Za-z0-9_.-]+)(/.*)?", CallHandler, parts),
@@ -44,7 +44,7 @@
 
 @tornado.web.stream_request_body
 class RowHandler(tornado.web.RequestHandler):
-    """A call of one row: authorised and bounded before its body is read."""
+    """A request of one row, authorised and limited in size before its body is read."""
 
     def initialize(self, requests):
         self._requests = requests
@@ -53,7 +53,7 @@
         self._task = None
 
     def prepare(self):
-        """Check the key and the length."""
+        """Authorise the request and check its length."""
         limit = self._requests.settings.requests.body_limit
         self.request.connection.set_max_body_size(limit * DISCARD_LIMIT_FACTOR)
         self._row = self.application.settings["authorize"](self, self.path_args[0])
@@ -69,7 +69,7 @@
             self._body += chunk
 
     def on_connection_close(self):
-        """End the work of a caller who left: it would take capacity for nobody."""
+        """Cancel the work of a caller who disconnected, to free its capacity."""
         DISCONNECTS.inc({})
         if self._task is not None:
             self._task.cancel()
@@ -80,7 +80,7 @@
         self._refuse(status_code, name, self._reason)
 
     async def serve(self, *_):
-        """Run the request; ``_work`` ends with the connection."""
+        """Run the request; ``_task`` is cancelled when the connection closes."""
         if len(self._body) > self._requests.settings.requests.body_limit:
             self._refuse_body()
             return
@@ -94,8 +94,8 @@
 
     @singledispatchmethod
     async def reply(self, outcome):
-        """Send an outcome that is whole."""
-        raise TypeError(f"no outcome: {outcome!r}")
+        """Send a complete outcome."""
+        raise TypeError(f"unsupported outcome: {outcome!r}")
 
     @reply.register
     async def _(self, outcome: Answer):
@@ -141,7 +141,7 @@
 
 
 class CallHandler(RowHandler):
-    """``ANY /v1/call/{row}/{path}``: passed through to a plain service."""
+    """``ANY /v1/call/{row}/{path}``: proxies a call to a plain service."""
 
     async def _run(self):
         http = self.request
@@ -161,7 +161,7 @@
 
 
 class GenerateHandler(RowHandler):
-    """``POST /v1/generate/{row}``: whole, or streamed as NDJSON."""
+    """``POST /v1/generate/{row}``: answers in one piece, or as an NDJSON stream."""
 
     post = RowHandler.serve
 
@@ -186,8 +186,8 @@
         elif body.stream and not request.is_deduplicated:
             await self._stream(request, body)
         else:
-            # A keyed answer is kept, so that asking again gives the same one;
-            # it is sent once it is whole.
+            # The answer of a keyed request is kept for repeats and therefore sent only
+            # once it is complete.
             await self.reply(await self._requests.run(self._row, request))
 
     async def _stream(self, request, body):
@@ -230,11 +230,11 @@
         self.write(json.dumps(document) + "\n")
 
     async def _abort_stream(self, outcome):
-        """End a streamed answer that is not whole.
+        """Abort an incomplete streamed answer.
 
-        Ended as usual it would look whole to a caller who does not look for the
-        last line. So a line says what happened, and the connection is closed
-        without the end of the chunked body: every client reports that.
+        With a regular end it would look complete to a caller that does not check the last
+        line. So the outcome is written as a line, and the connection is closed without the
+        end of the chunked body, which every client reports as an error.
         """
         OUTCOMES.inc({"outcome": messages.UNKNOWN})
         self._write_line({"outcome": messages.UNKNOWN, "reason": outcome.reason})
--- a/sassafrasdoor/requests/issued.py
+++ b/sassafrasdoor/requests/issued.py
@@ -1,8 +1,8 @@
-"""Keys issued with discovery answers: they name who alone may run them.
+"""Keys issued with discovery answers, which name the only process that may run them.
 
-The issuer is one life of one process (its incarnation). Whoever else receives
-such a key forwards to it or answers ``unknown``; so no two processes can ever
-run one key, without the log and without comparing clocks.
+The issuer is one incarnation of an instance. Other instances forward such a key to it or
+answer ``unknown``, so two processes never run the same key. This needs neither the log nor
+synchronised clocks.
 """
 
 import re
@@ -18,7 +18,7 @@
 
 
 class IssuedKey:
-    """A key's parts; ``second`` counts on the issuer's clock from its start."""
+    """The parts of a key; ``second`` is its time of issue in seconds since issuer start."""
 
     __slots__ = ("incarnation", "instance", "second")
 
@@ -37,7 +37,7 @@
 
 
 class Issuer:
-    """Issues prefixes of keys and knows its own again."""
+    """Issues key prefixes and recognises its own keys."""
 
     __slots__ = ("_instance", "_lifetime", "_started", "incarnation")
 
@@ -45,25 +45,24 @@
         self._instance = settings.instance.name
         self._lifetime = settings.requests.key_lifetime
         self._started = now()
-        # Not the membership's number: that one grows within one life.
+        # Not the membership's incarnation, which may increase while a process runs.
         self.incarnation = secrets.token_hex(8)
 
     def prefix(self):
-        """Return a prefix; with any ending of the caller's it makes a key."""
+        """Return a prefix, to which the caller appends any suffix to form a key."""
         return (
             f"{PREFIX}~{self._instance}~{self.incarnation}~{self._elapsed_seconds()}~"
         )
 
     def owns(self, issued):
-        """Say whether this very process issued the key."""
+        """Return whether this process issued the key."""
         return issued.incarnation == self.incarnation
 
     def has_lapsed(self, issued):
-        """Say whether the key is too old to be run.
+        """Return whether the key is too old to run.
 
-        What ran is remembered for a lifetime after its run. A key that could
-        be used for longer than that after its issue might run a second time
-        once the first is forgotten.
+        Outcomes are kept for one key lifetime after the run. A key accepted for longer than
+        that after its issue could run again once its outcome has expired.
         """
         return not 0 <= self._elapsed_seconds() - issued.second <= self._lifetime
 
--- a/sassafrasdoor/requests/messages.py
+++ b/sassafrasdoor/requests/messages.py
@@ -1,4 +1,4 @@
-"""What travels through this slice: a request and the names of its outcomes."""
+"""The request type and the names of outcomes on the wire."""
 
 import hashlib
 from functools import singledispatch
@@ -21,8 +21,8 @@
     """One request of a caller, on its way to a backend server.
 
     ``kind`` is ``CALL`` or ``GENERATE``; the body of the latter is JSON.
-    ``deadline`` is on the monotonic clock. ``key`` is the caller's idempotency
-    key or empty, ``request_id`` names the request to backend servers.
+    ``deadline`` is on the monotonic clock. ``key`` is the caller's idempotency key or
+    empty; ``request_id`` identifies the request to backend servers.
     """
 
     __slots__ = (
@@ -61,11 +61,11 @@
 
     @property
     def is_deduplicated(self):
-        """Whether its key guards it against running twice."""
+        """Whether its key must prevent a second run."""
         return bool(self.key) and not self.repeatable
 
     def fingerprint(self):
-        """Return a digest of what is asked, to tell another request with its key."""
+        """Return a digest of the request, to detect a key reused for another one."""
         digest = hashlib.sha256()
         for part in (self.kind, self.method, self.path):
             digest.update(f"{len(part)}:{part}".encode())
@@ -80,9 +80,9 @@
 
 
 def keyed_request_id(row_name, key):
-    """Return the name under which backend servers know a keyed request.
+    """Return the request id of a keyed request for backend servers.
 
-    The row is part of it: the same key of two rows names two requests.
+    It includes the row, since the same key of two rows belongs to two requests.
     """
     text = f"{len(row_name)}:{row_name}{key}"
     return "k-" + hashlib.sha256(text.encode()).hexdigest()[:32]
@@ -90,8 +90,8 @@
 
 @singledispatch
 def outcome_name(outcome):
-    """Return the word for an outcome on the wire."""
-    raise TypeError(f"no outcome: {outcome!r}")
+    """Return the name of an outcome on the wire."""
+    raise TypeError(f"unsupported outcome: {outcome!r}")
 
 
 @outcome_name.register
@@ -115,17 +115,16 @@
 
 
 def header_pairs(headers):
-    """Return names and values; a name may stand more than once (``Set-Cookie``)."""
+    """Return name and value pairs; names may repeat (``Set-Cookie``)."""
     if isinstance(headers, HTTPHeaders):
         return list(headers.get_all())
     return list(headers.items())
 
 
 def combine_outcomes(last, outcome):
-    """Return the outcome of all tries so far, ``last`` being None before the first.
+    """Return the combined outcome of all tries; ``last`` is None before the first.
 
-    Once one of them may have run, a later one that surely did not cannot make
-    the whole ``not run``.
+    Once a try may have run, a later try that did not run leaves the outcome unknown.
     """
     if isinstance(last, Unknown) and not outcome:
         return last
--- a/sassafrasdoor/requests/peer.py
+++ b/sassafrasdoor/requests/peer.py
@@ -1,4 +1,4 @@
-"""Forwarding of keyed requests to the one process that may run them."""
+"""Forwards keyed requests to the one process that may run them."""
 
 import pathlib
 
@@ -15,8 +15,7 @@
 
 SCHEMA = capnp.load(str(pathlib.Path(__file__).with_name("peer.capnp")))
 CONNECT_TIMEOUT = 2.0
-# The answer of a run that ends just at its deadline must still come through.
-REPLY_MARGIN = 0.5
+REPLY_MARGIN = 0.5  # seconds beyond the deadline for the reply of a run that ends at it
 
 FORWARDED = metrics.counter(
     "sassafrasdoor_forwarded_total", "Keyed requests forwarded to their owner."
@@ -24,7 +23,7 @@
 
 
 class _Capability(SCHEMA.Requests.Server):
-    """What peers may ask of this entry process."""
+    """The RPC interface that this entry process offers to its peers."""
 
     def __init__(self, requests):
         self._requests = requests
@@ -42,11 +41,10 @@
 
 
 async def forward(settings, address, incarnation, row, request):
-    """Have the process of that incarnation run a keyed request.
+    """Forward a keyed request to the process of that incarnation.
 
-    Each uses a connection of its own: on a shared one a slow run would close
-    the connection under all the others. Whatever fails is ``Unknown``, for the
-    key may have run there at an earlier asking.
+    Each request uses its own connection, because a slow run would close a shared one for
+    all the others. Failures are ``Unknown``, since the key may have run there earlier.
     """
     FORWARDED.inc({})
     link = PeerLink(settings, address, SCHEMA.Requests)
@@ -67,7 +65,7 @@
 
 
 def request_message(incarnation, row, request):
-    """Return the mapping of a request; its deadline as the time left."""
+    """Return a request as a message, with its deadline as the remaining time."""
     return {
         "incarnation": incarnation,
         "row": row.name,
@@ -82,7 +80,7 @@
 
 
 def request_from(message):
-    """Return the ``Request`` in a message; only keyed ones are forwarded."""
+    """Return the ``Request`` in a message, which is always a keyed one."""
     return Request(
         message.method,
         message.path,
@@ -97,7 +95,7 @@
 
 
 def outcome_message(outcome):
-    """Return the mapping of an outcome."""
+    """Return an outcome as a message."""
     message = {"name": messages.outcome_name(outcome)}
     if isinstance(outcome, Answer):
         message.update(status=outcome.status, body=outcome.body)
--- a/sassafrasdoor/requests/reading.py
+++ b/sassafrasdoor/requests/reading.py
@@ -1,4 +1,4 @@
-"""Reading of a caller's request: headers, deadline, body; findings in one go."""
+"""Parses and validates the headers, deadline and body of callers' requests."""
 
 import uuid
 
@@ -15,9 +15,9 @@
 MAX_TOKENS = 1_000_000
 REPEATABLE = {"": True, "yes": True, "no": False}
 
-# Headers that speak of one connection, or to us, are not for backend servers.
+# Headers of one connection or addressed to this service, not sent to backend servers.
 NOT_FORWARDED = ONE_HOP | {"authorization", "x-deadline-ms", "x-repeatable"}
-# Of an answer, the length and these are set anew by our own server.
+# Headers of an answer that this HTTP server sets itself.
 NOT_RETURNED = NOT_FORWARDED | {"date", "server"}
 
 
@@ -56,7 +56,7 @@
         headers=_forwarded(http.headers),
         body=body,
         key=key,
-        # What the operators call not repeatable no caller can make repeatable.
+        # A caller cannot make requests of a non-repeatable row repeatable.
         repeatable=row.repeatable and REPEATABLE[repeatable_text],
         request_id=keyed_request_id(row.name, key) if key else f"r-{uuid.uuid4().hex}",
         deadline=deadline,
@@ -65,13 +65,13 @@
 
 
 def returned_headers(headers):
-    """Return the headers of a backend server's answer that callers get, as pairs."""
+    """Return the header pairs of a backend server's answer to send to the caller."""
     pairs = messages.header_pairs(headers)
     return [pair for pair in pairs if pair[0].lower() not in NOT_RETURNED]
 
 
 def _deadline(settings, text, findings):
-    """Return the deadline; one beyond the life of keys would outlive their record."""
+    """Return the deadline, limited so that no run outlives the record of its key."""
     requests = settings.requests
     if not text:
         return deadline_in(requests.default_deadline)
--- a/sassafrasdoor/requests/service.py
+++ b/sassafrasdoor/requests/service.py
@@ -1,4 +1,4 @@
-"""Everything that requests need in an entry process, put together."""
+"""The requests service of an entry process."""
 
 import contextlib
 import json
@@ -20,7 +20,7 @@
 
 
 class RequestsService:
-    """Runs applications' requests and keeps the keys of those that run once."""
+    """Runs requests of callers and keeps the outcomes of keyed ones."""
 
     __slots__ = (
         "_admission",
@@ -53,15 +53,15 @@
 
     @property
     def view(self):
-        """The newest view."""
+        """The current view."""
         return self._view_getter()
 
     def key_prefix(self):
-        """Return the prefix for keys that this process alone will run.
+        """Return a prefix for keys that only this process runs.
 
-        Empty from the moment it announces that it leaves. A key issued then may
-        reach another instance after this one has ended, and would be answered
-        unknown although it never ran.
+        Empty once this instance has announced that it is leaving. A key issued after that
+        could reach another instance after this one has ended, which would answer unknown
+        although the key never ran.
         """
         return "" if self._refusing or self._is_leaving() else self._issuer.prefix()
 
@@ -73,15 +73,15 @@
         )
 
     def refuse_new(self):
-        """Take no new request from now on; those in progress go on."""
+        """Refuse new requests; those in progress continue."""
         self._refusing = True
 
     def in_progress(self):
-        """Return how many requests are not finished yet."""
+        """Return the number of requests in progress."""
         return self._in_progress
 
     def status(self):
-        """Return the state of requests, JSON-ready."""
+        """Return the status of requests as a JSON-ready mapping."""
         return {
             "in_progress": self._in_progress,
             "refusing": self._refusing,
@@ -91,7 +91,7 @@
 
     @contextlib.contextmanager
     def track_progress(self):
-        """Count one request in progress, up to its last byte to the caller."""
+        """Count a request as in progress while the context is open."""
         self._in_progress += 1
         try:
             yield
@@ -99,7 +99,7 @@
             self._in_progress -= 1
 
     def refusal(self, request):
-        """Return ``NotRun`` if the request cannot be taken, else None."""
+        """Return ``NotRun`` if the request cannot be accepted, else None."""
         if self._refusing:
             return NotRun("this instance is leaving", REFUSING_RETRY_AFTER)
         if passed(request.deadline):
@@ -107,7 +107,7 @@
         return None
 
     async def run(self, row, request):
-        """Return the outcome of a request whose answer is whole or nothing."""
+        """Run a request that is not streamed and return its outcome."""
         refusal = self.refusal(request)
         if refusal is not None:
             return refusal
@@ -164,12 +164,12 @@
         )
 
     async def _run_counted(self, row, request):
-        # Its caller may have left: a planned stop must wait for it all the same.
+        # A planned stop waits for the run even if its caller has disconnected.
         with self.track_progress():
             return await self._run_here(row, request)
 
     async def _forward(self, owner, row, request):
-        """Have the key's owner (an ``IssuedKey`` or ``Owner``) run the request."""
+        """Forward the request to the key's owner (an ``IssuedKey`` or ``Owner``)."""
         members = self.view.members
         member = next(
             (member for member in members if member.name == owner.instance), None
@@ -212,7 +212,7 @@
 
 
 def chunk_document(chunk):
-    """Return a chunk as callers get it."""
+    """Return a chunk as a JSON-ready line of a streamed answer."""
     return {
         "offset": chunk.offset,
         "text": chunk.text,
@@ -222,7 +222,7 @@
 
 
 def finished_document(finished):
-    """Return the last line of a streamed answer."""
+    """Return the last line of a streamed answer, JSON-ready."""
     spans = [span.as_list() for span in finished.spans]
     return {"done": True, "length": finished.length, "spans": spans}
 
--- a/sassafrasdoor/requests/streaming.py
+++ b/sassafrasdoor/requests/streaming.py
@@ -1,8 +1,8 @@
-"""Callers' streams: events passed on as they come, and gone on with elsewhere.
+"""Relays streams from replicas to callers and resumes them at other replicas.
 
-Only whole events are passed on, so that another replica can go on after the last of
-them. A stream that cannot be gone on with is cut without its end: the caller must not
-take a part for the whole.
+Only complete events are relayed, so that another replica can resume after the last one. A
+stream that cannot be resumed is aborted without its regular end, so that the caller does
+not take a part for the whole.
 """
 
 import asyncio
@@ -15,27 +15,27 @@
 from sassafrasdoor.requests.crash_watch import CrashWatch, Quarantined
 from sassafrasdoor.table.routes import Repeat
 
+# Seconds without an event before a resumable stream moves to another replica: ten times the
+# typical interval of 150 ms, and below the 2 s after which callers give up.
 SILENCE_TIMEOUT = 1.5
-"""Seconds without an event after which a resumable stream goes on elsewhere: ten times
-the usual pause of 150 ms, and sooner than callers give up (2 s)."""
 
 STREAMS = counter("direct_streams_total", "Callers' streams, by outcome.")
 
 
 class StreamCaller(ABC):
-    """Who a stream is passed on to."""
+    """The receiving end of a stream: the caller's connection."""
 
     @abstractmethod
     async def begin(self, headers):
-        """Send the head, of status 200; ``headers`` are pairs."""
+        """Send status 200 and the headers, a list of pairs."""
 
     @abstractmethod
     async def send_event(self, block):
-        """Send a whole event; returns when there is room for more."""
+        """Send a complete event; return when there is room for more."""
 
 
 class _StreamRelay:
-    """What of a stream has been passed on; ``last`` is the last event's number."""
+    """Relays one stream; ``last_event`` is the number of the last event sent."""
 
     __slots__ = ("_caller", "_headers", "begun", "last_event", "timeout")
 
@@ -47,13 +47,13 @@
         self.timeout = None
 
     def head(self, headers):
-        """Keep the head of the first replica that answers 200."""
+        """Keep the headers of the first replica that answers 200."""
         if not self.begun:
             self._headers = headers
 
     async def event(self, number, block):
-        """Pass an event on, after the head."""
-        # Time in which the caller does not read is no silence of the replica.
+        """Send an event, preceded by the headers if they are not sent yet."""
+        # The time that a slow caller needs does not count as silence of the replica.
         self.stop_timeout()
         await self.begin()
         await self._caller.send_event(block)
@@ -62,25 +62,25 @@
         self.restart_timeout()
 
     async def begin(self):
-        """Send the head unless it is sent."""
+        """Send the headers if they are not sent yet."""
         if not self.begun:
             self.begun = True
             await self._caller.begin(self._headers)
 
     def stop_timeout(self):
-        """Let no time limit run."""
+        """Suspend the silence timeout."""
         if self.timeout is not None:
             self.timeout.reschedule(None)
 
     def restart_timeout(self):
-        """Let the limit for silence run anew."""
+        """Restart the silence timeout."""
         if self.timeout is not None:
             at = asyncio.get_running_loop().time() + SILENCE_TIMEOUT
             self.timeout.reschedule(at)
 
 
 class StreamService:
-    """Passes replicas' streams on to callers."""
+    """Relays streams from replicas to callers."""
 
     __slots__ = ("_client", "_crash_watch", "_replicas")
 
@@ -90,10 +90,10 @@
         self._crash_watch = crash_watch or CrashWatch(client, replicas)
 
     async def answer(self, request, caller):
-        """Pass a stream on; return True when it is whole.
+        """Relay a stream; return True when it is complete.
 
-        Else an ``Answer`` that is no stream, ``NotRun`` or ``Unknown``; the last may
-        also come after the ``StreamCaller`` was sent a part.
+        Otherwise return an ``Answer`` that is not a stream, ``NotRun``, or ``Unknown``, which
+        may also follow after a part was sent to the ``StreamCaller``.
         """
         attempts = Attempts(request)
         relay = _StreamRelay(caller)
@@ -117,7 +117,7 @@
             if replica is None:
                 break
             result = await self._attempt(attempts, relay, replica)
-            # Only now: at the deadline, what is running counts as perhaps run.
+            # Not earlier: a send that is running at the deadline may have run.
             attempts.running.clear()
             if result is True:
                 self._crash_watch.record_result(attempts.request, replica, result)
@@ -147,7 +147,7 @@
                 relay.timeout = timeout if resumable else None
                 result = await self._client.stream(replica, call, relay)
                 if result is True:
-                    # A stream may be whole without any event.
+                    # A stream may be complete without any event.
                     relay.stop_timeout()
                     await relay.begin()
                 return result
--- a/sassafrasdoor/requests/streams.py
+++ b/sassafrasdoor/requests/streams.py
@@ -1,4 +1,4 @@
-"""Streams from model engines: resumed where they broke, never quietly cut."""
+"""Streams from model engines: resumed where they broke, never truncated silently."""
 
 import asyncio
 import contextlib
@@ -29,7 +29,7 @@
 
 
 class GenerateRequest:
-    """What a caller asks an engine to write."""
+    """The text generation that a caller requests from an engine."""
 
     __slots__ = ("max_tokens", "prompt", "repeatable", "restartable", "stream")
 
@@ -38,13 +38,13 @@
         self.prompt = prompt
         self.max_tokens = max_tokens
         self.repeatable = repeatable
-        # Whether what was received so far may still be thrown away: true as
-        # long as no part of it goes to the caller before the whole is there.
+        # Whether received chunks may be discarded. True if the caller gets nothing
+        # before the stream is complete.
         self.restartable = restartable
 
 
 class StreamRunner:
-    """Runs streams of applications on model engines."""
+    """Runs the streams of callers on model engines."""
 
     __slots__ = (
         "_admission",
@@ -68,8 +68,8 @@
     async def run(self, row, request, deadline):
         """Yield ``Chunk``s, then one ``Finished``, ``NotRun`` or ``Unknown``.
 
-        A ``Restart`` among them takes back all chunks before it. Closing the
-        iterator ends the stream at its engine.
+        A ``Restart`` invalidates all chunks before it. Closing the iterator cancels the
+        stream at its engine.
         """
         permit = await self._admission.admit(self._view_getter(), row, deadline)
         if not permit:
@@ -120,10 +120,10 @@
         return self._budget.spend()
 
     def cancel(self, backend, stream):
-        """Have the engine end a stream, without waiting for it.
+        """Cancel a stream at its engine in the background.
 
-        Closing the connection is not enough: one that went silent is not seen
-        as closed by the engine, which would go on generating for nobody.
+        Closing the connection is not enough: the engine does not notice that a silent
+        connection was closed and would continue to generate.
         """
         CANCELS.inc({})
         task = asyncio.ensure_future(self._cancel(backend, stream))
@@ -131,14 +131,14 @@
         task.add_done_callback(self._cancels.discard)
 
     async def _cancel(self, backend, stream):
-        # Said again after a while: the first may be lost, or overtake an order
-        # that is still on its way, and the engine would then start the stream.
+        # Sent twice: the first cancel may be lost, or may overtake the order of the
+        # stream, which the engine would then start.
         for pause in CANCEL_DELAYS:
             await asyncio.sleep(pause)
             await self._engine.cancel(backend, stream)
 
     async def has_stream(self, backend, stream):
-        """Say whether the engine still has the stream; ``Unavailable`` if unsure."""
+        """Return whether the engine still has the stream, or ``Unavailable``."""
         states = await self._engine.streams(backend, stream)
         if isinstance(states, Unavailable):
             return states
@@ -146,12 +146,12 @@
 
     @property
     def chooser(self):
-        """The chooser of this process."""
+        """The chooser of backend servers."""
         return self._chooser
 
     @property
     def engine(self):
-        """The engines' adapter."""
+        """The engine client."""
         return self._engine
 
     @property
@@ -161,23 +161,23 @@
 
 
 class Restart:
-    """All chunks so far are void: the stream runs anew from its start."""
+    """Invalidates all earlier chunks: the stream starts again from offset 0."""
 
     __slots__ = ()
 
 
 class _Attempt:
-    """One stream on one engine, resumed there as often as needed.
+    """One stream on one engine, resumed there up to ``MAX_RESUMES`` times.
 
-    ``outcome`` is ``Finished``, ``NotRun`` or ``Unknown`` once ``items`` ended.
+    ``outcome`` is ``Finished``, ``NotRun`` or ``Unknown`` once ``items`` has ended.
     """
 
     __slots__ = (
         "_backend",
         "_began",
         "_deadline",
-        "_request",
         "_last_item",
+        "_request",
         "_resumes",
     )
     __slots__ += ("_row", "_streams", "offset", "outcome")
@@ -195,7 +195,7 @@
         self.outcome = None
 
     async def items(self):
-        """Yield the chunks, each token once."""
+        """Yield the chunks, with each token once."""
         chooser = self._streams.chooser
         chooser.started(self._backend)
         try:
@@ -209,15 +209,15 @@
                 self._streams.cancel(self._backend, self._request.stream)
 
     def _may_still_run(self):
-        """Say whether the engine may go on with the stream for nobody.
+        """Return whether the engine may continue the stream without a reader.
 
-        A caller may leave after the engine has begun and before its first chunk
-        is here. Going by chunks alone, such a stream was left to run to its end.
+        A caller may disconnect after the engine has started and before the first chunk
+        has arrived. Judged by chunks alone, such a stream would be left running.
         """
         return self.outcome is None or (self._began and not self.outcome)
 
     async def _read_connection(self):
-        """Yield chunks from one connection and settle what comes after it."""
+        """Yield the chunks of one connection and handle its end."""
         last = Broken("the stream ended without its last line")
         items = self._streams.engine.stream(self._backend, self._order())
         async with contextlib.aclosing(items):
@@ -250,8 +250,8 @@
     async def _handle_end(self, last):
         self._last_item = last
         if isinstance(last, Finished):
-            # A last line that tells another length than was received belongs to
-            # something else; passed on, the caller would hold a part as whole.
+            # A length other than what was received is the end of another stream. The
+            # caller must not take the received part for complete.
             whole = last.length == self.offset
             self.outcome = last if whole else Unknown("the stream is not whole")
             return
@@ -263,10 +263,10 @@
             self.outcome = Unknown(last.reason)
 
     async def _may_resume(self):
-        """Say whether the engine still has the stream, trying for a while.
+        """Return whether the engine still has the stream, retrying while it is unavailable.
 
-        An engine that restarted would take the order as a new stream and run it
-        anew, with other text behind the part that was passed on already.
+        A restarted engine would treat the order as a new stream, and its different text
+        would follow the part that was already delivered.
         """
         while self._resumes < MAX_RESUMES and not passed(self._deadline):
             self._resumes += 1
