--- a/sassafrasdoor/requests/tests/cases.py
+++ b/sassafrasdoor/requests/tests/cases.py
@@ -1,4 +1,4 @@
-"""A cluster of real processes for the tests of requests."""
+"""Base class for tests of requests in a cluster of real processes."""
 
 import unittest
 
@@ -13,10 +13,10 @@
 
 
 class ProcessCase(unittest.IsolatedAsyncioTestCase):
-    """A cluster for each test, with what all tests ask of it."""
+    """Starts a cluster for each test and sends requests to it."""
 
     async def cluster(self, settings=SHORT_TIMEOUTS, **counts):
-        """Start a cluster whose instances have slots to give."""
+        """Start a cluster and wait until all instances have slots."""
         cluster = await self.enterAsyncContext(Cluster(settings))
         await cluster.start(**counts)
         self.cluster = cluster
@@ -28,7 +28,7 @@
         return cluster
 
     async def is_served(self, instance, row):
-        """Say whether an instance has slots for a row's service."""
+        """Return whether an instance has slots for a row's service."""
         if row == "chat":
             status, _ = await self.generate(instance)
             return status == 200
@@ -45,7 +45,7 @@
         )
 
     async def generate(self, instance, headers=None, **fields):
-        """Have an engine write; return status and document."""
+        """Generate text; return status and document."""
         return await self.cluster.post(
             instance.address,
             "/v1/generate/chat",
@@ -55,12 +55,12 @@
         )
 
     async def prefix(self, instance):
-        """Return a prefix for keys that this instance alone runs."""
+        """Return a prefix for keys that only this instance runs."""
         _, answer = await self.cluster.get(instance.address, "/v1/addresses?row=once")
         return answer["key_prefix"]
 
     async def runs(self, request_id):
-        """Return how often the services ran a request."""
+        """Return how many times the services ran a request."""
         total = 0
         for name in self.cluster.backends:
             truth = await self.cluster.truth(name)
@@ -74,13 +74,13 @@
                 await self.cluster.faults(name, **faults)
 
     async def running_calls(self, name):
-        """Say whether a service runs something now, by its load report."""
+        """Return the number of running calls that a service reports."""
         address = self.cluster.backends[name].ready["address"]
         _, load = await self.cluster.get(address, "/load")
         return load["running"]
 
     async def slots(self, row, instances):
-        """Return what a row may use at some instances together."""
+        """Return the total slots of a row at the given instances."""
         total = 0
         for instance in instances:
             _, status = await self.cluster.get(instance.address, "/v1/status")
--- a/sassafrasdoor/requests/tests/fakes.py
+++ b/sassafrasdoor/requests/tests/fakes.py
@@ -1,4 +1,4 @@
-"""Fakes at the interfaces, for the tests of requests, routing and admission."""
+"""Fake backends and data for the tests of requests, routing and admission."""
 
 import asyncio
 from collections import Counter
@@ -30,7 +30,7 @@
 
 
 def row_document(name, **fields):
-    """Return a row of an application as a table's document holds it."""
+    """Return an application's row as in a table document."""
     base = {"name": name, "kind": "application", "service": "desk", "model": "m"}
     return {**base, "key_hashes": [KEY_HASH], **fields}
 
@@ -62,7 +62,7 @@
 
 
 class FakeService(Service):
-    """Ends calls as ``script`` says, by backend name; counts what ran."""
+    """Returns the outcomes of ``script`` by backend name and counts runs."""
 
     def __init__(self, **script):
         self.script = script
@@ -89,10 +89,10 @@
 
 
 class FakeEngine(Engine):
-    """Writes ``w0 w1 ...``; ``faults[backend]`` lists what breaks each connection.
+    """Generates ``w0 w1 ...``; ``faults[backend]`` has one fault per connection.
 
-    A fault is ``(tokens sent first, last item)``; ``forgets`` names engines that
-    lose their streams with the connection.
+    A fault is ``(offset to stop at, last item)``. The engines in ``forgets`` lose their
+    streams with the connection.
     """
 
     def __init__(self, faults=None, forgets=()):
@@ -150,7 +150,7 @@
         return Load(0, capacity=8)
 
     async def order(self, backend, order):
-        """Orders are for other tests."""
+        """Not supported."""
         raise NotImplementedError
 
     cache_events = export_kv = import_kv = order
--- a/sassafrasdoor/requests/tests/fixtures.py
+++ b/sassafrasdoor/requests/tests/fixtures.py
@@ -1,4 +1,4 @@
-"""Every way in which a send may end, and a caller's request."""
+"""The possible results of a send, and a caller's request."""
 
 from sassafrasdoor.backends.interface import Answer, Broken
 from sassafrasdoor.backends.replicas import WrongReplica
--- a/sassafrasdoor/requests/tests/test_calls.py
+++ b/sassafrasdoor/requests/tests/test_calls.py
@@ -1,4 +1,4 @@
-"""Calls to services: typed outcomes, and when a try may follow another."""
+"""Calls to services: outcomes and retries."""
 
 import asyncio
 import unittest
@@ -21,7 +21,7 @@
 
 class CallsTest(unittest.IsolatedAsyncioTestCase):
     def calls(self, service, current_view, **sections):
-        """Return the runner of calls over a fake service."""
+        """Return a ``CallRunner`` over a fake service."""
         test_settings = settings(**sections)
         self.chooser = Chooser(test_settings)
         self.admission = Admission(test_settings)
@@ -45,13 +45,12 @@
         )
 
     async def test_table_of_faults(self):
-        """Symptom: a payment is booked twice, or a refusal is a lie.
+        """Guards against a call that runs twice, or is reported as not run although it ran.
 
-        Sequence: a server refuses the connection, or takes the call and hangs
-        up. Cause: trying again after a byte may have left, or calling such a
-        call not run.
+        A server refuses the connection, or accepts the call and closes it. Once a byte may
+        have been sent, a non-repeatable call must not be retried or reported as not run.
         """
-        # (what each server does, repeatable) -> outcome, times run at most
+        # (result of each server, repeatable) -> outcome, maximum runs
         cases = [
             ((OK,), False, Answer, 1),
             ((REFUSED,), False, NotRun, 0),
@@ -88,11 +87,10 @@
         self.assertEqual(service.calls, [])
 
     async def test_paused_between_admission_and_dispatch(self):
-        """Symptom: a call runs long after its caller was told unknown.
+        """Guards against a call that runs long after its caller was answered unknown.
 
-        Sequence: the instance is stopped after admitting it, the deadline
-        passes, the instance goes on. Cause: the deadline was only looked at on
-        arrival.
+        The instance is paused after admission and resumes after the deadline, which must
+        be checked again before dispatch.
         """
         service = FakeService(b0=OK)
         current_view = view(count=1)
@@ -133,10 +131,9 @@
         self.assertGreater(service.calls[0][1].deadline, deadline_in(8.0))
 
     async def test_retries_are_bounded_when_all_fails(self):
-        """Symptom: an outage of the servers triples their load.
+        """Guards against retries that triple the load of failing servers.
 
-        Sequence: every call fails. Cause: each is retried with no regard to how
-        many others are.
+        Every call fails, so retries need a common budget.
         """
         service = FakeService(b0=CUT, b1=CUT, b2=CUT)
         current_view = view(count=3)
--- a/sassafrasdoor/requests/tests/test_claims.py
+++ b/sassafrasdoor/requests/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""Caller-chosen keys: one claim wins, whatever the log and the instances do."""
+"""Caller-chosen keys: one claim wins despite faults of the log and of instances."""
 
 import asyncio
 import unittest
@@ -26,7 +26,7 @@
 
 
 class LaggingLog(MemoryLog):
-    """Shows a new record only after some reads; may hide appends for ever."""
+    """Hides records during the first ``lag`` reads and counts appends."""
 
     def __init__(self, lag=0):
         super().__init__()
@@ -39,7 +39,7 @@
         return await super().append(stream, body)
 
     async def read(self, stream, offset, limit, wait):
-        """Read what shows already."""
+        """Read, without new records while the log lags."""
         if self.lag:
             self.lag -= 1
             records = self._batch(stream, offset, [], limit)
@@ -49,7 +49,7 @@
 
 
 def stream_of(log, name="a", **sections):
-    """Return one instance's side of a claim stream."""
+    """Return a claim stream of one instance."""
     return ClaimStream(settings(**sections), log, "claims-0", Owner(name, f"{name}-1"))
 
 
@@ -68,10 +68,10 @@
         self.assertEqual(await self.claim(late), owners[0])
 
     async def test_faults_of_the_log(self):
-        """Symptom: a key runs twice, or is refused for ever, after a log fault.
+        """Guards against a key that runs twice or is always refused after a log fault.
 
-        Sequence: the append's reply is lost, or the record doubled, or the read
-        lags. Cause: appending blindly again, or trusting the append's reply.
+        The reply of an append is lost, a record is duplicated, or reads lag. The append
+        must not be repeated blindly, and its reply alone must not be trusted.
         """
         cases = [
             ("reply lost", {"lose_replies": 1}, "a"),
@@ -138,7 +138,7 @@
 
 class ClaimedKeysTest(unittest.IsolatedAsyncioTestCase):
     async def cluster(self, log=None, **script):
-        """Return two instances that know each other, over one log."""
+        """Return two instances that are peers and share a log."""
         log = log or MemoryLog()
         service = FakeService(**script)
         rows = [row_document(name, repeatable=False) for name in ("once", "other")]
@@ -148,7 +148,7 @@
         return log, service, instances
 
     async def close(self, instances):
-        """End the listeners."""
+        """Close the listeners."""
         for instance in instances:
             await instance.peers.close()
 
@@ -193,11 +193,11 @@
             await self.close(instances)
 
     async def test_frozen_between_claim_and_dispatch(self):
-        """Symptom: a call runs minutes after its caller was told unknown.
+        """Guards against a call that runs minutes after its caller was answered unknown.
 
-        Sequence: a claims a key and is stopped before it dispatches; the caller
-        asks b, which finds the claim and no answer; a goes on. Cause: a did not
-        look at the deadline again. It may run the key only when asked anew.
+        Instance a claims a key and is paused before dispatch. The caller repeats the
+        request at b, which finds the claim but gets no answer. When a resumes, it must
+        check the deadline again and run the key only for a new request.
         """
         async with capnp.kj_loop():
             _, service, instances = await self.cluster()
--- a/sassafrasdoor/requests/tests/test_crash_watch.py
+++ b/sassafrasdoor/requests/tests/test_crash_watch.py
@@ -1,4 +1,4 @@
-"""A replica's crash is told from an ordinary broken connection."""
+"""Crash detection after broken connections, and crashes shared through the log."""
 
 import asyncio
 import unittest
@@ -27,7 +27,7 @@
 
 
 class Client:
-    """Answers each look at a replica by a script; the last answer stays."""
+    """Answers each probe of a replica from a script; the last answer repeats."""
 
     def __init__(self, *answers):
         self.answers = list(answers)
@@ -56,7 +56,7 @@
         watch.record_result(request, self.replica, LOST)
 
     def crashed_requests(self):
-        """Return the requests of each crash that was found."""
+        """Return the requests of each detected crash."""
         notes = self.note.call_args_list
         return [call.kwargs["requests"] for call in notes if call.args == (CRASHED,)]
 
@@ -100,7 +100,7 @@
 
 
 class Log:
-    """Takes records, or fails as often as it is told to."""
+    """Keeps records by key after the given number of failed appends."""
 
     def __init__(self, failures=0):
         self.failures = failures
@@ -150,7 +150,7 @@
         await self.until(lambda: not watch.is_checking)
 
     async def deliver_records(self):
-        """Hand every record to both, as the topic's readers do."""
+        """Apply every record at both instances, as the readers of the topic do."""
         await self.until(
             lambda: (
                 not (
@@ -229,7 +229,7 @@
         self.assertEqual(order, ["a", "a", "b", "b"])
 
     async def test_answer_of_a_suspect_does_not_wait_for_the_check(self):
-        """Guards against callers who wait for what became of a replica."""
+        """Guards against callers who wait for the crash check of a replica."""
         self.addCleanup(
             setattr, module, "SUSPECT_WAIT_TIMEOUT", module.SUSPECT_WAIT_TIMEOUT
         )
--- a/sassafrasdoor/requests/tests/test_crashes.py
+++ b/sassafrasdoor/requests/tests/test_crashes.py
@@ -1,4 +1,4 @@
-"""Who is blamed for crashes: the table of states, and what is forgotten."""
+"""States of requests by their crashes, and expiry."""
 
 import unittest
 from unittest import mock
--- a/sassafrasdoor/requests/tests/test_direct.py
+++ b/sassafrasdoor/requests/tests/test_direct.py
@@ -1,4 +1,4 @@
-"""Callers' requests: every way in which a send may end, as a table, and hedges."""
+"""Callers' requests: outcomes by the results of sends, and hedges."""
 
 import asyncio
 import unittest
@@ -23,7 +23,7 @@
 
 
 class Client:
-    """Plays a script of outcomes and records the calls."""
+    """Returns scripted outcomes and records the calls."""
 
     def __init__(self, *script):
         self.script = list(script)
@@ -82,10 +82,10 @@
                 self.assertEqual(len(self.client.calls), sends)
 
     async def test_outcomes_of_requests_that_may_run_once(self):
-        """Symptom: a payment runs twice, or runs although it was refused.
+        """Guards against a payment that runs twice, or runs although it was refused.
 
-        Sequence: the connection breaks after the request was sent. Cause: a lost
-        answer was taken for "not run".
+        The connection breaks after the request was sent. A lost answer must not be treated
+        as "not run".
         """
         cases = [
             ([OK], Answer, 1),
@@ -103,11 +103,10 @@
                 self.assertTrue(all(call.fresh for _, call in self.client.calls))
 
     async def test_refusal_status_after_a_run_is_unknown(self):
-        """Symptom: a payment runs twice.
+        """Guards against a payment that runs twice.
 
-        Sequence: a replica runs a request and answers 503 without saying that it
-        did not; the caller takes that for "not run" and sends it again. Cause: the
-        replica's status was passed on.
+        A replica runs a request and answers 503, which does not state that it did not run.
+        If the status were forwarded, the caller would treat it as "not run" and repeat it.
         """
         for status in (408, 429, 503):
             result = await self.answer(Answer(status, [], b""), repeat=Repeat.ONCE)
--- a/sassafrasdoor/requests/tests/test_handlers.py
+++ b/sassafrasdoor/requests/tests/test_handlers.py
@@ -1,4 +1,4 @@
-"""Callers' HTTP: outcomes on the wire, bounds, headers, cut streams."""
+"""HTTP handlers: outcomes on the wire, limits, headers, aborted streams."""
 
 import asyncio
 import contextlib
@@ -30,7 +30,7 @@
 
 
 def authorize(handler, row_name):
-    """Let every caller in whose row exists."""
+    """Authorise every caller whose row exists."""
     row = handler.application.settings["current_view"].row(row_name)
     if row is None:
         handler.set_status(401)
@@ -79,7 +79,7 @@
         )
 
     async def send(self, path, body, length=None):
-        """Send a request on a socket of our own; return its two streams."""
+        """Send a request on a raw socket; return reader and writer."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
         head = f"POST /v1/{path} HTTP/1.1\r\nHost: x\r\n"
         head += f"Content-Length: {length or len(body)}\r\n\r\n"
@@ -87,7 +87,7 @@
         return reader, writer
 
     async def generate(self, row="app", **fields):
-        """Ask an engine to write."""
+        """Generate text."""
         return await self.fetch(
             f"/v1/generate/{row}", body=json.dumps({**GENERATE_BODY, **fields})
         )
@@ -202,10 +202,9 @@
         self.assertEqual(response.code, 503)
 
     async def test_part_of_a_stream_is_never_passed_as_complete(self):
-        """Symptom: a sign shows half a sentence.
+        """Guards against a truncated text that the caller takes for complete.
 
-        Sequence: the engine dies in the middle of a stream. Cause: the reply
-        to the caller was ended as usual, as if nothing were missing.
+        The engine dies in the middle of a stream, so the reply must not end regularly.
         """
         self.engine.faults = {name: [(2, Broken("cut"))] for name in ("b0", "b1")}
         self.engine.forgets = {"b0", "b1"}
--- a/sassafrasdoor/requests/tests/test_hard_limit_processes.py
+++ b/sassafrasdoor/requests/tests/test_hard_limit_processes.py
@@ -1,4 +1,4 @@
-"""A row's hard limit in real processes, while an instance is cut off."""
+"""A row's hard limit in real processes while an instance is cut off."""
 
 import asyncio
 
@@ -9,11 +9,11 @@
 
 class HardLimitTest(ProcessCase):
     async def test_limit_holds_while_an_instance_is_cut_off(self):
-        """Symptom: a row uses more than its hard limit after a failure.
+        """Guards against a row that exceeds its hard limit after a failure.
 
-        Sequence: callers press at three instances; one loses its control
-        process, perhaps the holder of the quota, and goes on serving. Cause:
-        its slots were given away although it may still use some of them.
+        Three instances are under load. One of them, possibly the quota holder, loses its
+        control process and continues to serve. Slots that it may still use must not be
+        granted to others.
         """
         short_timeouts = {
             **SHORT_TIMEOUTS,
@@ -36,23 +36,29 @@
         sampling = asyncio.ensure_future(self.sample_running_calls())
         try:
             await until(lambda: self.is_limit_applied(status["revision"]))
-            # A grant of the table before may still be on its way to each of them.
+            # Grants under the previous table may still be in transit to each instance.
             for _ in range(2):
                 before = await self.grant_numbers()
                 await until(lambda previous=before: self.has_renewed_grants(previous))
             await until(lambda: self.is_limit_applied(status["revision"]))
             self.max_running = 0
-            await until(lambda: self.max_running >= 10, what="use of the limit")
-            await until(self.has_even_shares, what="a share for everybody")
+            await until(lambda: self.max_running >= 10, what="calls up to the limit")
+            await until(self.has_even_shares, what="an equal share for each instance")
             cut, *living = cluster.instances
             before = await self.slots("once", living)
             cut.control.freeze()
-            await until(lambda: self.is_declared_dead(cut, living), what="news of it")
+            await until(
+                lambda: self.is_declared_dead(cut, living),
+                what="declaring the instance dead",
+            )
             await self.until_or_show_quotas(
-                lambda: self.has_taken_over_slots(living, before), "its slots"
+                lambda: self.has_taken_over_slots(living, before),
+                "takeover of its slots",
             )
             self.running_now = 0
-            await until(lambda: self.running_now >= 8, what="use of what is left")
+            await until(
+                lambda: self.running_now >= 8, what="calls in the remaining slots"
+            )
             self.assertGreater(await self.slots("once", [cut]), 0)
         finally:
             for task in (*callers, sampling):
@@ -60,7 +66,7 @@
         self.assertLessEqual(self.max_running, 16)
 
     async def grant_numbers(self):
-        """Return the number of the grant that each instance now uses."""
+        """Return the number of the current grant at each instance."""
         statuses = [
             await self.cluster.get(instance.address, "/v1/status")
             for instance in self.cluster.instances
@@ -68,12 +74,12 @@
         return [status["quota"]["once"]["grant_number"] for _, status in statuses]
 
     async def has_renewed_grants(self, previous):
-        """Say whether every instance uses a later grant than those seen."""
+        """Return whether every instance uses a later grant than the previous ones."""
         newer = await self.grant_numbers()
         return all(new > old for new, old in zip(newer, previous, strict=True))
 
     async def has_even_shares(self):
-        """Say whether each has about a third of the limit and of the fallback."""
+        """Return whether each has about a third of the limit and of the fallback."""
         statuses = [
             await self.cluster.get(instance.address, "/v1/status")
             for instance in self.cluster.instances
@@ -84,7 +90,7 @@
         return min(shares) >= 4 and min(fallbacks) >= 2 and sum(fallbacks) == 8
 
     async def is_declared_dead(self, cut, living):
-        """Say whether the others take the one cut off for dead."""
+        """Return whether the other instances have declared the cut-off one dead."""
         for instance in living:
             _, status = await self.cluster.get(instance.address, "/v1/status")
             states = {member["name"]: member["state"] for member in status["members"]}
@@ -93,7 +99,7 @@
         return True
 
     async def until_or_show_quotas(self, condition, what):
-        """Wait for a condition; one that never comes true shows all quotas."""
+        """Wait for a condition; on failure, add all quotas to the message."""
         try:
             await until(condition, what=what)
         except AssertionError as error:
@@ -105,23 +111,23 @@
             raise AssertionError(f"{error}: {quotas}") from error
 
     async def has_taken_over_slots(self, living, before):
-        """Say whether the living were granted more than they had."""
+        """Return whether the living instances were granted more slots than before."""
         return await self.slots("once", living) > before
 
     async def call_repeatedly(self, instance):
-        """Call as often as possible, one call at a time."""
+        """Call in a loop, one call at a time."""
         while True:
             await self.send_request(instance, "once", X_Deadline_Ms="5000")
 
     async def sample_running_calls(self):
-        """Follow how many calls run at the service."""
+        """Sample the number of running calls at the service."""
         while True:
             self.running_now = await self.running_calls("service-1")
             self.max_running = max(self.max_running, self.running_now)
             await asyncio.sleep(0.05)
 
     async def is_limit_applied(self, revision):
-        """Say whether nothing is granted under the table before any more."""
+        """Return whether no grant under the previous table is in use."""
         for instance in self.cluster.instances:
             _, status = await self.cluster.get(instance.address, "/v1/status")
             if status["revision"] <= revision:
--- a/sassafrasdoor/requests/tests/test_issued.py
+++ b/sassafrasdoor/requests/tests/test_issued.py
@@ -1,4 +1,4 @@
-"""Issued keys: one process alone may run them, whoever is asked."""
+"""Issued keys: only one process runs them, whichever instance gets the request."""
 
 import asyncio
 import unittest
@@ -45,7 +45,7 @@
 
 
 class Instance:
-    """The requests of one entry instance, over a service shared by all."""
+    """The requests service of one instance, over a service shared by all."""
 
     def __init__(self, name, service, current_view, log=None):
         self.settings = settings(instance={"name": name})
@@ -74,7 +74,7 @@
 
 class IssuedKeysTest(unittest.IsolatedAsyncioTestCase):
     async def cluster(self, count=2, **script):
-        """Return instances that know each other."""
+        """Return instances that are peers of each other."""
         service = FakeService(**script)
         rows = [row_document(name, repeatable=False) for name in ("once", "other")]
         current_view = view(*rows, count=2)
@@ -86,11 +86,10 @@
         return service, instances
 
     async def test_repeated_key_returns_the_answer_of_the_first_run(self):
-        """Symptom: a payment is booked twice.
+        """Guards against a payment that is booked twice.
 
-        Sequence: the caller gets no reply in time and asks again, here and at
-        another instance, while the first run goes on and after it. Cause: the
-        key was only known where it came first.
+        The caller gets no reply in time and repeats the request at the same and at another
+        instance, during and after the first run. The key must be known at each of them.
         """
         async with capnp.kj_loop():
             service, (first, second) = await self.cluster()
@@ -110,14 +109,14 @@
                 await instance.peers.close()
 
     async def test_owner_frozen_dead_or_restarted(self):
-        """Symptom: a call runs a second time after an instance went away.
+        """Guards against a second run after an instance has failed.
 
-        Sequence: the key's owner is silent, gone, or restarted under its name;
-        the caller asks elsewhere. Cause: running it there for want of an answer.
+        The key's owner is silent, gone or restarted under its name, and the caller repeats
+        the request at another instance, which must not run it.
         """
 
         async def silent(first):
-            # Connections open and nothing ever comes: so a frozen process looks.
+            # Accepts connections and never replies, like a frozen process.
             server = await asyncio.start_server(lambda *ends: None, "127.0.0.1", 0)
             self.addCleanup(server.close)
             host, port = server.sockets[0].getsockname()
@@ -177,10 +176,9 @@
                 await instance.peers.close()
 
     async def test_rows_with_the_same_key_never_mix(self):
-        """Symptom: a member sees another member's balance.
+        """Guards against a member who sees another member's balance.
 
-        Sequence: callers of two rows happen to use one key. Cause: answers were
-        kept by the key alone.
+        Callers of two rows use the same key, so answers must be kept by row and key.
         """
         async with capnp.kj_loop():
             service, (first, second) = await self.cluster()
@@ -212,10 +210,10 @@
         self.assertEqual(len(service.calls), 1)
 
     async def test_leaving_instance_issues_no_keys(self):
-        """Symptom: calls end as unknown at each restart although they never ran.
+        """Guards against calls that end as unknown at each restart without having run.
 
-        Sequence: an instance announces its leaving, still answers discovery, and
-        ends; its last keys reach others. Cause: it issued keys to the end.
+        An instance announces that it is leaving, still answers discovery, and ends. Keys
+        issued in between would reach other instances.
         """
         instance = Instance("entry-1", FakeService(), view(row_document("once")))
         self.assertTrue(instance.requests.key_prefix())
@@ -223,10 +221,9 @@
         self.assertEqual(instance.requests.key_prefix(), "")
 
     async def test_lapsed_key_is_not_run(self):
-        """Symptom: a key of last week runs again.
+        """Guards against an old key that runs again after its record has expired.
 
-        Sequence: it ran, its record has expired, the caller asks once more.
-        Cause: an old key looked like one never used.
+        Without its record, an old key looks like one that was never used.
         """
         service = FakeService()
         instance = Instance(
@@ -242,7 +239,7 @@
 
 class ExecutionsTest(unittest.IsolatedAsyncioTestCase):
     async def run_key(self, executions, number, size=0):
-        """Run one key to its answer."""
+        """Run one key and return its answer."""
 
         async def run():
             return Answer(200, {}, b"x" * size)
@@ -257,7 +254,7 @@
         self.assertLessEqual(len(executions), 1)
 
     async def expired(self, executions):
-        """Have what expired be forgotten; say whether anything was left."""
+        """Trigger expiry; return whether at most one key is left."""
         await self.run_key(executions, "last")
         return len(executions) <= 1
 
--- a/sassafrasdoor/requests/tests/test_operation_processes.py
+++ b/sassafrasdoor/requests/tests/test_operation_processes.py
@@ -1,4 +1,4 @@
-"""Requests through real processes while the log is down and while somebody leaves."""
+"""Requests through real processes during a log outage and while processes leave."""
 
 import asyncio
 import json
@@ -8,20 +8,20 @@
 from sassafrasdoor.standin.proxy import Proxy
 from sassafrasdoor.support import until
 
-# Two rows without wishes share the 64 slots of a plain service, over two instances.
+# Two rows without demand share the 64 slots of a plain service, over two instances.
 EQUAL_SHARES = [16, 16]
 
 
 class OutageTest(ProcessCase):
     async def test_calls_continue_without_a_quota_holder(self):
-        """Symptom: every call is refused as long as the log is down.
+        """Guards against refusing every call while the log is down.
 
-        Sequence: the log is down for longer than the lease of the quota and the
-        grants under it. Cause: grants lapse everywhere and nobody may renew.
+        The log is down for longer than the quota lease and its grants, so all grants lapse
+        and no instance may renew them.
         """
         cluster = await self.cluster(instances=2, engines=1, services=1)
-        # Right after the start one instance may hold what the other gave up or
-        # has not reported for; nothing can be compared with such a moment.
+        # Right after the start, one instance may hold slots that the other has released or
+        # not yet reported for, so the shares are not equal yet.
         await until(lambda: self.has_equal_shares())
         await cluster.platform_faults(down=True)
         await until(lambda: self.has_fallen_back())
@@ -32,7 +32,7 @@
         await until(lambda: self.has_equal_shares())
 
     async def has_equal_shares(self):
-        """Say whether a holder gives each instance an equal part of the row's slots."""
+        """Return whether a holder grants each instance an equal share of the row's slots."""
         slots = [
             await self.slots("idempotent", [instance])
             for instance in self.cluster.instances
@@ -40,19 +40,19 @@
         return self.has_quota_holder() and slots == EQUAL_SHARES
 
     async def has_fallen_back(self):
-        """Say whether the grants have lapsed: nobody makes any, about half is left."""
+        """Return whether all grants have lapsed and only fallback slots are left."""
         left = await self.slots("idempotent", self.cluster.instances)
         return not self.has_quota_holder() and left <= sum(EQUAL_SHARES)
 
     def has_quota_holder(self):
-        """Say whether an instance holds the lease on the service's quota, by its log."""
+        """Return whether an instance logged that it holds the lease on the quota."""
         return any(
             self.last_lease_line(instance).get("held")
             for instance in self.cluster.instances
         )
 
     def last_lease_line(self, instance):
-        """Return the last line that an instance logged on that lease."""
+        """Return the fields of the last log line of an instance about that lease."""
         lines = [
             json.loads(line)
             for line in instance.control.output
@@ -63,11 +63,10 @@
 
 class LeavingTest(ProcessCase):
     async def test_leaving_server_gets_no_calls_despite_a_lagging_list(self):
-        """Symptom: a server that is leaving gets work until it is gone.
+        """Guards against a leaving server that gets calls until it is gone.
 
-        Sequence: it begins to leave; the instance list lags by far and one
-        instance cannot read it at all. Cause: waiting for the list, where the
-        server's own load report tells it.
+        A server starts to leave while the instance list lags by 60 s and one instance
+        cannot read it. The server's own load report must be enough.
         """
         cluster = await self.cluster(instances=1, engines=1, services=2)
         proxy = await Proxy(cluster.platform_url.removeprefix("http://")).open()
@@ -89,17 +88,17 @@
         self.assertEqual((await cluster.truth("service-1"))["total"], before)
 
     async def gets_no_calls(self, name, calls):
-        """Say whether a number of calls at every instance pass the server by."""
+        """Send calls to every instance; return whether none reached the server."""
         before = (await self.cluster.truth(name))["total"]
         for instance in self.cluster.instances * calls:
             await self.send_request(instance, "idempotent")
         return (await self.cluster.truth(name))["total"] == before
 
     async def test_planned_stop_cuts_nobody_off(self):
-        """Symptom: calls fail at every restart.
+        """Guards against calls that fail at every restart.
 
-        Sequence: an instance is stopped as planned while calls and streams run
-        and come. Cause: refusing at once, or ending before the last byte.
+        An instance is stopped as planned while calls and streams run. It must not end
+        before their last byte.
         """
         cluster = await self.cluster(instances=2, engines=1, services=1)
         await self.service_faults(delay=0.4)
@@ -119,7 +118,7 @@
         await until(lambda: leaving.entry.returncode == 0)
 
     async def has_in_progress(self, instance, count):
-        """Say whether so many requests are in progress at an instance."""
+        """Return whether an instance has at least ``count`` requests in progress."""
         _, status = await self.cluster.get(instance.address, "/v1/status")
         return status["requests"]["in_progress"] >= count
 
--- a/sassafrasdoor/requests/tests/test_requests_processes.py
+++ b/sassafrasdoor/requests/tests/test_requests_processes.py
@@ -1,4 +1,4 @@
-"""Requests through real processes; the stand-ins count what truly ran."""
+"""Requests through real processes; the stand-ins count the actual runs."""
 
 import asyncio
 import json
@@ -13,16 +13,15 @@
 
 class OutcomesTest(ProcessCase):
     async def test_outcomes_match_what_ran(self):
-        """Symptom: a refusal is a lie, or a payment is booked twice.
+        """Guards against wrong refusals, double runs and truncated answers.
 
-        Sequence: the service refuses connections, hangs up before, in the
-        middle of or after its reply, answers late or without framing. Cause:
-        saying not run of what may have run, trying it again, or passing a half
-        answer as whole.
+        The service refuses connections, closes them before, during or after its reply,
+        answers late or without framing. A call that may have run must not be reported as
+        not run or retried, and a partial answer must not be passed as complete.
         """
         cluster = await self.cluster(instances=2, engines=1, services=1)
         first, second = cluster.instances
-        # fault, played once after the one run -> status
+        # fault, injected once after the one run -> status
         cases = [
             ({"hang_up": 1}, 502),
             ({"hang_up_middle": 1}, 502),
@@ -41,7 +40,7 @@
                     )
                     runs = await self.runs(keyed_request_id(row, key))
                     if row == "idempotent" and reply.code == 200:
-                        # On a connection used before, curl itself sends it again.
+                        # curl itself resends it after using a kept connection.
                         self.assertEqual(runs, 2)
                         continue
                     self.assertEqual(reply.code, status, reply.body)
@@ -71,10 +70,10 @@
             self.assertEqual((await cluster.get(address, "/load"))[0], 599)
 
     async def test_concurrent_callers_get_their_own_answers(self):
-        """Symptom: a member sees another's balance.
+        """Guards against a member who sees another member's balance.
 
-        Sequence: many calls at once, some answers late, some connections hung
-        up, so that answers come out of order. Cause: matching by order.
+        With many concurrent calls, late answers and closed connections, answers arrive out
+        of order and must not be matched by order.
         """
         cluster = await self.cluster(instances=2, engines=1, services=2)
         await self.service_faults(delay=0.2, hang_up=5, hang_up_middle=5)
@@ -102,10 +101,10 @@
         self.assertGreaterEqual(answered, 40)
 
     async def test_streams_through_faults(self):
-        """Symptom: a sign shows half a sentence, or two runs mixed.
+        """Guards against texts that are truncated or mixed from two runs.
 
-        Sequence: the engine cuts, truncates or silences the connection in the
-        middle. Cause: running the stream anew, or taking the part as whole.
+        The engine closes, truncates or silences the connection in the middle. The stream
+        must not start again, and its part must not be taken for complete.
         """
         cluster = await self.cluster(instances=1, engines=1, services=1)
         instance = cluster.instances[0]
@@ -146,7 +145,7 @@
         self.assertEqual(set(starts), {1})
 
     async def streams_running(self, engine):
-        """Say whether the engine writes a stream now."""
+        """Return the streams that the engine is generating."""
         truth = await self.cluster.truth(engine)
         streams = truth["streams"].values()
         return [
@@ -156,12 +155,12 @@
         ]
 
     async def stream_cancelled(self, engine):
-        """Say whether the engine was told to stop a stream before its end."""
+        """Return whether a stream was cancelled at the engine."""
         truth = await self.cluster.truth(engine)
         return any(stream["cancelled"] for stream in truth["streams"].values())
 
     async def seconds_to_ask(self, count):
-        """Return how long so many calls take that the service answers at once."""
+        """Return the seconds that ``count`` calls take without service delay."""
         started = now()
         first = self.cluster.instances[0]
         keys = [f"pace{number}" for number in range(count)]
@@ -171,16 +170,16 @@
         return now() - started
 
     async def test_overload_refuses_early_and_refused_calls_never_run(self):
-        """Symptom: refused calls ran all the same, or all are late.
+        """Guards against refused calls that ran, and against unbounded queueing.
 
-        Sequence: many more calls come than the service has slots. Cause:
-        queueing without a bound, or refusing after the call was sent.
+        Many more calls arrive than the service has slots. Queues must be bounded, and a
+        call must not be refused after it was sent.
         """
         cluster = await self.cluster(instances=2, engines=1, services=1)
         keys = [await self.prefix(instance) + "o" for instance in cluster.instances]
         numbers = range(400)
-        # Overload is a matter of how fast this machine asks: each call must last as
-        # long as it takes to ask all of them, and may wait for three times as long.
+        # Overload depends on how fast this machine sends calls: each call lasts as long as
+        # it takes to send all of them, and its deadline is more than three times as long.
         delay = max(0.3, await self.seconds_to_ask(100) * len(numbers) / 100)
         await self.service_faults(delay=delay)
         pending = [
@@ -210,11 +209,10 @@
 
 class KeysTest(ProcessCase):
     async def test_issued_key_with_its_owner_alive_frozen_resumed_dead(self):
-        """Symptom: a call runs a second time at another instance.
+        """Guards against a second run at another instance.
 
-        Sequence: the key's owner is busy with it, then frozen, back from its
-        pause, killed; each time the caller asks another instance. Cause:
-        running it there for want of an answer.
+        The key's owner is running it, frozen, resumed, then killed. Each time the caller
+        repeats the request at another instance, which must not run it.
         """
         cluster = await self.cluster(instances=3, engines=1, services=1)
         owner, other, third = cluster.instances
@@ -252,11 +250,10 @@
         self.assertEqual(await self.runs(keyed_request_id("once", unused)), 0)
 
     async def test_caller_chosen_key_at_all_instances_and_during_a_log_outage(self):
-        """Symptom: one key runs at two instances.
+        """Guards against one key that runs at two instances.
 
-        Sequence: the caller sends its own key to three instances at once, then
-        again while the log is down. Cause: no common record decides whose run
-        it is, or an instance does without it.
+        The caller sends its own key to three instances at once, then another one while the
+        log is down. Only the common log may decide which instance runs it.
         """
         cluster = await self.cluster(instances=3, engines=1, services=1)
         repeated_instances = cluster.instances * 2
--- a/sassafrasdoor/requests/tests/test_streaming.py
+++ b/sassafrasdoor/requests/tests/test_streaming.py
@@ -1,4 +1,4 @@
-"""Callers' streams: every way in which one may end, and going on elsewhere."""
+"""Callers' streams: outcomes by the results of sends, and resuming elsewhere."""
 
 import asyncio
 import unittest
@@ -23,7 +23,7 @@
 
 
 class Client:
-    """Plays a script: for each send, how many events and then what outcome."""
+    """Plays a script with the number of events and the outcome of each send."""
 
     def __init__(self, script):
         self.script = list(script)
@@ -46,7 +46,7 @@
 
 
 class Caller:
-    """Records what it is sent."""
+    """Records the headers and events that it receives."""
 
     def __init__(self):
         self.headers = None
@@ -69,7 +69,7 @@
         return await service.answer(request, self.caller)
 
     async def test_outcomes_of_streams(self):
-        # script -> outcome if resumable, text; outcome if it may run once, text
+        # script -> outcome and text if resumable; outcome and text if run at most once
         cases = [
             ([(3, True)], True, b"0 1 2 ", True, b"0 1 2 "),
             ([(0, True)], True, b"", True, b""),
@@ -97,10 +97,10 @@
                     self.assertEqual(self.caller.text, text)
 
     async def test_stream_resumes_after_its_last_event_at_another_replica(self):
-        """Symptom: a text holds a piece twice, or pieces of two runs.
+        """Guards against a text with a repeated part, or with parts of two runs.
 
-        Sequence: a replica is lost after its second event. Cause: the stream was
-        begun anew, or gone on with where it was lost, or under another head.
+        A replica is lost after its second event. The stream must resume after that event,
+        at another replica and under the headers of the first.
         """
         await self.stream((2, LOST), (1, True))
         (first, begun), (second, after) = self.client.calls
@@ -114,10 +114,9 @@
         self.assertEqual(len(self.client.calls), 2)
 
     async def test_resumable_stream_leaves_a_silent_replica(self):
-        """Symptom: a reader gives up on a text that stands still.
+        """Guards against a stalled text that only the deadline ends.
 
-        Sequence: a replica loses power in the middle of a stream. Cause: nothing but
-        the deadline ends the wait.
+        A replica loses power in the middle of a stream.
         """
         with mock.patch.object(streaming, "SILENCE_TIMEOUT", 0.05):
             self.assertIs(await self.stream((1, HANG), (1, True)), True)
--- a/sassafrasdoor/requests/tests/test_streams.py
+++ b/sassafrasdoor/requests/tests/test_streams.py
@@ -1,4 +1,4 @@
-"""Streams from engines: resumed at their offset, never run anew in secret."""
+"""Streams from engines: resumed at their offset, never restarted unnoticed."""
 
 import asyncio
 import unittest
@@ -21,7 +21,7 @@
 
 class StreamsTest(unittest.IsolatedAsyncioTestCase):
     def streams(self, engine, current_view):
-        """Return the runner of streams over a fake engine."""
+        """Return a ``StreamRunner`` over a fake engine."""
         test_settings = settings()
         self.admission, self.chooser = Admission(test_settings), Chooser(test_settings)
         work = (
@@ -36,7 +36,7 @@
     async def collect(
         self, engine, count=1, repeatable=False, restartable=False, within=20.0
     ):
-        """Run a stream of five tokens; return the tokens kept and the last item."""
+        """Run a stream of five tokens; return the valid text and the last item."""
         current_view = view(count=count)
         generate = GenerateRequest("s", "a prompt", 5, repeatable, restartable)
         items = self.streams(engine, current_view).run(
@@ -51,13 +51,13 @@
         return "".join(tokens), last
 
     async def test_table_of_faults(self):
-        """Symptom: an answer is cut, doubled in the middle, or mixed of two runs.
+        """Guards against answers that are truncated, repeat a part or mix two runs.
 
-        Sequence: the connection to the engine breaks before, between or after
-        the chunks. Cause: running the stream anew, or taking its part as whole.
+        The connection to the engine breaks before, between or after the chunks. The stream
+        must not start again, and its part must not be taken for complete.
         """
         whole = "w0 w1 w2 w3 w4 "
-        # (faults of the one engine, it forgets) -> text, last item, starts
+        # (faults of the engine, whether it loses the stream) -> text, last item, starts
         cases = [
             ([], False, whole, Finished, 1),
             ([(2, CUT)], False, whole, Finished, 1),
@@ -112,10 +112,10 @@
                     self.assertEqual(text, "w0 w1 w2 w3 w4 ")
 
     async def test_disconnected_caller_cancels_the_stream_at_the_engine(self):
-        """Symptom: engines are busy although hardly anybody waits for them.
+        """Guards against engines that are busy with streams without a reader.
 
-        Sequence: a caller disconnects in the middle. Cause: only our own end
-        forgot the stream; the engine went on generating for nobody.
+        A caller disconnects in the middle of a stream. The engine must be told to cancel
+        it, otherwise it continues to generate.
         """
         engine = FakeEngine()
         engine.gate = asyncio.Event()
@@ -141,10 +141,10 @@
         self.assertEqual(self.admission.in_use(), {})
 
     async def test_caller_disconnects_before_the_first_chunk(self):
-        """Symptom: now and then an engine writes on for nobody (1 of 4 whole runs).
+        """Guards against an engine that generates without a reader (seen in 1 of 4 runs).
 
-        Sequence: the engine has begun, its first chunk is on its way, the
-        caller leaves. Cause: only a stream with a chunk counted as begun.
+        The caller disconnects after the engine has started and before its first chunk
+        arrives. A stream without a chunk must also count as started.
         """
         engine = FakeEngine()
         engine.before_first = asyncio.Event()
@@ -167,7 +167,7 @@
 
 
 class _FirstFails(FakeEngine):
-    """Whichever engine is tried first fails once and forgets the stream."""
+    """The engine that is tried first fails once and loses the stream."""
 
     def __init__(self, fault):
         super().__init__()
