--- a/sassafrasdoor/requests/attempts.py
+++ b/sassafrasdoor/requests/attempts.py
@@ -190,7 +190,7 @@
             return self.give_up(Unknown("out of time"))
         return self.give_up(NotRun("out of time", RETRY_AFTER))
 
-    def answered(self, status):
+    def log_answer(self, status):
         """Log an answer that is sent to the caller."""
         note_routine(
             "request.answered",
--- a/sassafrasdoor/requests/claims.py
+++ b/sassafrasdoor/requests/claims.py
@@ -30,7 +30,7 @@
 
 APPENDS = metrics.counter("sassafrasdoor_claim_appends_total", "Appends of claims.")
 CLAIMED = metrics.counter("sassafrasdoor_claims_total", "Keys claimed.")
-LOST = metrics.counter("sassafrasdoor_claim_replies_lost_total", "Replies lost.")
+LOST_REPLIES = metrics.counter("sassafrasdoor_claim_replies_lost_total", "Replies lost.")
 
 
 class Owner:
@@ -156,7 +156,7 @@
         CLAIMED.add({}, len(names))
         outcome = await self._log.append(self._stream, body)
         if isinstance(outcome, ReplyLost):
-            LOST.inc({})
+            LOST_REPLIES.inc({})
             logs.changed("claims:reply-lost", stream=self._stream)
         elif not isinstance(outcome, int):
             return NotRun(f"the log takes no claims: {outcome.reason}", RETRY_AFTER)
--- a/sassafrasdoor/requests/crash_watch.py
+++ b/sassafrasdoor/requests/crash_watch.py
@@ -57,15 +57,15 @@
     """
 
     __slots__ = (
-        "_broken_requests",
         "_checks",
         "_client",
         "_history",
         "_instance_name",
+        "_interrupted_requests",
         "_is_expiry_owner",
         "_lock_releases",
         "_log",
-        "_pending",
+        "_pending_records",
         "_replicas",
         "_suspect_locks",
         "_wake",
@@ -85,11 +85,11 @@
         self._instance_name = instance_name
         self._is_expiry_owner = is_expiry_owner
         self._history = CrashHistory()
-        self._broken_requests = {}
+        self._interrupted_requests = {}
         self._checks = {}
         self._suspect_locks = {}
         self._lock_releases = set()
-        self._pending = {}
+        self._pending_records = {}
         self._wake = asyncio.Event()
 
     @property
@@ -100,7 +100,7 @@
     @property
     def has_unpublished_records(self):
         """Whether records are waiting for an acknowledgement by the log."""
-        return bool(self._pending)
+        return bool(self._pending_records)
 
     def refusal(self, request):
         """Return ``Quarantined`` and log it if a request must not be sent, else None."""
@@ -160,7 +160,7 @@
         elif result is True or (
             isinstance(result, Answer) and result.status < SERVER_ERROR
         ):
-            self._clear(request)
+            self._clear_answered_request(request)
 
     def apply_record(self, key, value):
         """Apply a log record: a crash, or its removal if ``value`` is empty."""
@@ -184,7 +184,7 @@
         """Append pending records to the log until cancelled."""
         while True:
             await self._wake.wait()
-            batch = dict(self._pending)
+            batch = dict(self._pending_records)
             records = [keyed_record(key, value) for key, value in batch.items()]
             deadline = deadline_in(APPEND_TIMEOUT)
             result = await self._log.append(TOPIC, 0, records, deadline)
@@ -193,9 +193,9 @@
                 await asyncio.sleep(APPEND_RETRY_INTERVAL)
                 continue
             for key, value in batch.items():
-                if self._pending.get(key) == value:
-                    del self._pending[key]
-            if not self._pending:
+                if self._pending_records.get(key) == value:
+                    del self._pending_records[key]
+            if not self._pending_records:
                 self._wake.clear()
 
     async def expire(self):
@@ -203,7 +203,7 @@
         while True:
             await asyncio.sleep(EXPIRY_INTERVAL)
             for fingerprint in self._history.expired():
-                self._forget(fingerprint, publish=self._is_expiry_owner())
+                self._drop_crashes(fingerprint, publish=self._is_expiry_owner())
 
     def _state(self, request):
         # Skips the request's digest in the usual case that no crash is known.
@@ -211,15 +211,15 @@
             return State.CLEAR
         return self._history.state(request.fingerprint)
 
-    def _clear(self, request):
+    def _clear_answered_request(self, request):
         if not len(self._history):
             return
         fingerprint = request.fingerprint
         if self._history.replicas(fingerprint):
             note("crash.cleared", request=request.request_id, fingerprint=fingerprint)
-            self._forget(fingerprint, publish=True)
+            self._drop_crashes(fingerprint, publish=True)
 
-    def _forget(self, fingerprint, publish):
+    def _drop_crashes(self, fingerprint, publish):
         replicas = self._history.replicas(fingerprint)
         self._history.forget(fingerprint)
         TRACKED_REQUESTS.set({}, len(self._history))
@@ -227,7 +227,7 @@
             self._enqueue(fingerprint, replicas, b"")
 
     def _start_check(self, request, replica):
-        request_ids = self._broken_requests.setdefault(replica, {})
+        request_ids = self._interrupted_requests.setdefault(replica, {})
         request_ids[request.fingerprint] = request.request_id
         if replica not in self._checks:
             self._checks[replica] = asyncio.ensure_future(self._check_replica(replica))
@@ -235,14 +235,14 @@
     async def _check_replica(self, replica):
         try:
             if await self._has_crashed(replica):
-                self._record_crash(replica, self._broken_requests[replica])
+                self._record_crash(replica, self._interrupted_requests[replica])
         finally:
-            del self._broken_requests[replica], self._checks[replica]
+            del self._interrupted_requests[replica], self._checks[replica]
 
     async def _has_crashed(self, replica):
         confirm_deadline = deadline_in(CRASH_CONFIRM_TIMEOUT)
-        for pause in PROBE_DELAYS:
-            await asyncio.sleep(pause)
+        for probe_delay in PROBE_DELAYS:
+            await asyncio.sleep(probe_delay)
             probe_result = await self._client.reach(replica)
             if isinstance(probe_result, Refused):
                 return True
@@ -279,9 +279,9 @@
             return
         for replica in replicas:
             key = f"{fingerprint}/{replica}"
-            self._pending[key] = (
+            self._pending_records[key] = (
                 self._instance_name.encode() if value is None else value
             )
-        while len(self._pending) > MAX_PENDING_RECORDS:
-            del self._pending[next(iter(self._pending))]
+        while len(self._pending_records) > MAX_PENDING_RECORDS:
+            del self._pending_records[next(iter(self._pending_records))]
         self._wake.set()
--- a/sassafrasdoor/requests/crashes.py
+++ b/sassafrasdoor/requests/crashes.py
@@ -57,12 +57,12 @@
     agree.
     """
 
-    __slots__ = ("_culprits", "_requests", "_requests_by_replica")
+    __slots__ = ("_quarantined", "_requests", "_requests_by_replica")
 
     def __init__(self):
         self._requests = OrderedDict()
         self._requests_by_replica = {}
-        self._culprits = None
+        self._quarantined = None
 
     def __len__(self):
         return len(self._requests)
@@ -76,11 +76,11 @@
         """Return the ``State`` of a request."""
         if fingerprint not in self._requests:
             return State.CLEAR
-        if self._culprits is None:
-            self._culprits = self._find_culprits()
-        if fingerprint in self._culprits:
+        if self._quarantined is None:
+            self._quarantined = self._find_quarantined()
+        if fingerprint in self._quarantined:
             return State.QUARANTINED
-        unexplained = self._unexplained_crashes(fingerprint, self._culprits)
+        unexplained = self._unexplained_crashes(fingerprint, self._quarantined)
         return State.SUSPECT if len(unexplained) >= SUSPECT_THRESHOLD else State.CLEAR
 
     def add_crash(self, fingerprint, replica):
@@ -92,7 +92,7 @@
             return False
         entry.replicas.add(replica)
         self._requests_by_replica.setdefault(replica, set()).add(fingerprint)
-        self._culprits = None
+        self._quarantined = None
         while len(self._requests) > MAX_REQUESTS:
             self.forget(next(iter(self._requests)))
         return True
@@ -109,7 +109,7 @@
             del self._requests_by_replica[replica]
         if not entry.replicas:
             del self._requests[fingerprint]
-        self._culprits = None
+        self._quarantined = None
 
     def forget(self, fingerprint):
         """Remove all crashes of a request."""
@@ -131,7 +131,7 @@
             key for key, entry in self._requests.items() if passed(entry.expires_at)
         ]
 
-    def _find_culprits(self):
+    def _find_quarantined(self):
         """Return the requests to quarantine.
 
         Those with the most crashes are decided first, since they explain crashes of others.
@@ -145,15 +145,15 @@
             key=self._crash_count,
             reverse=True,
         )
-        culprits = set()
+        quarantined = set()
         for _, candidates in groupby(worst_first, self._crash_count):
-            culprits.update(
-                [key for key in candidates if self._is_culprit(key, culprits)]
+            quarantined.update(
+                [key for key in candidates if self._is_to_quarantine(key, quarantined)]
             )
-        return culprits
+        return quarantined
 
-    def _is_culprit(self, fingerprint, culprits):
-        unexplained = self._unexplained_crashes(fingerprint, culprits)
+    def _is_to_quarantine(self, fingerprint, quarantined):
+        unexplained = self._unexplained_crashes(fingerprint, quarantined)
         count = self._crash_count(fingerprint)
         is_worst = any(
             all(
@@ -166,9 +166,9 @@
             QUARANTINE_THRESHOLD if is_worst else UNCONDITIONAL_THRESHOLD
         )
 
-    def _unexplained_crashes(self, fingerprint, culprits):
-        """Return the crashes of a request without another culprit at the replica."""
-        others = culprits - {fingerprint}
+    def _unexplained_crashes(self, fingerprint, quarantined):
+        """Return the crashes of a request where no other quarantined request ran."""
+        others = quarantined - {fingerprint}
         replicas = self._requests[fingerprint].replicas
         return [
             replica
--- a/sassafrasdoor/requests/direct.py
+++ b/sassafrasdoor/requests/direct.py
@@ -41,7 +41,7 @@
                 task.cancel()
         OUTCOMES.inc({"outcome": type(result).__name__})
         if isinstance(result, Answer):
-            attempts.answered(result.status)
+            attempts.log_answer(result.status)
         return result
 
     async def _run(self, attempts):
--- a/sassafrasdoor/requests/service.py
+++ b/sassafrasdoor/requests/service.py
@@ -206,7 +206,7 @@
                     chunks.clear()
         if not isinstance(last, Finished):
             return last
-        return _whole_answer(chunks, last, document["stream"])
+        return _complete_answer(chunks, last, document["stream"])
 
     _RUNNERS = {messages.CALL: _run_call, messages.GENERATE: _run_generate}
 
@@ -227,7 +227,7 @@
     return {"done": True, "length": finished.length, "spans": spans}
 
 
-def _whole_answer(chunks, finished, streamed):
+def _complete_answer(chunks, finished, streamed):
     if streamed:
         lines = [chunk_document(chunk) for chunk in chunks]
         lines.append(finished_document(finished))
--- a/sassafrasdoor/requests/streaming.py
+++ b/sassafrasdoor/requests/streaming.py
@@ -122,7 +122,7 @@
             if result is True:
                 self._crash_watch.record_result(attempts.request, replica, result)
                 replica.state.answered()
-                attempts.answered(200)
+                attempts.log_answer(200)
                 return True
             last = attempts.record_outcome(replica, result)
             self._crash_watch.record_result(attempts.request, replica, last)
--- a/sassafrasdoor/requests/streams.py
+++ b/sassafrasdoor/requests/streams.py
@@ -133,8 +133,8 @@
     async def _cancel(self, backend, stream):
         # Sent twice: the first cancel may be lost, or may overtake the order of the
         # stream, which the engine would then start.
-        for pause in CANCEL_DELAYS:
-            await asyncio.sleep(pause)
+        for delay in CANCEL_DELAYS:
+            await asyncio.sleep(delay)
             await self._engine.cancel(backend, stream)
 
     async def has_stream(self, backend, stream):
@@ -180,10 +180,10 @@
         "_request",
         "_resumes",
     )
-    __slots__ += ("_row", "_streams", "offset", "outcome")
+    __slots__ += ("_row", "_runner", "offset", "outcome")
 
-    def __init__(self, streams, backend, row, request, deadline):
-        self._streams = streams
+    def __init__(self, runner, backend, row, request, deadline):
+        self._runner = runner
         self._backend = backend
         self._row = row
         self._request = request
@@ -196,7 +196,7 @@
 
     async def items(self):
         """Yield the chunks, with each token once."""
-        chooser = self._streams.chooser
+        chooser = self._runner.chooser
         chooser.started(self._backend)
         try:
             while self.outcome is None:
@@ -206,7 +206,7 @@
         finally:
             chooser.finished(self._backend, self._last_item)
             if self._may_still_run():
-                self._streams.cancel(self._backend, self._request.stream)
+                self._runner.cancel(self._backend, self._request.stream)
 
     def _may_still_run(self):
         """Return whether the engine may continue the stream without a reader.
@@ -219,7 +219,7 @@
     async def _read_connection(self):
         """Yield the chunks of one connection and handle its end."""
         last = Broken("the stream ended without its last line")
-        items = self._streams.engine.stream(self._backend, self._order())
+        items = self._runner.engine.stream(self._backend, self._order())
         async with contextlib.aclosing(items):
             async for item in items:
                 if not isinstance(item, Chunk):
@@ -234,7 +234,7 @@
         await self._handle_end(last)
 
     def _order(self):
-        requests = self._streams.settings.requests
+        requests = self._runner.settings.requests
         return StreamOrder(
             self._request.stream,
             self._row.model,
@@ -252,8 +252,8 @@
         if isinstance(last, Finished):
             # A length other than what was received is the end of another stream. The
             # caller must not take the received part for complete.
-            whole = last.length == self.offset
-            self.outcome = last if whole else Unknown("the stream is not whole")
+            is_complete = last.length == self.offset
+            self.outcome = last if is_complete else Unknown("the stream is not whole")
             return
         if isinstance(last, Broken):
             self._began = self._began or last.began
@@ -270,9 +270,7 @@
         """
         while self._resumes < MAX_RESUMES and not passed(self._deadline):
             self._resumes += 1
-            is_held = await self._streams.has_stream(
-                self._backend, self._request.stream
-            )
+            is_held = await self._runner.has_stream(self._backend, self._request.stream)
             if is_held is True:
                 RESUMES.inc({})
                 EVENTS.add(
--- a/sassafrasdoor/requests/tests/test_calls.py
+++ b/sassafrasdoor/requests/tests/test_calls.py
@@ -25,14 +25,14 @@
         test_settings = settings(**sections)
         self.chooser = Chooser(test_settings)
         self.admission = Admission(test_settings)
-        work = (
+        shared = (
             test_settings,
             lambda: current_view,
             self.admission,
             self.chooser,
             service,
         )
-        return CallRunner(*work, RetryBudget(test_settings))
+        return CallRunner(*shared, RetryBudget(test_settings))
 
     async def run_one(self, service, current_view=None, within=10.0, **fields):
         """Run one request and return its outcome."""
--- a/sassafrasdoor/requests/tests/test_handlers.py
+++ b/sassafrasdoor/requests/tests/test_handlers.py
@@ -46,13 +46,13 @@
         plain = row_document("plain", model="")
         self.current_view = view(row_document("app"), once, plain, count=2, revision=7)
         test_settings = settings(requests={"body_limit": LIMIT})
-        work = (
+        shared = (
             test_settings,
             lambda: self.current_view,
             Admission(test_settings),
             Chooser(test_settings),
         )
-        self.requests = RequestsService(*work, self.engine, self.service)
+        self.requests = RequestsService(*shared, self.engine, self.service)
         application = tornado.web.Application(
             handlers(self.requests),
             authorize=authorize,
--- a/sassafrasdoor/requests/tests/test_issued.py
+++ b/sassafrasdoor/requests/tests/test_issued.py
@@ -51,9 +51,9 @@
         self.settings = settings(instance={"name": name})
         self.service = service
         self.current_view = current_view
-        work = (self.settings, lambda: self.current_view, Admission(self.settings))
+        shared = (self.settings, lambda: self.current_view, Admission(self.settings))
         parts = (Chooser(self.settings), FakeEngine(), service, log)
-        self.requests = RequestsService(*work, *parts)
+        self.requests = RequestsService(*shared, *parts)
         self.peers = None
 
     async def listen(self):
--- a/sassafrasdoor/requests/tests/test_operation_processes.py
+++ b/sassafrasdoor/requests/tests/test_operation_processes.py
@@ -104,8 +104,8 @@
         await self.service_faults(delay=0.4)
         leaving = cluster.instances[0]
         running = [
-            asyncio.ensure_future(work)
-            for work in (
+            asyncio.ensure_future(call)
+            for call in (
                 *[self.send_request(leaving, "once") for _ in range(10)],
                 *[self.generate(leaving, max_tokens=200) for _ in range(3)],
             )
--- a/sassafrasdoor/requests/tests/test_streams.py
+++ b/sassafrasdoor/requests/tests/test_streams.py
@@ -24,14 +24,14 @@
         """Return a ``StreamRunner`` over a fake engine."""
         test_settings = settings()
         self.admission, self.chooser = Admission(test_settings), Chooser(test_settings)
-        work = (
+        shared = (
             test_settings,
             lambda: current_view,
             self.admission,
             self.chooser,
             engine,
         )
-        return StreamRunner(*work, RetryBudget(test_settings))
+        return StreamRunner(*shared, RetryBudget(test_settings))
 
     async def collect(
         self, engine, count=1, repeatable=False, restartable=False, within=20.0
