--- a/sassafrasdoor/requests/calls.py
+++ b/sassafrasdoor/requests/calls.py
@@ -9,8 +9,8 @@
 from sassafrasdoor.requests.messages import combine_outcomes
 
 MAX_TRIES = 3
-# Fraction of the remaining time that a try may use if another may follow, so that a hanging
-# server leaves time for the next one.
+# Fraction of the remaining time that a try may use if another may follow, so that a
+# hanging server leaves time for the next one.
 TRY_SHARE = 0.6
 RETRY_AFTER = 1.0
 
--- a/sassafrasdoor/requests/claims.py
+++ b/sassafrasdoor/requests/claims.py
@@ -2,11 +2,11 @@
 
 A process appends its claim and reads the stream up to it, which shows whether another
 claim precedes it. All readers see the same order and therefore agree on the one process
-that may run the key. Concurrent claims of a process are batched into one append, because
-all instances share the log's few hundred appends per second.
+that may run the key. Concurrent claims of a process are batched into one append,
+because all instances share the log's few hundred appends per second.
 
-The log must retain records for at least ``key_lifetime``. If a claim were removed earlier,
-its key could run a second time.
+The log must retain records for at least ``key_lifetime``. If a claim were removed
+earlier, its key could run a second time.
 """
 
 import asyncio
@@ -30,7 +30,9 @@
 
 APPENDS = metrics.counter("sassafrasdoor_claim_appends_total", "Appends of claims.")
 CLAIMED = metrics.counter("sassafrasdoor_claims_total", "Keys claimed.")
-LOST_REPLIES = metrics.counter("sassafrasdoor_claim_replies_lost_total", "Replies lost.")
+LOST_REPLIES = metrics.counter(
+    "sassafrasdoor_claim_replies_lost_total", "Replies lost."
+)
 
 
 class Owner:
@@ -165,9 +167,9 @@
     async def _read_until_found(self, claim_id):
         """Read until the claim appears; return None, or ``NotRun`` on timeout.
 
-        Only the claim's place in the log counts, also if the reply of its append was lost.
-        A claim that appears after the timeout belongs to this process, for keys that have
-        not run. They run when the caller tries again, here or by forwarding.
+        Only the claim's place in the log counts, also if the reply of its append was
+        lost. A claim that appears after the timeout belongs to this process, for keys
+        that have not run. They run when the caller tries again, here or by forwarding.
         """
         find_deadline = deadline_in(FIND_TIMEOUT)
         while claim_id not in self._seen_ids:
--- a/sassafrasdoor/requests/crash_watch.py
+++ b/sassafrasdoor/requests/crash_watch.py
@@ -20,8 +20,8 @@
 TOPIC = "keyed.crashes"
 PROBE_DELAYS = (0.0, 0.3)  # seconds before each connection probe of the replica
 LISTING_CHECK_INTERVAL = 0.25  # seconds, used when the probes are inconclusive
-# Seconds after a broken connection within which the end of the replica's listing confirms
-# a crash: three heartbeats plus a slow read of the list.
+# Seconds after a broken connection within which the end of the replica's listing
+# confirms a crash: three heartbeats plus a slow read of the list.
 CRASH_CONFIRM_TIMEOUT = 6.0
 SUSPECT_WAIT_TIMEOUT = 1.0  # seconds to wait for crash checks between two suspects
 APPEND_TIMEOUT = 1.0  # seconds
@@ -53,7 +53,8 @@
     """Checks replicas after broken connections and tracks which requests crash them.
 
     Without a ``log``, only crashes detected by this instance are known.
-    ``is_expiry_owner()`` returns whether this instance deletes expired records in the log.
+    ``is_expiry_owner()`` returns whether this instance deletes expired records in the
+    log.
     """
 
     __slots__ = (
@@ -103,7 +104,7 @@
         return bool(self._pending_records)
 
     def refusal(self, request):
-        """Return ``Quarantined`` and log it if a request must not be sent, else None."""
+        """Return ``Quarantined``, logged, if a request must not be sent, else None."""
         if not self.is_quarantined(request):
             return None
         QUARANTINED.inc({})
@@ -125,7 +126,7 @@
         return self._state(request) is State.QUARANTINED
 
     def is_suspect(self, request):
-        """Return whether a request may crash replicas, so that suspects run one by one."""
+        """Return whether a request is suspected of crashing replicas."""
         return self._state(request) is State.SUSPECT
 
     @contextlib.asynccontextmanager
@@ -133,7 +134,8 @@
         """Let the suspects of a service run one at a time.
 
         The next suspect waits for the crash checks of the previous one, up to
-        ``SUSPECT_WAIT_TIMEOUT``. Otherwise a crash could not be attributed to one of them.
+        ``SUSPECT_WAIT_TIMEOUT``. Otherwise a crash could not be attributed to one of
+        them.
         """
         lock = self._suspect_locks.setdefault(service, asyncio.Lock())
         await lock.acquire()
--- a/sassafrasdoor/requests/crashes.py
+++ b/sassafrasdoor/requests/crashes.py
@@ -1,8 +1,8 @@
 """Determines which requests cause the crashes of replicas.
 
 A single crash does not show which of the requests running at the replica caused it. The
-cause is present at each of its crashes, and no replica ever answers it. Requests that only
-ran beside it are answered elsewhere, or have few crashes that no worse request explains.
+cause is present at each of its crashes, and no replica ever answers it. Requests that
+only ran beside it are answered elsewhere, or have few crashes not explained by it.
 
 A crash is unexplained if no other quarantined request ran at the replica. A request's
 state depends on its unexplained crashes:
@@ -23,13 +23,14 @@
 
 SUSPECT_THRESHOLD, QUARANTINE_THRESHOLD, UNCONDITIONAL_THRESHOLD = 2, 3, 5
 RETENTION_PERIOD = 3600.0  # seconds after a request's last crash or last arrival
-# Seconds after which other instances are notified that a quarantined request still arrives.
+# Seconds after which other instances are notified that a quarantined request still
+# arrives.
 RENEWAL_INTERVAL = RETENTION_PERIOD / 4
 MAX_REQUESTS = 4096  # tracked requests; the one with the oldest last crash is evicted
 
 
 class State(Enum):
-    """Whether a request runs as usual, one at a time with other suspects, or not at all."""
+    """Whether a request runs as usual, one at a time, or not at all."""
 
     CLEAR = "clear"
     SUSPECT = "suspect"
@@ -134,7 +135,8 @@
     def _find_quarantined(self):
         """Return the requests to quarantine.
 
-        Those with the most crashes are decided first, since they explain crashes of others.
+        Those with the most crashes are decided first, since they explain crashes of
+        others.
         """
         worst_first = sorted(
             (
--- a/sassafrasdoor/requests/direct.py
+++ b/sassafrasdoor/requests/direct.py
@@ -45,7 +45,7 @@
         return result
 
     async def _run(self, attempts):
-        """Send until there is a final outcome; serialize suspects and send them once."""
+        """Send until there is a final outcome; suspects run one at a time and once."""
         if not self._crash_watch.is_suspect(attempts.request):
             return await self._send_until_answered(attempts)
         async with self._crash_watch.suspect_lock(attempts.service):
--- a/sassafrasdoor/requests/handlers.py
+++ b/sassafrasdoor/requests/handlers.py
@@ -23,8 +23,8 @@
 
 __all__ = ["RequestsService", "handlers"]
 
-# Multiple of the body limit that is read and discarded, so that the sender of a body that is
-# too large gets to read the refusal.
+# Multiple of the body limit that is read and discarded, so that the sender of a body
+# that is too large gets to read the refusal.
 DISCARD_LIMIT_FACTOR = 16
 
 OUTCOMES = metrics.counter("sassafrasdoor_outcomes_total", "Outcomes by name.")
@@ -232,9 +232,9 @@
     async def _abort_stream(self, outcome):
         """Abort an incomplete streamed answer.
 
-        With a regular end it would look complete to a caller that does not check the last
-        line. So the outcome is written as a line, and the connection is closed without the
-        end of the chunked body, which every client reports as an error.
+        With a regular end it would look complete to a caller that does not check the
+        last line. So the outcome is written as a line, and the connection is closed
+        without the end of the chunked body, which every client reports as an error.
         """
         OUTCOMES.inc({"outcome": messages.UNKNOWN})
         self._write_line({"outcome": messages.UNKNOWN, "reason": outcome.reason})
--- a/sassafrasdoor/requests/issued.py
+++ b/sassafrasdoor/requests/issued.py
@@ -1,8 +1,8 @@
 """Keys issued with discovery answers, which name the only process that may run them.
 
-The issuer is one incarnation of an instance. Other instances forward such a key to it or
-answer ``unknown``, so two processes never run the same key. This needs neither the log nor
-synchronised clocks.
+The issuer is one incarnation of an instance. Other instances forward such a key to it
+or answer ``unknown``, so two processes never run the same key. This needs neither the
+log nor synchronised clocks.
 """
 
 import re
@@ -18,7 +18,7 @@
 
 
 class IssuedKey:
-    """The parts of a key; ``second`` is its time of issue in seconds since issuer start."""
+    """The parts of a key; ``second`` is its issue time, counted from issuer start."""
 
     __slots__ = ("incarnation", "instance", "second")
 
@@ -61,8 +61,8 @@
     def has_lapsed(self, issued):
         """Return whether the key is too old to run.
 
-        Outcomes are kept for one key lifetime after the run. A key accepted for longer than
-        that after its issue could run again once its outcome has expired.
+        Outcomes are kept for one key lifetime after the run. A key accepted for longer
+        than that after its issue could run again once its outcome has expired.
         """
         return not 0 <= self._elapsed_seconds() - issued.second <= self._lifetime
 
--- a/sassafrasdoor/requests/peer.py
+++ b/sassafrasdoor/requests/peer.py
@@ -43,8 +43,9 @@
 async def forward(settings, address, incarnation, row, request):
     """Forward a keyed request to the process of that incarnation.
 
-    Each request uses its own connection, because a slow run would close a shared one for
-    all the others. Failures are ``Unknown``, since the key may have run there earlier.
+    Each request uses its own connection, because a slow run would close a shared one
+    for all the others. Failures are ``Unknown``, since the key may have run there
+    earlier.
     """
     FORWARDED.inc({})
     link = PeerLink(settings, address, SCHEMA.Requests)
--- a/sassafrasdoor/requests/service.py
+++ b/sassafrasdoor/requests/service.py
@@ -59,9 +59,9 @@
     def key_prefix(self):
         """Return a prefix for keys that only this process runs.
 
-        Empty once this instance has announced that it is leaving. A key issued after that
-        could reach another instance after this one has ended, which would answer unknown
-        although the key never ran.
+        Empty once this instance has announced that it is leaving. A key issued after
+        that could reach another instance after this one has ended, which would answer
+        unknown although the key never ran.
         """
         return "" if self._refusing or self._is_leaving() else self._issuer.prefix()
 
--- a/sassafrasdoor/requests/streaming.py
+++ b/sassafrasdoor/requests/streaming.py
@@ -1,8 +1,8 @@
 """Relays streams from replicas to callers and resumes them at other replicas.
 
-Only complete events are relayed, so that another replica can resume after the last one. A
-stream that cannot be resumed is aborted without its regular end, so that the caller does
-not take a part for the whole.
+Only complete events are relayed, so that another replica can resume after the last one.
+A stream that cannot be resumed is aborted without its regular end, so that the caller
+does not take a part for the whole.
 """
 
 import asyncio
@@ -15,8 +15,8 @@
 from sassafrasdoor.requests.crash_watch import CrashWatch, Quarantined
 from sassafrasdoor.table.routes import Repeat
 
-# Seconds without an event before a resumable stream moves to another replica: ten times the
-# typical interval of 150 ms, and below the 2 s after which callers give up.
+# Seconds without an event before a resumable stream moves to another replica: ten times
+# the typical interval of 150 ms, and below the 2 s after which callers give up.
 SILENCE_TIMEOUT = 1.5
 
 STREAMS = counter("direct_streams_total", "Callers' streams, by outcome.")
@@ -92,8 +92,8 @@
     async def answer(self, request, caller):
         """Relay a stream; return True when it is complete.
 
-        Otherwise return an ``Answer`` that is not a stream, ``NotRun``, or ``Unknown``, which
-        may also follow after a part was sent to the ``StreamCaller``.
+        Otherwise return an ``Answer`` that is not a stream, ``NotRun``, or ``Unknown``,
+        which may also follow after a part was sent to the ``StreamCaller``.
         """
         attempts = Attempts(request)
         relay = _StreamRelay(caller)
--- a/sassafrasdoor/requests/streams.py
+++ b/sassafrasdoor/requests/streams.py
@@ -180,10 +180,10 @@
         "_request",
         "_resumes",
     )
-    __slots__ += ("_row", "_runner", "offset", "outcome")
+    __slots__ += ("_row", "_streams", "offset", "outcome")
 
-    def __init__(self, runner, backend, row, request, deadline):
-        self._runner = runner
+    def __init__(self, streams, backend, row, request, deadline):
+        self._streams = streams
         self._backend = backend
         self._row = row
         self._request = request
@@ -196,7 +196,7 @@
 
     async def items(self):
         """Yield the chunks, with each token once."""
-        chooser = self._runner.chooser
+        chooser = self._streams.chooser
         chooser.started(self._backend)
         try:
             while self.outcome is None:
@@ -206,7 +206,7 @@
         finally:
             chooser.finished(self._backend, self._last_item)
             if self._may_still_run():
-                self._runner.cancel(self._backend, self._request.stream)
+                self._streams.cancel(self._backend, self._request.stream)
 
     def _may_still_run(self):
         """Return whether the engine may continue the stream without a reader.
@@ -219,7 +219,7 @@
     async def _read_connection(self):
         """Yield the chunks of one connection and handle its end."""
         last = Broken("the stream ended without its last line")
-        items = self._runner.engine.stream(self._backend, self._order())
+        items = self._streams.engine.stream(self._backend, self._order())
         async with contextlib.aclosing(items):
             async for item in items:
                 if not isinstance(item, Chunk):
@@ -234,7 +234,7 @@
         await self._handle_end(last)
 
     def _order(self):
-        requests = self._runner.settings.requests
+        requests = self._streams.settings.requests
         return StreamOrder(
             self._request.stream,
             self._row.model,
@@ -263,14 +263,16 @@
             self.outcome = Unknown(last.reason)
 
     async def _may_resume(self):
-        """Return whether the engine still has the stream, retrying while it is unavailable.
+        """Return whether the engine still has the stream, retried while unavailable.
 
         A restarted engine would treat the order as a new stream, and its different text
         would follow the part that was already delivered.
         """
         while self._resumes < MAX_RESUMES and not passed(self._deadline):
             self._resumes += 1
-            is_held = await self._runner.has_stream(self._backend, self._request.stream)
+            is_held = await self._streams.has_stream(
+                self._backend, self._request.stream
+            )
             if is_held is True:
                 RESUMES.inc({})
                 EVENTS.add(
--- a/sassafrasdoor/requests/tests/test_calls.py
+++ b/sassafrasdoor/requests/tests/test_calls.py
@@ -45,10 +45,11 @@
         )
 
     async def test_table_of_faults(self):
-        """Guards against a call that runs twice, or is reported as not run although it ran.
+        """Guards against calls that run twice, or run although reported as not run.
 
-        A server refuses the connection, or accepts the call and closes it. Once a byte may
-        have been sent, a non-repeatable call must not be retried or reported as not run.
+        A server refuses the connection, or accepts the call and closes it. Once a byte
+        may have been sent, a non-repeatable call must not be retried or reported as not
+        run.
         """
         # (result of each server, repeatable) -> outcome, maximum runs
         cases = [
@@ -89,8 +90,8 @@
     async def test_paused_between_admission_and_dispatch(self):
         """Guards against a call that runs long after its caller was answered unknown.
 
-        The instance is paused after admission and resumes after the deadline, which must
-        be checked again before dispatch.
+        The instance is paused after admission and resumes after the deadline, which
+        must be checked again before dispatch.
         """
         service = FakeService(b0=OK)
         current_view = view(count=1)
--- a/sassafrasdoor/requests/tests/test_claims.py
+++ b/sassafrasdoor/requests/tests/test_claims.py
@@ -193,7 +193,7 @@
             await self.close(instances)
 
     async def test_frozen_between_claim_and_dispatch(self):
-        """Guards against a call that runs minutes after its caller was answered unknown.
+        """Guards against a call that runs long after its caller was answered unknown.
 
         Instance a claims a key and is paused before dispatch. The caller repeats the
         request at b, which finds the claim but gets no answer. When a resumes, it must
--- a/sassafrasdoor/requests/tests/test_direct.py
+++ b/sassafrasdoor/requests/tests/test_direct.py
@@ -84,8 +84,8 @@
     async def test_outcomes_of_requests_that_may_run_once(self):
         """Guards against a payment that runs twice, or runs although it was refused.
 
-        The connection breaks after the request was sent. A lost answer must not be treated
-        as "not run".
+        The connection breaks after the request was sent. A lost answer must not be
+        treated as "not run".
         """
         cases = [
             ([OK], Answer, 1),
@@ -105,8 +105,9 @@
     async def test_refusal_status_after_a_run_is_unknown(self):
         """Guards against a payment that runs twice.
 
-        A replica runs a request and answers 503, which does not state that it did not run.
-        If the status were forwarded, the caller would treat it as "not run" and repeat it.
+        A replica runs a request and answers 503, which does not state that it did not
+        run. If the status were forwarded, the caller would treat it as "not run" and
+        repeat it.
         """
         for status in (408, 429, 503):
             result = await self.answer(Answer(status, [], b""), repeat=Repeat.ONCE)
--- a/sassafrasdoor/requests/tests/test_hard_limit_processes.py
+++ b/sassafrasdoor/requests/tests/test_hard_limit_processes.py
@@ -11,9 +11,9 @@
     async def test_limit_holds_while_an_instance_is_cut_off(self):
         """Guards against a row that exceeds its hard limit after a failure.
 
-        Three instances are under load. One of them, possibly the quota holder, loses its
-        control process and continues to serve. Slots that it may still use must not be
-        granted to others.
+        Three instances are under load. One of them, possibly the quota holder, loses
+        its control process and continues to serve. Slots that it may still use must not
+        be granted to others.
         """
         short_timeouts = {
             **SHORT_TIMEOUTS,
--- a/sassafrasdoor/requests/tests/test_issued.py
+++ b/sassafrasdoor/requests/tests/test_issued.py
@@ -88,8 +88,9 @@
     async def test_repeated_key_returns_the_answer_of_the_first_run(self):
         """Guards against a payment that is booked twice.
 
-        The caller gets no reply in time and repeats the request at the same and at another
-        instance, during and after the first run. The key must be known at each of them.
+        The caller gets no reply in time and repeats the request at the same and at
+        another instance, during and after the first run. The key must be known at each
+        of them.
         """
         async with capnp.kj_loop():
             service, (first, second) = await self.cluster()
@@ -111,8 +112,8 @@
     async def test_owner_frozen_dead_or_restarted(self):
         """Guards against a second run after an instance has failed.
 
-        The key's owner is silent, gone or restarted under its name, and the caller repeats
-        the request at another instance, which must not run it.
+        The key's owner is silent, gone or restarted under its name, and the caller
+        repeats the request at another instance, which must not run it.
         """
 
         async def silent(first):
@@ -212,8 +213,8 @@
     async def test_leaving_instance_issues_no_keys(self):
         """Guards against calls that end as unknown at each restart without having run.
 
-        An instance announces that it is leaving, still answers discovery, and ends. Keys
-        issued in between would reach other instances.
+        An instance announces that it is leaving, still answers discovery, and ends.
+        Keys issued in between would reach other instances.
         """
         instance = Instance("entry-1", FakeService(), view(row_document("once")))
         self.assertTrue(instance.requests.key_prefix())
--- a/sassafrasdoor/requests/tests/test_operation_processes.py
+++ b/sassafrasdoor/requests/tests/test_operation_processes.py
@@ -16,12 +16,12 @@
     async def test_calls_continue_without_a_quota_holder(self):
         """Guards against refusing every call while the log is down.
 
-        The log is down for longer than the quota lease and its grants, so all grants lapse
-        and no instance may renew them.
+        The log is down for longer than the quota lease and its grants, so all grants
+        lapse and no instance may renew them.
         """
         cluster = await self.cluster(instances=2, engines=1, services=1)
-        # Right after the start, one instance may hold slots that the other has released or
-        # not yet reported for, so the shares are not equal yet.
+        # Right after the start, one instance may hold slots that the other has released
+        # or not yet reported for, so the shares are not equal yet.
         await until(lambda: self.has_equal_shares())
         await cluster.platform_faults(down=True)
         await until(lambda: self.has_fallen_back())
@@ -32,7 +32,7 @@
         await until(lambda: self.has_equal_shares())
 
     async def has_equal_shares(self):
-        """Return whether a holder grants each instance an equal share of the row's slots."""
+        """Return whether a holder grants each instance an equal share of the slots."""
         slots = [
             await self.slots("idempotent", [instance])
             for instance in self.cluster.instances
--- a/sassafrasdoor/requests/tests/test_requests_processes.py
+++ b/sassafrasdoor/requests/tests/test_requests_processes.py
@@ -16,8 +16,8 @@
         """Guards against wrong refusals, double runs and truncated answers.
 
         The service refuses connections, closes them before, during or after its reply,
-        answers late or without framing. A call that may have run must not be reported as
-        not run or retried, and a partial answer must not be passed as complete.
+        answers late or without framing. A call that may have run must not be reported
+        as not run or retried, and a partial answer must not be passed as complete.
         """
         cluster = await self.cluster(instances=2, engines=1, services=1)
         first, second = cluster.instances
@@ -72,8 +72,8 @@
     async def test_concurrent_callers_get_their_own_answers(self):
         """Guards against a member who sees another member's balance.
 
-        With many concurrent calls, late answers and closed connections, answers arrive out
-        of order and must not be matched by order.
+        With many concurrent calls, late answers and closed connections, answers arrive
+        out of order and must not be matched by order.
         """
         cluster = await self.cluster(instances=2, engines=1, services=2)
         await self.service_faults(delay=0.2, hang_up=5, hang_up_middle=5)
@@ -103,8 +103,8 @@
     async def test_streams_through_faults(self):
         """Guards against texts that are truncated or mixed from two runs.
 
-        The engine closes, truncates or silences the connection in the middle. The stream
-        must not start again, and its part must not be taken for complete.
+        The engine closes, truncates or silences the connection in the middle. The
+        stream must not start again, and its part must not be taken for complete.
         """
         cluster = await self.cluster(instances=1, engines=1, services=1)
         instance = cluster.instances[0]
@@ -178,8 +178,9 @@
         cluster = await self.cluster(instances=2, engines=1, services=1)
         keys = [await self.prefix(instance) + "o" for instance in cluster.instances]
         numbers = range(400)
-        # Overload depends on how fast this machine sends calls: each call lasts as long as
-        # it takes to send all of them, and its deadline is more than three times as long.
+        # Overload depends on how fast this machine sends calls: each call lasts as long
+        # as it takes to send all of them, and its deadline is more than three times as
+        # long.
         delay = max(0.3, await self.seconds_to_ask(100) * len(numbers) / 100)
         await self.service_faults(delay=delay)
         pending = [
@@ -211,8 +212,8 @@
     async def test_issued_key_with_its_owner_alive_frozen_resumed_dead(self):
         """Guards against a second run at another instance.
 
-        The key's owner is running it, frozen, resumed, then killed. Each time the caller
-        repeats the request at another instance, which must not run it.
+        The key's owner is running it, frozen, resumed, then killed. Each time the
+        caller repeats the request at another instance, which must not run it.
         """
         cluster = await self.cluster(instances=3, engines=1, services=1)
         owner, other, third = cluster.instances
@@ -252,8 +253,8 @@
     async def test_caller_chosen_key_at_all_instances_and_during_a_log_outage(self):
         """Guards against one key that runs at two instances.
 
-        The caller sends its own key to three instances at once, then another one while the
-        log is down. Only the common log may decide which instance runs it.
+        The caller sends its own key to three instances at once, then another one while
+        the log is down. Only the common log may decide which instance runs it.
         """
         cluster = await self.cluster(instances=3, engines=1, services=1)
         repeated_instances = cluster.instances * 2
--- a/sassafrasdoor/requests/tests/test_streaming.py
+++ b/sassafrasdoor/requests/tests/test_streaming.py
@@ -99,8 +99,8 @@
     async def test_stream_resumes_after_its_last_event_at_another_replica(self):
         """Guards against a text with a repeated part, or with parts of two runs.
 
-        A replica is lost after its second event. The stream must resume after that event,
-        at another replica and under the headers of the first.
+        A replica is lost after its second event. The stream must resume after that
+        event, at another replica and under the headers of the first.
         """
         await self.stream((2, LOST), (1, True))
         (first, begun), (second, after) = self.client.calls
--- a/sassafrasdoor/requests/tests/test_streams.py
+++ b/sassafrasdoor/requests/tests/test_streams.py
@@ -53,8 +53,8 @@
     async def test_table_of_faults(self):
         """Guards against answers that are truncated, repeat a part or mix two runs.
 
-        The connection to the engine breaks before, between or after the chunks. The stream
-        must not start again, and its part must not be taken for complete.
+        The connection to the engine breaks before, between or after the chunks. The
+        stream must not start again, and its part must not be taken for complete.
         """
         whole = "w0 w1 w2 w3 w4 "
         # (faults of the engine, whether it loses the stream) -> text, last item, starts
@@ -114,8 +114,8 @@
     async def test_disconnected_caller_cancels_the_stream_at_the_engine(self):
         """Guards against engines that are busy with streams without a reader.
 
-        A caller disconnects in the middle of a stream. The engine must be told to cancel
-        it, otherwise it continues to generate.
+        A caller disconnects in the middle of a stream. The engine must be told to
+        cancel it, otherwise it continues to generate.
         """
         engine = FakeEngine()
         engine.gate = asyncio.Event()
@@ -141,7 +141,7 @@
         self.assertEqual(self.admission.in_use(), {})
 
     async def test_caller_disconnects_before_the_first_chunk(self):
-        """Guards against an engine that generates without a reader (seen in 1 of 4 runs).
+        """Guards against an engine that generates for no reader (seen in 1 of 4 runs).
 
         The caller disconnects after the engine has started and before its first chunk
         arrives. A stream without a chunk must also count as started.
