--- a/sassafrasdoor/requests/claims.py
+++ b/sassafrasdoor/requests/claims.py
@@ -1,12 +1,12 @@
-"""Claims in the log on keys that callers chose: the first offset wins.
+"""Claims in the log on keys chosen by callers: the claim with the lowest offset wins.
 
-A process appends its claim, reads the stream up to it and then knows whether an
-earlier one stands before it. All readers see the same order, so all agree on the
-one process that may run the key. Claims of one moment share an append, because
-all instances share the log's few hundred appends a second.
+A process appends its claim and reads the stream up to it, which shows whether another
+claim precedes it. All readers see the same order and therefore agree on the one process
+that may run the key. Concurrent claims of a process are batched into one append,
+because all instances share the log's few hundred appends per second.
 
-The log has to keep records for at least ``key_lifetime``: a claim that vanished
-sooner would let its key run a second time.
+The log must retain records for at least ``key_lifetime``. If a claim were removed
+earlier, its key could run a second time.
 """
 
 import asyncio
@@ -24,18 +24,19 @@
 MAX_BATCH = 200
 READ_WAIT = 0.5
 READ_RETRY = 0.05
-# A record whose append lost its reply shows within this time, or we give up.
-FIND_TIMEOUT = 3.0
+FIND_TIMEOUT = 3.0  # seconds for an appended claim to become readable
 NAME_BYTES = 16
 RETRY_AFTER = 2.0
 
 APPENDS = metrics.counter("sassafrasdoor_claim_appends_total", "Appends of claims.")
 CLAIMED = metrics.counter("sassafrasdoor_claims_total", "Keys claimed.")
-LOST = metrics.counter("sassafrasdoor_claim_replies_lost_total", "Replies lost.")
+LOST_REPLIES = metrics.counter(
+    "sassafrasdoor_claim_replies_lost_total", "Replies lost."
+)
 
 
 class Owner:
-    """The one life of one instance that may run a key."""
+    """The process that may run a key: an instance and its incarnation."""
 
     __slots__ = ("incarnation", "instance")
 
@@ -45,7 +46,7 @@
 
 
 class Claims:
-    """Claims on keys for one entry process, over several streams of the log."""
+    """Claims on keys by one entry process, spread over several streams of the log."""
 
     __slots__ = ("_owner", "_streams")
 
@@ -57,16 +58,16 @@
         ]
 
     async def claim(self, row_name, key, deadline):
-        """Return the ``Owner`` of a key, or ``NotRun`` if that cannot be told."""
+        """Return the ``Owner`` of a key, or ``NotRun`` if it cannot be determined."""
         name = claim_name(row_name, key)
         return await self._stream(name).claim(name, deadline)
 
     def owns(self, owner):
-        """Say whether we are that owner."""
+        """Return whether this process is that owner."""
         return owner.incarnation == self._owner.incarnation
 
-    def owned(self, row_name, key):
-        """Say whether a claim of ours on the key is known to have won."""
+    def owns_key(self, row_name, key):
+        """Return whether this process is known to own the key."""
         name = claim_name(row_name, key)
         owner = self._stream(name).owner(name)
         return owner is not None and self.owns(owner)
@@ -76,13 +77,13 @@
 
 
 class ClaimStream:
-    """One stream of claims: what was read of it, and appends in groups."""
+    """One stream of claims: the owners read from it, and batched appends."""
 
     __slots__ = (
         "_committer",
         "_lifetime",
+        "_local_owner",
         "_log",
-        "_me",
         "_owners",
         "_pending",
         "_position",
@@ -90,11 +91,11 @@
         "_stream",
     )
 
-    def __init__(self, settings, log, stream, me):
+    def __init__(self, settings, log, stream, owner):
         self._lifetime = settings.requests.key_lifetime
         self._log = log
         self._stream = stream
-        self._me = me
+        self._local_owner = owner
         self._position = 0
         self._owners = OrderedDict()
         self._pending = {}
@@ -102,13 +103,13 @@
         self._seen_ids = set()
 
     def owner(self, name):
-        """Return the owner known of a key, or None."""
+        """Return the known owner of a key, or None."""
         self._forget_expired()
-        found = self._owners.get(name)
-        return found[0] if found else None
+        entry = self._owners.get(name)
+        return entry[0] if entry else None
 
     async def claim(self, name, deadline):
-        """Return the key's owner, claiming it if nobody has."""
+        """Return the key's owner, claiming the key if it has none."""
         known = self.owner(name)
         if known is not None:
             return known
@@ -132,55 +133,55 @@
                 refusal = await self._commit(names)
                 for name, future in batch.items():
                     del self._pending[name]
-                    future.set_result(refusal or self._won(name))
+                    future.set_result(refusal or self._owner_or_not_run(name))
         finally:
             self._committer = None
             for future in self._pending.values():
                 future.set_result(NotRun("claiming failed", RETRY_AFTER))
             self._pending.clear()
 
-    def _won(self, name):
+    def _owner_or_not_run(self, name):
         owner = self.owner(name)
         return owner or NotRun("the claim was not found", RETRY_AFTER)
 
     async def _commit(self, names):
-        """Append a claim on all names and read up to it; return None or NotRun."""
-        identity = uuid.uuid4().hex
+        """Append a claim on all names and read up to it; return None or ``NotRun``."""
+        claim_id = uuid.uuid4().hex
         body = {
             "kind": KIND,
-            "id": identity,
-            "instance": self._me.instance,
-            "incarnation": self._me.incarnation,
+            "id": claim_id,
+            "instance": self._local_owner.instance,
+            "incarnation": self._local_owner.incarnation,
             "names": names,
         }
         APPENDS.inc({})
         CLAIMED.add({}, len(names))
         outcome = await self._log.append(self._stream, body)
         if isinstance(outcome, ReplyLost):
-            LOST.inc({})
+            LOST_REPLIES.inc({})
             logs.changed("claims:reply-lost", stream=self._stream)
         elif not isinstance(outcome, int):
             return NotRun(f"the log takes no claims: {outcome.reason}", RETRY_AFTER)
-        return await self._find(identity)
+        return await self._read_until_found(claim_id)
 
-    async def _find(self, identity):
-        """Read until our record shows; return None, or ``NotRun`` if it does not.
+    async def _read_until_found(self, claim_id):
+        """Read until the claim appears; return None, or ``NotRun`` on timeout.
 
-        Whether it was appended or its reply lost makes no difference: it counts
-        where the log has it. If it shows up later it is a claim of ours on keys
-        that did not run; the caller's next try here or by forwarding runs them.
+        Only the claim's place in the log counts, also if the reply of its append was
+        lost. A claim that appears after the timeout belongs to this process, for keys
+        that have not run. They run when the caller tries again, here or by forwarding.
         """
-        limit = deadline_in(FIND_TIMEOUT)
-        while identity not in self._seen_ids:
-            if passed(limit):
+        find_deadline = deadline_in(FIND_TIMEOUT)
+        while claim_id not in self._seen_ids:
+            if passed(find_deadline):
                 return NotRun("the claim did not show in the log", RETRY_AFTER)
-            if not await self._read_page(min(READ_WAIT, remaining(limit))):
+            if not await self._read_page(min(READ_WAIT, remaining(find_deadline))):
                 await asyncio.sleep(READ_RETRY)
         self._seen_ids.clear()
         return None
 
     async def _read_page(self, wait):
-        """Read on; return False if the log could not be read."""
+        """Read the next page; return False if the log could not be read."""
         batch = await self._log.read(self._stream, self._position, PAGE, wait)
         if isinstance(batch, Expired):
             self._position = batch.first
@@ -195,39 +196,39 @@
     def _fold(self, body):
         if not _well_formed(body):
             return
-        if body["incarnation"] == self._me.incarnation:
+        if body["incarnation"] == self._local_owner.incarnation:
             self._seen_ids.add(body["id"])
         owner = Owner(body["instance"], body["incarnation"])
-        # Counted from our reading, which is later than the append: to keep a
-        # claim too long is safe, to forget it early would run its key twice.
-        expires = deadline_in(self._lifetime)
+        # Counted from the read, which is later than the append. Keeping a claim too
+        # long is safe; dropping it early could run its key twice.
+        expires_at = deadline_in(self._lifetime)
         self._forget_expired()
         for name in body["names"]:
-            self._owners.setdefault(name, (owner, expires))
+            self._owners.setdefault(name, (owner, expires_at))
 
     def _forget_expired(self):
         while self._owners:
-            name, (_, expires) = next(iter(self._owners.items()))
-            if not passed(expires):
+            name, (_, expires_at) = next(iter(self._owners.items()))
+            if not passed(expires_at):
                 return
             del self._owners[name]
 
 
 def claim_name(row_name, key):
-    """Return the name under which a key of a row is claimed."""
+    """Return the digest under which a key of a row is claimed."""
     text = f"{len(row_name)}:{row_name}{key}"
     return blake2b(text.encode(), digest_size=NAME_BYTES).hexdigest()
 
 
 def _well_formed(body):
-    """Say whether a record is a claim; the stream may hold anything."""
+    """Return whether a record is a valid claim."""
     return (
         isinstance(body, dict)
         and body.get("kind") == KIND
-        and all(isinstance(body.get(name), str) for name in FIELDS)
+        and all(isinstance(body.get(name), str) for name in TEXT_FIELDS)
         and isinstance(body.get("names"), list)
         and all(isinstance(name, str) for name in body["names"])
     )
 
 
-FIELDS = ("id", "instance", "incarnation")
+TEXT_FIELDS = ("id", "instance", "incarnation")
--- a/sassafrasdoor/requests/crashes.py
+++ b/sassafrasdoor/requests/crashes.py
@@ -1,14 +1,17 @@
-"""Which requests are to blame for the crashes of replicas.
+"""Determines which requests cause the crashes of replicas.
 
-A crash alone does not tell which of the requests that ran there caused it. The one that
-did is there at each, and no replica ever answers it; those that merely ran beside it are
-answered elsewhere, or run into few crashes that no worse suspect was part of.
+A single crash does not show which of the requests running at the replica caused it. The
+cause is present at each of its crashes, and no replica ever answers it. Requests that
+only ran beside it are answered elsewhere, or have few crashes not explained by it.
 
-| crashes without a quarantined request | state |
+A crash is unexplained if no other quarantined request ran at the replica. A request's
+state depends on its unexplained crashes:
+
+| unexplained crashes | state |
 |---|---|
-| none or one, or any replica answered it since | clear |
+| none or one, or any replica answered the request since | clear |
 | two or more | suspect |
-| three or more, at one of them it was the worst suspect | quarantined |
+| three or more, and at one of them no other request had as many crashes | quarantined |
 | five or more | quarantined |
 """
 
@@ -18,26 +21,24 @@
 
 from sassafrasdoor.clock import deadline_in, passed
 
-FEW, CERTAIN, ANYWAY = 2, 3, 5
-KEEP_FOR = 3600.0
-"""Seconds that crashes are remembered after the last, or after the last time that the
-request came."""
-RENEW_AFTER = KEEP_FOR / 4
-"""Seconds after which others are told that a quarantined request still comes."""
-MOST_REQUESTS = 4096
-"""Requests remembered; the one that was longest without a crash gives way."""
+SUSPECT_THRESHOLD, QUARANTINE_THRESHOLD, UNCONDITIONAL_THRESHOLD = 2, 3, 5
+RETENTION_PERIOD = 3600.0  # seconds after a request's last crash or last arrival
+# Seconds after which other instances are notified that a quarantined request still
+# arrives.
+RENEWAL_INTERVAL = RETENTION_PERIOD / 4
+MAX_REQUESTS = 4096  # tracked requests; the one with the oldest last crash is evicted
 
 
 class State(Enum):
-    """What a request may do: run as usual, run alone, or not run."""
+    """Whether a request runs as usual, one at a time, or not at all."""
 
     CLEAR = "clear"
     SUSPECT = "suspect"
     QUARANTINED = "quarantined"
 
 
-class _Known:
-    """What is known of one request: the replicas that crashed under it."""
+class _CrashedRequest:
+    """The replicas that crashed while one request ran there, and its expiry."""
 
     __slots__ = ("expires_at", "renew_at", "replicas")
 
@@ -46,118 +47,136 @@
         self.renew()
 
     def renew(self):
-        self.expires_at = deadline_in(KEEP_FOR)
-        self.renew_at = deadline_in(RENEW_AFTER)
+        self.expires_at = deadline_in(RETENTION_PERIOD)
+        self.renew_at = deadline_in(RENEWAL_INTERVAL)
 
 
-class Crashes:
+class CrashHistory:
     """Crashed replicas by the fingerprints of the requests that ran there.
 
-    The states follow from all that is known, not from its order: instances that have
-    heard the same agree.
+    States do not depend on the order of the records, so instances with the same records
+    agree.
     """
 
-    __slots__ = ("_blamed", "_known", "_ran_at")
+    __slots__ = ("_quarantined", "_requests", "_requests_by_replica")
 
     def __init__(self):
-        self._known = OrderedDict()
-        self._ran_at = {}
-        self._blamed = None
+        self._requests = OrderedDict()
+        self._requests_by_replica = {}
+        self._quarantined = None
 
     def __len__(self):
-        return len(self._known)
+        return len(self._requests)
 
     def replicas(self, fingerprint):
-        """Return the replicas known to have crashed under a request, in order."""
-        known = self._known.get(fingerprint)
-        return sorted(known.replicas) if known is not None else []
+        """Return the sorted replicas that crashed while a request ran there."""
+        entry = self._requests.get(fingerprint)
+        return sorted(entry.replicas) if entry is not None else []
 
     def state(self, fingerprint):
         """Return the ``State`` of a request."""
-        if fingerprint not in self._known:
+        if fingerprint not in self._requests:
             return State.CLEAR
-        if self._blamed is None:
-            self._blamed = self._found_to_blame()
-        if fingerprint in self._blamed:
+        if self._quarantined is None:
+            self._quarantined = self._find_quarantined()
+        if fingerprint in self._quarantined:
             return State.QUARANTINED
-        unexplained = self._unexplained(fingerprint, self._blamed)
-        return State.SUSPECT if len(unexplained) >= FEW else State.CLEAR
-
-    def crashed(self, fingerprint, replica):
-        """Take a crash of a replica at which a request ran; say whether it is new."""
-        known = self._known.setdefault(fingerprint, _Known())
-        self._known.move_to_end(fingerprint)
-        known.renew()
-        if replica in known.replicas:
+        unexplained = self._unexplained_crashes(fingerprint, self._quarantined)
+        return State.SUSPECT if len(unexplained) >= SUSPECT_THRESHOLD else State.CLEAR
+
+    def add_crash(self, fingerprint, replica):
+        """Add a crash of a replica where a request ran; return whether it is new."""
+        entry = self._requests.setdefault(fingerprint, _CrashedRequest())
+        self._requests.move_to_end(fingerprint)
+        entry.renew()
+        if replica in entry.replicas:
             return False
-        known.replicas.add(replica)
-        self._ran_at.setdefault(replica, set()).add(fingerprint)
-        self._blamed = None
-        while len(self._known) > MOST_REQUESTS:
-            self.forget(next(iter(self._known)))
+        entry.replicas.add(replica)
+        self._requests_by_replica.setdefault(replica, set()).add(fingerprint)
+        self._quarantined = None
+        while len(self._requests) > MAX_REQUESTS:
+            self.forget(next(iter(self._requests)))
         return True
 
-    def withdrawn(self, fingerprint, replica):
-        """Forget one crash of a request."""
-        known = self._known.get(fingerprint)
-        if known is None or replica not in known.replicas:
+    def remove_crash(self, fingerprint, replica):
+        """Remove one crash of a request."""
+        entry = self._requests.get(fingerprint)
+        if entry is None or replica not in entry.replicas:
             return
-        known.replicas.discard(replica)
-        ran = self._ran_at[replica]
-        ran.discard(fingerprint)
-        if not ran:
-            del self._ran_at[replica]
-        if not known.replicas:
-            del self._known[fingerprint]
-        self._blamed = None
+        entry.replicas.discard(replica)
+        fingerprints = self._requests_by_replica[replica]
+        fingerprints.discard(fingerprint)
+        if not fingerprints:
+            del self._requests_by_replica[replica]
+        if not entry.replicas:
+            del self._requests[fingerprint]
+        self._quarantined = None
 
     def forget(self, fingerprint):
-        """Forget all crashes of a request."""
+        """Remove all crashes of a request."""
         for replica in self.replicas(fingerprint):
-            self.withdrawn(fingerprint, replica)
+            self.remove_crash(fingerprint, replica)
 
-    def came(self, fingerprint):
-        """Remember a request that came for longer; say whether to tell others."""
-        known = self._known[fingerprint]
-        is_due = passed(known.renew_at)
-        known.expires_at = deadline_in(KEEP_FOR)
+    def record_arrival(self, fingerprint):
+        """Extend a request's retention; return whether to notify other instances."""
+        entry = self._requests[fingerprint]
+        is_due = passed(entry.renew_at)
+        entry.expires_at = deadline_in(RETENTION_PERIOD)
         if is_due:
-            known.renew()
+            entry.renew()
         return is_due
 
     def expired(self):
-        """Return the fingerprints that need not be remembered any more."""
-        return [key for key, known in self._known.items() if passed(known.expires_at)]
+        """Return the fingerprints whose retention has ended."""
+        return [
+            key for key, entry in self._requests.items() if passed(entry.expires_at)
+        ]
+
+    def _find_quarantined(self):
+        """Return the requests to quarantine.
 
-    def _found_to_blame(self):
-        """Return the requests to blame, the worst first: it explains its crashes."""
+        Those with the most crashes are decided first, since they explain crashes of
+        others.
+        """
         worst_first = sorted(
-            (key for key in self._known if self._count(key) >= CERTAIN),
-            key=self._count,
+            (
+                key
+                for key in self._requests
+                if self._crash_count(key) >= QUARANTINE_THRESHOLD
+            ),
+            key=self._crash_count,
             reverse=True,
         )
-        blamed = set()
-        for _, equals in groupby(worst_first, self._count):
-            blamed.update([one for one in equals if self._is_to_blame(one, blamed)])
-        return blamed
-
-    def _is_to_blame(self, fingerprint, blamed):
-        unexplained = self._unexplained(fingerprint, blamed)
-        count = self._count(fingerprint)
+        quarantined = set()
+        for _, candidates in groupby(worst_first, self._crash_count):
+            quarantined.update(
+                [key for key in candidates if self._is_to_quarantine(key, quarantined)]
+            )
+        return quarantined
+
+    def _is_to_quarantine(self, fingerprint, quarantined):
+        unexplained = self._unexplained_crashes(fingerprint, quarantined)
+        count = self._crash_count(fingerprint)
         is_worst = any(
             all(
-                self._count(other) < count
-                for other in self._ran_at[replica] - {fingerprint}
+                self._crash_count(other) < count
+                for other in self._requests_by_replica[replica] - {fingerprint}
             )
             for replica in unexplained
         )
-        return len(unexplained) >= (CERTAIN if is_worst else ANYWAY)
-
-    def _unexplained(self, fingerprint, blamed):
-        """Return the crashes of a request at which no other ran that is to blame."""
-        others = blamed - {fingerprint}
-        replicas = self._known[fingerprint].replicas
-        return [one for one in replicas if others.isdisjoint(self._ran_at[one])]
+        return len(unexplained) >= (
+            QUARANTINE_THRESHOLD if is_worst else UNCONDITIONAL_THRESHOLD
+        )
 
-    def _count(self, fingerprint):
-        return len(self._known[fingerprint].replicas)
+    def _unexplained_crashes(self, fingerprint, quarantined):
+        """Return the crashes of a request where no other quarantined request ran."""
+        others = quarantined - {fingerprint}
+        replicas = self._requests[fingerprint].replicas
+        return [
+            replica
+            for replica in replicas
+            if others.isdisjoint(self._requests_by_replica[replica])
+        ]
+
+    def _crash_count(self, fingerprint):
+        return len(self._requests[fingerprint].replicas)
--- a/sassafrasdoor/requests/handlers.py
+++ b/sassafrasdoor/requests/handlers.py
@@ -1,4 +1,4 @@
-"""Callers' HTTP of requests: ``/v1/call`` and ``/v1/generate``."""
+"""HTTP handlers of requests: ``/v1/call`` and ``/v1/generate``."""
 
 import asyncio
 import contextlib
@@ -19,22 +19,22 @@
     chunk_document,
     finished_document,
 )
-from sassafrasdoor.requests.streams import Generate
+from sassafrasdoor.requests.streams import GenerateRequest
 
 __all__ = ["RequestsService", "handlers"]
 
-# So much of a body that is too large is read and thrown away, so that its
-# sender gets to read the refusal.
-DISCARDED_BODIES = 16
+# Multiple of the body limit that is read and discarded, so that the sender of a body
+# that is too large gets to read the refusal.
+DISCARD_LIMIT_FACTOR = 16
 
 OUTCOMES = metrics.counter("sassafrasdoor_outcomes_total", "Outcomes by their name.")
-LEFT = metrics.counter(
+DISCONNECTS = metrics.counter(
     "sassafrasdoor_callers_left_total", "Callers gone before their answer."
 )
 
 
 def handlers(requests):
-    """Return the handlers of requests for the application."""
+    """Return the Tornado routes of requests."""
     parts = {"requests": requests}
     return [
         (r"/v1/call/([A-Za-z0-9_.-]+)(/.*)?", CallHandler, parts),
@@ -44,18 +44,18 @@
 
 @tornado.web.stream_request_body
 class RowHandler(tornado.web.RequestHandler):
-    """A call of one row: authorised and bounded before its body is read."""
+    """A request of one row, authorised and limited in size before its body is read."""
 
     def initialize(self, requests):
         self._requests = requests
         self._row = None
         self._body = bytearray()
-        self._work = None
+        self._task = None
 
     def prepare(self):
-        """Check the key and the length."""
+        """Authorise the request and check its length."""
         limit = self._requests.settings.requests.body_limit
-        self.request.connection.set_max_body_size(limit * DISCARDED_BODIES)
+        self.request.connection.set_max_body_size(limit * DISCARD_LIMIT_FACTOR)
         self._row = self.application.settings["authorize"](self, self.path_args[0])
         if self._row is None:
             return
@@ -69,10 +69,10 @@
             self._body += chunk
 
     def on_connection_close(self):
-        """End the work of a caller who left: it would take capacity for nobody."""
-        LEFT.inc({})
-        if self._work is not None:
-            self._work.cancel()
+        """Cancel the work of a caller who disconnected, to free its capacity."""
+        DISCONNECTS.inc({})
+        if self._task is not None:
+            self._task.cancel()
 
     def write_error(self, status_code, **kwargs):
         """Answer a failure without a traceback."""
@@ -80,26 +80,26 @@
         self._refuse(status_code, name, self._reason)
 
     async def serve(self, *_):
-        """Run the request; ``_work`` ends with the connection."""
+        """Run the request; ``_task`` is cancelled when the connection closes."""
         if len(self._body) > self._requests.settings.requests.body_limit:
             self._refuse_body()
             return
-        self._work = asyncio.ensure_future(self._run())
+        self._task = asyncio.ensure_future(self._run())
         with contextlib.suppress(asyncio.CancelledError, StreamClosedError):
-            with self._requests.progress():
-                await self._work
+            with self._requests.track_progress():
+                await self._task
 
     async def _run(self):
         raise NotImplementedError
 
     @singledispatchmethod
     async def reply(self, outcome):
-        """Send an outcome that is whole."""
-        raise TypeError(f"no outcome: {outcome!r}")
+        """Send a complete outcome."""
+        raise TypeError(f"unsupported outcome: {outcome!r}")
 
     @reply.register
     async def _(self, outcome: Answer):
-        self._say(outcome.status, messages.ANSWERED)
+        self._set_outcome(outcome.status, messages.ANSWERED)
         self.clear_header("Content-Type")
         for name, value in reading.returned_headers(outcome.headers):
             self.add_header(name, value)
@@ -129,11 +129,11 @@
         self._refuse(413, messages.REJECTED, f"the body is longer than {limit} bytes")
 
     def _refuse(self, status, name, reason, findings=()):
-        self._say(status, name)
+        self._set_outcome(status, name)
         listed = [finding.as_dict() for finding in findings]
         self.finish({"outcome": name, "reason": reason, "findings": listed})
 
-    def _say(self, status, name):
+    def _set_outcome(self, status, name):
         OUTCOMES.inc({"outcome": name})
         self.set_status(status)
         self.set_header("X-Outcome", name)
@@ -141,7 +141,7 @@
 
 
 class CallHandler(RowHandler):
-    """``ANY /v1/call/{row}/{path}``: passed through to a plain service."""
+    """``ANY /v1/call/{row}/{path}``: proxies a call to a plain service."""
 
     async def _run(self):
         http = self.request
@@ -161,7 +161,7 @@
 
 
 class GenerateHandler(RowHandler):
-    """``POST /v1/generate/{row}``: whole, or streamed as NDJSON."""
+    """``POST /v1/generate/{row}``: answers in one piece, or as an NDJSON stream."""
 
     post = RowHandler.serve
 
@@ -183,11 +183,11 @@
             request = Rejected("the row names no model", [finding])
         if not request:
             await self.reply(request)
-        elif body.stream and not request.once:
+        elif body.stream and not request.is_deduplicated:
             await self._stream(request, body)
         else:
-            # A keyed answer is kept, so that asking again gives the same one;
-            # it is sent once it is whole.
+            # The answer of a keyed request is kept for repeats and therefore sent only
+            # once it is complete.
             await self.reply(await self._requests.run(self._row, request))
 
     async def _stream(self, request, body):
@@ -195,48 +195,48 @@
         if refusal is not None:
             await self.reply(refusal)
             return
-        generate = Generate(
+        generate_request = GenerateRequest(
             request.request_id,
             body.prompt,
             body.max_tokens,
             repeatable=request.repeatable,
             restartable=False,
         )
-        items = self._requests.generate(self._row, generate, request.deadline)
+        items = self._requests.generate(self._row, generate_request, request.deadline)
         async with contextlib.aclosing(items):
-            await self._send(items)
+            await self._send_items(items)
 
-    async def _send(self, items):
+    async def _send_items(self, items):
         started = False
         async for item in items:
             if isinstance(item, Chunk):
-                started = started or self._start()
-                self._line(chunk_document(item))
+                started = started or self._start_stream()
+                self._write_line(chunk_document(item))
                 await self.flush()
             elif isinstance(item, Finished):
-                started = started or self._start()
-                self._line(finished_document(item))
+                started = started or self._start_stream()
+                self._write_line(finished_document(item))
                 OUTCOMES.inc({"outcome": messages.ANSWERED})
                 await self.finish()
             elif isinstance(item, NotRun | Unknown):
-                await (self._cut(item) if started else self.reply(item))
+                await (self._abort_stream(item) if started else self.reply(item))
 
-    def _start(self):
+    def _start_stream(self):
         self.set_header("Content-Type", "application/x-ndjson")
         self.set_header("X-Table-Revision", str(self._requests.view.revision))
         return True
 
-    def _line(self, document):
+    def _write_line(self, document):
         self.write(json.dumps(document) + "\n")
 
-    async def _cut(self, outcome):
-        """End a streamed answer that is not whole.
+    async def _abort_stream(self, outcome):
+        """Abort an incomplete streamed answer.
 
-        Ended as usual it would look whole to a caller who does not look for the
-        last line. So a line says what happened, and the connection is closed
-        without the end of the chunked body: every client reports that.
+        With a regular end it would look complete to a caller that does not check the
+        last line. So the outcome is written as a line, and the connection is closed
+        without the end of the chunked body, which every client reports as an error.
         """
         OUTCOMES.inc({"outcome": messages.UNKNOWN})
-        self._line({"outcome": messages.UNKNOWN, "reason": outcome.reason})
+        self._write_line({"outcome": messages.UNKNOWN, "reason": outcome.reason})
         await self.flush()
         self.detach().close()
--- a/sassafrasdoor/requests/peer.py
+++ b/sassafrasdoor/requests/peer.py
@@ -1,4 +1,4 @@
-"""Forwarding of keyed requests to the one process that may run them."""
+"""Forwards keyed requests to the one process that may run them."""
 
 import pathlib
 
@@ -15,8 +15,7 @@
 
 SCHEMA = capnp.load(str(pathlib.Path(__file__).with_name("peer.capnp")))
 CONNECT_TIMEOUT = 2.0
-# The answer of a run that ends just at its deadline must still come through.
-REPLY_SLACK = 0.5
+REPLY_MARGIN = 0.5  # seconds beyond the deadline for the reply of a run that ends at it
 
 FORWARDED = metrics.counter(
     "sassafrasdoor_forwarded_total", "Keyed requests forwarded to their owner."
@@ -24,7 +23,7 @@
 
 
 class _Capability(SCHEMA.Requests.Server):
-    """What peers may ask of this entry process."""
+    """The RPC interface that this entry process offers to its peers."""
 
     def __init__(self, requests):
         self._requests = requests
@@ -42,21 +41,21 @@
 
 
 async def forward(settings, address, incarnation, row, request):
-    """Have the process of that incarnation run a keyed request.
+    """Forward a keyed request to the process of that incarnation.
 
-    Each uses a connection of its own: on a shared one a slow run would close
-    the connection under all the others. Whatever fails is ``Unknown``, for the
-    key may have run there at an earlier asking.
+    Each request uses its own connection, because a slow run would close a shared one
+    for all the others. Failures are ``Unknown``, since the key may have run there
+    earlier.
     """
     FORWARDED.inc({})
     link = PeerLink(settings, address, SCHEMA.Requests)
     try:
-        failed = await link.open(min(CONNECT_TIMEOUT, remaining(request.deadline)))
-        if failed is not None:
-            return Unknown(f"the key's owner does not answer: {failed.reason}")
+        failure = await link.open(min(CONNECT_TIMEOUT, remaining(request.deadline)))
+        if failure is not None:
+            return Unknown(f"the key's owner does not answer: {failure.reason}")
         reply = await link.call(
             "run",
-            timeout=remaining(request.deadline) + REPLY_SLACK,
+            timeout=remaining(request.deadline) + REPLY_MARGIN,
             request=request_message(incarnation, row, request),
         )
         if not reply:
@@ -67,7 +66,7 @@
 
 
 def request_message(incarnation, row, request):
-    """Return the mapping of a request; its deadline as the time left."""
+    """Return a request as a message, with its deadline as the remaining time."""
     return {
         "incarnation": incarnation,
         "row": row.name,
@@ -82,7 +81,7 @@
 
 
 def request_from(message):
-    """Return the ``Request`` in a message; only keyed ones are forwarded."""
+    """Return the ``Request`` in a message, which is always a keyed one."""
     return Request(
         message.method,
         message.path,
@@ -91,13 +90,13 @@
         key=message.key,
         kind=message.kind,
         repeatable=False,
-        request_id=messages.identity(message.row, message.key),
+        request_id=messages.keyed_request_id(message.row, message.key),
         deadline=deadline_in(message.remainingMs / 1000),
     )
 
 
 def outcome_message(outcome):
-    """Return the mapping of an outcome."""
+    """Return an outcome as a message."""
     message = {"name": messages.outcome_name(outcome)}
     if isinstance(outcome, Answer):
         message.update(status=outcome.status, body=outcome.body)
@@ -133,8 +132,8 @@
     return [{"name": name, "value": value} for name, value in pairs]
 
 
-def _headers_from(listed):
+def _headers_from(entries):
     headers = HTTPHeaders()
-    for header in listed:
+    for header in entries:
         headers.add(header.name, header.value)
     return headers
--- a/sassafrasdoor/requests/reading.py
+++ b/sassafrasdoor/requests/reading.py
@@ -1,4 +1,4 @@
-"""Reading of a caller's request: headers, deadline, body; findings in one go."""
+"""Parses and validates the headers, deadline and body of callers' requests."""
 
 import uuid
 
@@ -8,16 +8,16 @@
 from sassafrasdoor.headers import ONE_HOP
 from sassafrasdoor.outcomes import Finding, Rejected, findings_of
 from sassafrasdoor.requests import messages
-from sassafrasdoor.requests.messages import Request, identity
+from sassafrasdoor.requests.messages import Request, keyed_request_id
 
 MAX_KEY_LENGTH = 256
 MAX_DEADLINE_DIGITS = 12
 MAX_TOKENS = 1_000_000
 REPEATABLE = {"": True, "yes": True, "no": False}
 
-# Headers that speak of one connection, or to us, are not for backend servers.
+# Headers of one connection or addressed to this service, not sent to backend servers.
 NOT_FORWARDED = ONE_HOP | {"authorization", "x-deadline-ms", "x-repeatable"}
-# Of an answer, the length and these are set anew by our own server.
+# Headers of an answer that this HTTP server sets itself.
 NOT_RETURNED = NOT_FORWARDED | {"date", "server"}
 
 
@@ -46,8 +46,8 @@
     key = http.headers.get("Idempotency-Key", "")
     if len(key) > MAX_KEY_LENGTH or not key.isascii():
         findings.append(Finding("Idempotency-Key", "too long, or not ASCII"))
-    word = http.headers.get("X-Repeatable", "").lower()
-    if word not in REPEATABLE:
+    repeatable_text = http.headers.get("X-Repeatable", "").lower()
+    if repeatable_text not in REPEATABLE:
         findings.append(Finding("X-Repeatable", "neither yes nor no"))
     if findings:
         return Rejected("the headers are invalid", findings)
@@ -56,22 +56,22 @@
         headers=_forwarded(http.headers),
         body=body,
         key=key,
-        # What the operators call not repeatable no caller can make repeatable.
-        repeatable=row.repeatable and REPEATABLE[word],
-        request_id=identity(row.name, key) if key else f"r-{uuid.uuid4().hex}",
+        # A caller cannot make requests of a non-repeatable row repeatable.
+        repeatable=row.repeatable and REPEATABLE[repeatable_text],
+        request_id=keyed_request_id(row.name, key) if key else f"r-{uuid.uuid4().hex}",
         deadline=deadline,
         **fields,
     )
 
 
 def returned_headers(headers):
-    """Return the headers of a backend server's answer that callers get, as pairs."""
+    """Return the header pairs of a backend server's answer to send to the caller."""
     pairs = messages.header_pairs(headers)
     return [pair for pair in pairs if pair[0].lower() not in NOT_RETURNED]
 
 
 def _deadline(settings, text, findings):
-    """Return the deadline; one beyond the life of keys would outlive their record."""
+    """Return the deadline, limited so that no run outlives the record of its key."""
     requests = settings.requests
     if not text:
         return deadline_in(requests.default_deadline)
@@ -82,7 +82,7 @@
 
 
 def _forwarded(headers):
-    named = {one.strip().lower() for one in headers.get("Connection", "").split(",")}
+    named = {name.strip().lower() for name in headers.get("Connection", "").split(",")}
     dropped = NOT_FORWARDED | named
     return {
         name: value for name, value in headers.items() if name.lower() not in dropped
--- a/sassafrasdoor/requests/service.py
+++ b/sassafrasdoor/requests/service.py
@@ -1,4 +1,4 @@
-"""Everything that requests need in an entry process, put together."""
+"""The requests service of an entry process."""
 
 import contextlib
 import json
@@ -8,11 +8,11 @@
 from sassafrasdoor.clock import passed
 from sassafrasdoor.outcomes import NotRun, Unknown
 from sassafrasdoor.requests import messages, peer
-from sassafrasdoor.requests.calls import Calls
+from sassafrasdoor.requests.calls import CallRunner
 from sassafrasdoor.requests.claims import Claims
 from sassafrasdoor.requests.executions import Executions
 from sassafrasdoor.requests.issued import Issuer, parse
-from sassafrasdoor.requests.streams import Generate, Restart, Streams
+from sassafrasdoor.requests.streams import GenerateRequest, Restart, StreamRunner
 from sassafrasdoor.view import State
 
 REFUSING_RETRY_AFTER = 0.5
@@ -20,7 +20,7 @@
 
 
 class RequestsService:
-    """Runs applications' requests and keeps the keys of those that run once."""
+    """Runs requests of callers and keeps the outcomes of keyed ones."""
 
     __slots__ = (
         "_admission",
@@ -39,12 +39,12 @@
         self, settings, view_getter, admission, chooser, engine, service, log=None
     ):
         budget = RetryBudget(settings)
-        work = (settings, view_getter, admission, chooser)
+        shared = (settings, view_getter, admission, chooser)
         self.settings = settings
         self._view_getter = view_getter
         self._admission = admission
-        self._calls = Calls(*work, service, budget)
-        self._streams = Streams(*work, engine, budget)
+        self._calls = CallRunner(*shared, service, budget)
+        self._streams = StreamRunner(*shared, engine, budget)
         self._issuer = Issuer(settings)
         self._claims = Claims(settings, log, self._issuer.incarnation) if log else None
         self._executions = Executions(settings)
@@ -53,19 +53,19 @@
 
     @property
     def view(self):
-        """The newest view."""
+        """The current view."""
         return self._view_getter()
 
     def key_prefix(self):
-        """Return the prefix for keys that this process alone will run.
+        """Return a prefix for keys that only this process runs.
 
-        Empty from the moment it announces that it leaves. A key issued then may
-        reach another instance after this one has ended, and would be answered
-        unknown although it never ran.
+        Empty once this instance has announced that it is leaving. A key issued after
+        that could reach another instance after this one has ended, which would answer
+        unknown although the key never ran.
         """
-        return "" if self._refusing or self._leaving() else self._issuer.prefix()
+        return "" if self._refusing or self._is_leaving() else self._issuer.prefix()
 
-    def _leaving(self):
+    def _is_leaving(self):
         name = self.settings.instance.name
         return any(
             member.name == name and member.state is State.LEAVING
@@ -73,15 +73,15 @@
         )
 
     def refuse_new(self):
-        """Take no new request from now on; those in progress go on."""
+        """Refuse new requests; those in progress continue."""
         self._refusing = True
 
     def in_progress(self):
-        """Return how many requests are not finished yet."""
+        """Return the number of requests in progress."""
         return self._in_progress
 
     def status(self):
-        """Return the state of requests, JSON-ready."""
+        """Return the status of requests as a JSON-ready mapping."""
         return {
             "in_progress": self._in_progress,
             "refusing": self._refusing,
@@ -90,8 +90,8 @@
         }
 
     @contextlib.contextmanager
-    def progress(self):
-        """Count one request in progress, up to its last byte to the caller."""
+    def track_progress(self):
+        """Count a request as in progress while the context is open."""
         self._in_progress += 1
         try:
             yield
@@ -99,7 +99,7 @@
             self._in_progress -= 1
 
     def refusal(self, request):
-        """Return ``NotRun`` if the request cannot be taken, else None."""
+        """Return ``NotRun`` if the request cannot be accepted, else None."""
         if self._refusing:
             return NotRun("this instance is leaving", REFUSING_RETRY_AFTER)
         if passed(request.deadline):
@@ -107,11 +107,11 @@
         return None
 
     async def run(self, row, request):
-        """Return the outcome of a request whose answer is whole or nothing."""
+        """Run a request that is not streamed and return its outcome."""
         refusal = self.refusal(request)
         if refusal is not None:
             return refusal
-        if not request.once:
+        if not request.is_deduplicated:
             return await self._run_here(row, request)
         issued = parse(request.key)
         if issued is None:
@@ -126,52 +126,54 @@
         if incarnation != self._issuer.incarnation or row is None:
             return Unknown("the key's owner is gone")
         issued = parse(request.key)
-        with self.progress():
+        with self.track_progress():
             if issued is not None:
                 return await self._run_issued(row, request, issued)
-            if self._claims and self._claims.owned(row_name, request.key):
-                return await self._once(row, request)
+            if self._claims and self._claims.owns_key(row_name, request.key):
+                return await self._run_once(row, request)
             return Unknown("the key was not claimed here")
 
-    async def generate(self, row, generate, deadline):
+    async def generate(self, row, request, deadline):
         """Yield the items of ``Streams.run`` for a streamed answer."""
         async with contextlib.aclosing(
-            self._streams.run(row, generate, deadline)
+            self._streams.run(row, request, deadline)
         ) as items:
             async for item in items:
                 yield item
 
     async def _run_issued(self, row, request, issued):
-        if self._issuer.lapsed(issued):
+        if self._issuer.has_lapsed(issued):
             return Unknown("the key has lapsed; whether it ran is not kept")
-        return await self._once(row, request)
+        return await self._run_once(row, request)
 
     async def _run_claimed(self, row, request):
         if (row.name, request.key) in self._executions:
-            return await self._once(row, request)
+            return await self._run_once(row, request)
         if self._claims is None:
             return NotRun("caller-chosen keys are not taken here", REFUSING_RETRY_AFTER)
         owner = await self._claims.claim(row.name, request.key, request.deadline)
         if isinstance(owner, NotRun):
             return owner
         if self._claims.owns(owner):
-            return await self._once(row, request)
+            return await self._run_once(row, request)
         return await self._forward(owner, row, request)
 
-    async def _once(self, row, request):
-        return await self._executions.once(
-            (row.name, request.key), request, lambda: self._counted(row, request)
+    async def _run_once(self, row, request):
+        return await self._executions.run_once(
+            (row.name, request.key), request, lambda: self._run_counted(row, request)
         )
 
-    async def _counted(self, row, request):
-        # Its caller may have left: a planned stop must wait for it all the same.
-        with self.progress():
+    async def _run_counted(self, row, request):
+        # A planned stop waits for the run even if its caller has disconnected.
+        with self.track_progress():
             return await self._run_here(row, request)
 
     async def _forward(self, owner, row, request):
-        """Have the key's owner (an ``IssuedKey`` or ``Owner``) run the request."""
+        """Forward the request to the key's owner (an ``IssuedKey`` or ``Owner``)."""
         members = self.view.members
-        member = next((one for one in members if one.name == owner.instance), None)
+        member = next(
+            (member for member in members if member.name == owner.instance), None
+        )
         if member is None or not member.peer_address:
             return Unknown("the key's owner is gone")
         return await peer.forward(
@@ -186,7 +188,7 @@
 
     async def _run_generate(self, row, request):
         document = json.loads(request.body)
-        generate = Generate(
+        generate_request = GenerateRequest(
             request.request_id,
             document["prompt"],
             document["max_tokens"],
@@ -195,7 +197,7 @@
         )
         chunks, last = [], None
         async with contextlib.aclosing(
-            self.generate(row, generate, request.deadline)
+            self.generate(row, generate_request, request.deadline)
         ) as items:
             async for last in items:
                 if isinstance(last, Chunk):
@@ -204,13 +206,13 @@
                     chunks.clear()
         if not isinstance(last, Finished):
             return last
-        return _whole_answer(chunks, last, document["stream"])
+        return _complete_answer(chunks, last, document["stream"])
 
     _RUNNERS = {messages.CALL: _run_call, messages.GENERATE: _run_generate}
 
 
 def chunk_document(chunk):
-    """Return a chunk as callers get it."""
+    """Return a chunk as a JSON-ready line of a streamed answer."""
     return {
         "offset": chunk.offset,
         "text": chunk.text,
@@ -220,12 +222,12 @@
 
 
 def finished_document(finished):
-    """Return the last line of a streamed answer."""
+    """Return the last line of a streamed answer, JSON-ready."""
     spans = [span.as_list() for span in finished.spans]
     return {"done": True, "length": finished.length, "spans": spans}
 
 
-def _whole_answer(chunks, finished, streamed):
+def _complete_answer(chunks, finished, streamed):
     if streamed:
         lines = [chunk_document(chunk) for chunk in chunks]
         lines.append(finished_document(finished))
--- a/sassafrasdoor/requests/streaming.py
+++ b/sassafrasdoor/requests/streaming.py
@@ -1,8 +1,8 @@
-"""Callers' streams: events passed on as they come, and gone on with elsewhere.
+"""Relays streams from replicas to callers and resumes them at other replicas.
 
-Only whole events are passed on, so that another replica can go on after the last of
-them. A stream that cannot be gone on with is cut without its end: the caller must not
-take a part for the whole.
+Only complete events are relayed, so that another replica can resume after the last one.
+A stream that cannot be resumed is aborted without its regular end, so that the caller
+does not take a part for the whole.
 """
 
 import asyncio
@@ -15,141 +15,141 @@
 from sassafrasdoor.requests.crash_watch import CrashWatch, Quarantined
 from sassafrasdoor.table.routes import Repeat
 
-LONGEST_SILENCE = 1.5
-"""Seconds without an event after which a resumable stream goes on elsewhere: ten times
-the usual pause of 150 ms, and sooner than callers give up (2 s)."""
+# Seconds without an event before a resumable stream moves to another replica: ten times
+# the typical interval of 150 ms, and below the 2 s after which callers give up.
+SILENCE_TIMEOUT = 1.5
 
 STREAMS = counter("direct_streams_total", "Callers' streams, by outcome.")
 
 
 class StreamCaller(ABC):
-    """Who a stream is passed on to."""
+    """The receiving end of a stream: the caller's connection."""
 
     @abstractmethod
     async def begin(self, headers):
-        """Send the head, of status 200; ``headers`` are pairs."""
+        """Send status 200 and the headers, a list of pairs."""
 
     @abstractmethod
-    async def pass_on(self, block):
-        """Send a whole event; returns when there is room for more."""
+    async def send_event(self, block):
+        """Send a complete event; return when there is room for more."""
 
 
-class _Passing:
-    """What of a stream has been passed on; ``last`` is the last event's number."""
+class _StreamRelay:
+    """Relays one stream; ``last_event`` is the number of the last event sent."""
 
-    __slots__ = ("_caller", "_headers", "begun", "last", "timeout")
+    __slots__ = ("_caller", "_headers", "begun", "last_event", "timeout")
 
     def __init__(self, caller):
         self._caller = caller
         self._headers = None
         self.begun = False
-        self.last = None
+        self.last_event = None
         self.timeout = None
 
     def head(self, headers):
-        """Keep the head of the first replica that answers 200."""
+        """Keep the headers of the first replica that answers 200."""
         if not self.begun:
             self._headers = headers
 
     async def event(self, number, block):
-        """Pass an event on, after the head."""
-        # Time in which the caller does not read is no silence of the replica.
-        self.rest()
+        """Send an event, preceded by the headers if they are not sent yet."""
+        # The time that a slow caller needs does not count as silence of the replica.
+        self.stop_timeout()
         await self.begin()
-        await self._caller.pass_on(block)
+        await self._caller.send_event(block)
         if number is not None:
-            self.last = number
-        self.expect_more()
+            self.last_event = number
+        self.restart_timeout()
 
     async def begin(self):
-        """Send the head unless it is sent."""
+        """Send the headers if they are not sent yet."""
         if not self.begun:
             self.begun = True
             await self._caller.begin(self._headers)
 
-    def rest(self):
-        """Let no time limit run."""
+    def stop_timeout(self):
+        """Suspend the silence timeout."""
         if self.timeout is not None:
             self.timeout.reschedule(None)
 
-    def expect_more(self):
-        """Let the limit for silence run anew."""
+    def restart_timeout(self):
+        """Restart the silence timeout."""
         if self.timeout is not None:
-            at = asyncio.get_running_loop().time() + LONGEST_SILENCE
+            at = asyncio.get_running_loop().time() + SILENCE_TIMEOUT
             self.timeout.reschedule(at)
 
 
 class StreamService:
-    """Passes replicas' streams on to callers."""
+    """Relays streams from replicas to callers."""
 
-    __slots__ = ("_client", "_crashes", "_replicas")
+    __slots__ = ("_client", "_crash_watch", "_replicas")
 
-    def __init__(self, client, replicas, crashes=None):
+    def __init__(self, client, replicas, crash_watch=None):
         self._client = client
         self._replicas = replicas
-        self._crashes = crashes or CrashWatch(client, replicas)
+        self._crash_watch = crash_watch or CrashWatch(client, replicas)
 
     async def answer(self, request, caller):
-        """Pass a stream on; return True when it is whole.
+        """Relay a stream; return True when it is complete.
 
-        Else an ``Answer`` that is no stream, ``NotRun`` or ``Unknown``; the last may
-        also come after the ``StreamCaller`` was sent a part.
+        Otherwise return an ``Answer`` that is not a stream, ``NotRun``, or ``Unknown``,
+        which may also follow after a part was sent to the ``StreamCaller``.
         """
         attempts = Attempts(request)
-        passing = _Passing(caller)
+        relay = _StreamRelay(caller)
         try:
             async with asyncio.timeout_at(request.deadline):
-                result = await self._run(attempts, passing)
+                result = await self._run(attempts, relay)
         except TimeoutError:
-            result = attempts.out_of_time()
+            result = attempts.timeout_outcome()
         outcome = "whole" if result is True else type(result).__name__
         STREAMS.inc({"outcome": outcome})
         return result
 
-    async def _run(self, attempts, passing):
+    async def _run(self, attempts, relay):
         last = None
         while attempts.may_send:
-            refusal = self._crashes.refusal(attempts.request)
+            refusal = self._crash_watch.refusal(attempts.request)
             if refusal is not None:
                 last = refusal
                 break
             replica = self._replicas.choose(attempts.service, attempts.tried)
             if replica is None:
                 break
-            result = await self._attempt(attempts, passing, replica)
-            # Only now: at the deadline, what is running counts as perhaps run.
+            result = await self._attempt(attempts, relay, replica)
+            # Not earlier: a send that is running at the deadline may have run.
             attempts.running.clear()
             if result is True:
-                self._crashes.judged(attempts.request, replica, result)
+                self._crash_watch.record_result(attempts.request, replica, result)
                 replica.state.answered()
-                attempts.answered(200)
+                attempts.log_answer(200)
                 return True
-            last = attempts.judge(replica, result)
-            self._crashes.judged(attempts.request, replica, last)
+            last = attempts.record_outcome(replica, result)
+            self._crash_watch.record_result(attempts.request, replica, last)
             if isinstance(last, Answer) and last.status < SERVER_ERROR:
                 break
-        if passing.begun:
+        if relay.begun:
             reason = getattr(last, "reason", "") or "no replica goes on"
             return attempts.give_up(Unknown(f"stream cut: {reason}"))
         if isinstance(last, Quarantined):
             return attempts.give_up(last)
-        return attempts.final(last)
+        return attempts.final_outcome(last)
 
-    async def _attempt(self, attempts, passing, replica):
-        call = attempts.sending(replica, "resumed" if passing.begun else "first")
-        call.after = passing.last
+    async def _attempt(self, attempts, relay, replica):
+        call = attempts.begin_send(replica, "resumed" if relay.begun else "first")
+        call.after = relay.last_event
         resumable = attempts.request.route.repeat is Repeat.RESUME
-        silence = LONGEST_SILENCE if resumable else None
+        silence = SILENCE_TIMEOUT if resumable else None
         attempts.running[asyncio.current_task()] = replica
         replica.state.started()
         try:
             async with asyncio.timeout(silence) as timeout:
-                passing.timeout = timeout if resumable else None
-                result = await self._client.stream(replica, call, passing)
+                relay.timeout = timeout if resumable else None
+                result = await self._client.stream(replica, call, relay)
                 if result is True:
-                    # A stream may be whole without any event.
-                    passing.rest()
-                    await passing.begin()
+                    # A stream may be complete without any event.
+                    relay.stop_timeout()
+                    await relay.begin()
                 return result
         except TimeoutError:
             return Broken("stream went silent", began=True)
--- a/sassafrasdoor/requests/streams.py
+++ b/sassafrasdoor/requests/streams.py
@@ -1,4 +1,4 @@
-"""Streams from model engines: resumed where they broke, never quietly cut."""
+"""Streams from model engines: resumed where they broke, never truncated silently."""
 
 import asyncio
 import contextlib
@@ -14,11 +14,11 @@
 from sassafrasdoor.clock import passed
 from sassafrasdoor.events import EVENTS
 from sassafrasdoor.outcomes import NotRun, Unavailable, Unknown
-from sassafrasdoor.requests.messages import graver
+from sassafrasdoor.requests.messages import combine_outcomes
 
 MAX_TRIES = 3
 MAX_RESUMES = 5
-CANCEL_PAUSES = (0.0, 1.0)
+CANCEL_DELAYS = (0.0, 1.0)
 RESUME_DELAY = 0.1
 RETRY_AFTER = 1.0
 
@@ -28,8 +28,8 @@
 )
 
 
-class Generate:
-    """What a caller asks an engine to write."""
+class GenerateRequest:
+    """The text generation that a caller requests from an engine."""
 
     __slots__ = ("max_tokens", "prompt", "repeatable", "restartable", "stream")
 
@@ -38,13 +38,13 @@
         self.prompt = prompt
         self.max_tokens = max_tokens
         self.repeatable = repeatable
-        # Whether what was received so far may still be thrown away: true as
-        # long as no part of it goes to the caller before the whole is there.
+        # Whether received chunks may be discarded. True if the caller gets nothing
+        # before the stream is complete.
         self.restartable = restartable
 
 
-class Streams:
-    """Runs streams of applications on model engines."""
+class StreamRunner:
+    """Runs the streams of callers on model engines."""
 
     __slots__ = (
         "_admission",
@@ -65,11 +65,11 @@
         self._budget = budget
         self._cancels = set()
 
-    async def run(self, row, generate, deadline):
+    async def run(self, row, request, deadline):
         """Yield ``Chunk``s, then one ``Finished``, ``NotRun`` or ``Unknown``.
 
-        A ``Restart`` among them takes back all chunks before it. Closing the
-        iterator ends the stream at its engine.
+        A ``Restart`` invalidates all chunks before it. Closing the iterator cancels the
+        stream at its engine.
         """
         permit = await self._admission.admit(self._view_getter(), row, deadline)
         if not permit:
@@ -77,53 +77,53 @@
             return
         with permit:
             async with contextlib.aclosing(
-                self._tries(row, generate, deadline)
+                self._run_attempts(row, request, deadline)
             ) as items:
                 async for item in items:
                     yield item
 
-    async def _tries(self, row, generate, deadline):
+    async def _run_attempts(self, row, request, deadline):
         self._budget.deposit()
         tried, last = [], None
         while True:
-            backend = self._choose(row, generate, tried)
+            backend = self._choose(row, request, tried)
             if backend and passed(deadline):
                 backend = NotRun("deadline passed", RETRY_AFTER)
             if not backend:
-                yield graver(last, backend)
+                yield combine_outcomes(last, backend)
                 return
-            attempt = _Attempt(self, backend, row, generate, deadline)
+            attempt = _Attempt(self, backend, row, request, deadline)
             async with contextlib.aclosing(attempt.items()) as items:
                 async for item in items:
                     yield item
             tried.append(backend.name)
-            last = graver(last, attempt.outcome)
-            if last or not self._may_retry(last, attempt.offset, generate, tried):
+            last = combine_outcomes(last, attempt.outcome)
+            if last or not self._may_retry(last, attempt.offset, request, tried):
                 yield last
                 return
             yield Restart()
 
-    def _choose(self, row, generate, tried):
+    def _choose(self, row, request, tried):
         return self._chooser.choose(
             self._view_getter(),
             row.service,
             row.model,
-            affinity=prefix_key(generate.prompt),
+            affinity=prefix_key(request.prompt),
             exclude=tried,
         )
 
-    def _may_retry(self, last, offset, generate, tried):
-        allowed = isinstance(last, NotRun) or generate.repeatable
-        kept = offset > 0 and not generate.restartable
-        if not allowed or kept or len(tried) >= MAX_TRIES:
+    def _may_retry(self, last, offset, request, tried):
+        allowed = isinstance(last, NotRun) or request.repeatable
+        is_delivered = offset > 0 and not request.restartable
+        if not allowed or is_delivered or len(tried) >= MAX_TRIES:
             return False
         return self._budget.try_withdraw()
 
     def cancel(self, backend, stream):
-        """Have the engine end a stream, without waiting for it.
+        """Cancel a stream at its engine in the background.
 
-        Closing the connection is not enough: one that went silent is not seen
-        as closed by the engine, which would go on generating for nobody.
+        Closing the connection is not enough: the engine does not notice that a silent
+        connection was closed and would continue to generate.
         """
         CANCELS.inc({})
         task = asyncio.ensure_future(self._cancel(backend, stream))
@@ -131,14 +131,14 @@
         task.add_done_callback(self._cancels.discard)
 
     async def _cancel(self, backend, stream):
-        # Said again after a while: the first may be lost, or overtake an order
-        # that is still on its way, and the engine would then start the stream.
-        for pause in CANCEL_PAUSES:
-            await asyncio.sleep(pause)
+        # Sent twice: the first cancel may be lost, or may overtake the order of the
+        # stream, which the engine would then start.
+        for delay in CANCEL_DELAYS:
+            await asyncio.sleep(delay)
             await self._engine.cancel(backend, stream)
 
-    async def has(self, backend, stream):
-        """Say whether the engine still has the stream; ``Unavailable`` if unsure."""
+    async def has_stream(self, backend, stream):
+        """Return whether the engine still has the stream, or ``Unavailable``."""
         states = await self._engine.streams(backend, stream)
         if isinstance(states, Unavailable):
             return states
@@ -146,12 +146,12 @@
 
     @property
     def chooser(self):
-        """The chooser of this process."""
+        """The chooser of backend servers."""
         return self._chooser
 
     @property
     def engine(self):
-        """The engines' adapter."""
+        """The engine client."""
         return self._engine
 
     @property
@@ -161,56 +161,63 @@
 
 
 class Restart:
-    """All chunks so far are void: the stream runs anew from its start."""
+    """Invalidates all earlier chunks: the stream starts again from offset 0."""
 
     __slots__ = ()
 
 
 class _Attempt:
-    """One stream on one engine, resumed there as often as needed.
+    """One stream on one engine, resumed there up to ``MAX_RESUMES`` times.
 
-    ``outcome`` is ``Finished``, ``NotRun`` or ``Unknown`` once ``items`` ended.
+    ``outcome`` is ``Finished``, ``NotRun`` or ``Unknown`` once ``items`` has ended.
     """
 
-    __slots__ = ("_backend", "_began", "_deadline", "_generate", "_last", "_resumes")
+    __slots__ = (
+        "_backend",
+        "_began",
+        "_deadline",
+        "_last_item",
+        "_request",
+        "_resumes",
+    )
     __slots__ += ("_row", "_streams", "offset", "outcome")
 
-    def __init__(self, streams, backend, row, generate, deadline):
+    def __init__(self, streams, backend, row, request, deadline):
         self._streams = streams
         self._backend = backend
         self._row = row
-        self._generate = generate
+        self._request = request
         self._deadline = deadline
         self._began = False
-        self._last = None
+        self._last_item = None
         self._resumes = 0
         self.offset = 0
         self.outcome = None
 
     async def items(self):
-        """Yield the chunks, each token once."""
+        """Yield the chunks, with each token once."""
         chooser = self._streams.chooser
         chooser.started(self._backend)
         try:
             while self.outcome is None:
-                async with contextlib.aclosing(self._connection()) as chunks:
+                async with contextlib.aclosing(self._read_connection()) as chunks:
                     async for chunk in chunks:
                         yield chunk
         finally:
-            chooser.finished(self._backend, self._last)
-            if self._may_run_on():
-                self._streams.cancel(self._backend, self._generate.stream)
+            chooser.finished(self._backend, self._last_item)
+            if self._may_still_run():
+                self._streams.cancel(self._backend, self._request.stream)
 
-    def _may_run_on(self):
-        """Say whether the engine may go on with the stream for nobody.
+    def _may_still_run(self):
+        """Return whether the engine may continue the stream without a reader.
 
-        A caller may leave after the engine has begun and before its first chunk
-        is here. Going by chunks alone, such a stream was left to run to its end.
+        A caller may disconnect after the engine has started and before the first chunk
+        has arrived. Judged by chunks alone, such a stream would be left running.
         """
         return self.outcome is None or (self._began and not self.outcome)
 
-    async def _connection(self):
-        """Yield chunks from one connection and settle what comes after it."""
+    async def _read_connection(self):
+        """Yield the chunks of one connection and handle its end."""
         last = Broken("the stream ended without its last line")
         items = self._streams.engine.stream(self._backend, self._order())
         async with contextlib.aclosing(items):
@@ -224,15 +231,15 @@
                     break
                 self.offset += item.tokens
                 yield item
-        await self._settle(last)
+        await self._handle_end(last)
 
     def _order(self):
         requests = self._streams.settings.requests
         return StreamOrder(
-            self._generate.stream,
+            self._request.stream,
             self._row.model,
-            self._generate.prompt,
-            self._generate.max_tokens,
+            self._request.prompt,
+            self._request.max_tokens,
             priority=self._row.priority,
             offset=self.offset,
             first_byte_timeout=requests.first_byte_timeout,
@@ -240,13 +247,13 @@
             deadline=self._deadline,
         )
 
-    async def _settle(self, last):
-        self._last = last
+    async def _handle_end(self, last):
+        self._last_item = last
         if isinstance(last, Finished):
-            # A last line that tells another length than was received belongs to
-            # something else; passed on, the caller would hold a part as whole.
-            whole = last.length == self.offset
-            self.outcome = last if whole else Unknown("the stream is not whole")
+            # A length other than what was received is the end of another stream. The
+            # caller must not take the received part for complete.
+            is_complete = last.length == self.offset
+            self.outcome = last if is_complete else Unknown("the stream is not whole")
             return
         if isinstance(last, Broken):
             self._began = self._began or last.began
@@ -256,21 +263,23 @@
             self.outcome = Unknown(last.reason)
 
     async def _may_resume(self):
-        """Say whether the engine still has the stream, trying for a while.
+        """Return whether the engine still has the stream, retried while unavailable.
 
-        An engine that restarted would take the order as a new stream and run it
-        anew, with other text behind the part that was passed on already.
+        A restarted engine would treat the order as a new stream, and its different text
+        would follow the part that was already delivered.
         """
         while self._resumes < MAX_RESUMES and not passed(self._deadline):
             self._resumes += 1
-            found = await self._streams.has(self._backend, self._generate.stream)
-            if found is True:
+            is_held = await self._streams.has_stream(
+                self._backend, self._request.stream
+            )
+            if is_held is True:
                 RESUMES.inc({})
                 EVENTS.add(
                     "stream-resumed", row=self._row.name, backend=self._backend.name
                 )
                 return True
-            if found is False:
+            if is_held is False:
                 return False
             await asyncio.sleep(RESUME_DELAY * self._resumes)
         return False
--- a/sassafrasdoor/requests/tests/cases.py
+++ b/sassafrasdoor/requests/tests/cases.py
@@ -1,38 +1,40 @@
-"""A cluster of real processes for the tests of requests."""
+"""Base class for tests of requests in a cluster of real processes."""
 
 import unittest
 
 from sassafrasdoor.cluster import KEYS, Cluster
 from sassafrasdoor.support import until
 
-QUICK = {
+SHORT_TIMEOUTS = {
     "requests": {"first_byte_timeout": 1.5, "gap_timeout": 0.7},
     "admission": {"grant_duration": 1.5},
 }
-ASK = {"prompt": "how many spaces are free", "max_tokens": 40}
+GENERATE_BODY = {"prompt": "how many spaces are free", "max_tokens": 40}
 
 
 class ProcessCase(unittest.IsolatedAsyncioTestCase):
-    """A cluster for each test, with what all tests ask of it."""
+    """Starts a cluster for each test and sends requests to it."""
 
-    async def cluster(self, settings=QUICK, **counts):
-        """Start a cluster whose instances have slots to give."""
+    async def cluster(self, settings=SHORT_TIMEOUTS, **counts):
+        """Start a cluster and wait until all instances have slots."""
         cluster = await self.enterAsyncContext(Cluster(settings))
         await cluster.start(**counts)
         self.cluster = cluster
         for instance in cluster.instances:
             for row in ("idempotent", "chat"):
-                await until(lambda one=instance, row=row: self.served(one, row))
+                await until(
+                    lambda instance=instance, row=row: self.is_served(instance, row)
+                )
         return cluster
 
-    async def served(self, instance, row):
-        """Say whether an instance has slots for a row's service."""
+    async def is_served(self, instance, row):
+        """Return whether an instance has slots for a row's service."""
         if row == "chat":
             status, _ = await self.generate(instance)
             return status == 200
-        return (await self.ask(instance, "idempotent")).code == 200
+        return (await self.send_request(instance, "idempotent")).code == 200
 
-    async def ask(self, instance, row, key="", body=None, **headers):
+    async def send_request(self, instance, row, key="", body=None, **headers):
         """Call a row's service at one instance."""
         sent = {name.replace("_", "-"): value for name, value in headers.items()}
         if key:
@@ -43,22 +45,22 @@
         )
 
     async def generate(self, instance, headers=None, **fields):
-        """Have an engine write; return status and document."""
+        """Generate text; return status and document."""
         return await self.cluster.post(
             instance.address,
             "/v1/generate/chat",
-            {**ASK, **fields},
+            {**GENERATE_BODY, **fields},
             KEYS["chat"],
             headers,
         )
 
     async def prefix(self, instance):
-        """Return a prefix for keys that this instance alone runs."""
-        _, found = await self.cluster.get(instance.address, "/v1/addresses?row=once")
-        return found["key_prefix"]
+        """Return a prefix for keys that only this instance runs."""
+        _, answer = await self.cluster.get(instance.address, "/v1/addresses?row=once")
+        return answer["key_prefix"]
 
     async def runs(self, request_id):
-        """Return how often the services ran a request."""
+        """Return how many times the services ran a request."""
         total = 0
         for name in self.cluster.backends:
             truth = await self.cluster.truth(name)
@@ -71,14 +73,14 @@
             if name.startswith("service"):
                 await self.cluster.faults(name, **faults)
 
-    async def busy(self, name):
-        """Say whether a service runs something now, by its load report."""
+    async def running_calls(self, name):
+        """Return the number of running calls that a service reports."""
         address = self.cluster.backends[name].ready["address"]
         _, load = await self.cluster.get(address, "/load")
         return load["running"]
 
     async def slots(self, row, instances):
-        """Return what a row may use at some instances together."""
+        """Return the total slots of a row at the given instances."""
         total = 0
         for instance in instances:
             _, status = await self.cluster.get(instance.address, "/v1/status")
--- a/sassafrasdoor/requests/tests/test_calls.py
+++ b/sassafrasdoor/requests/tests/test_calls.py
@@ -1,4 +1,4 @@
-"""Calls to services: typed outcomes, and when a try may follow another."""
+"""Calls to services: outcomes and retries."""
 
 import asyncio
 import unittest
@@ -8,7 +8,7 @@
 from sassafrasdoor.backends.interface import Answer, Broken
 from sassafrasdoor.clock import deadline_in
 from sassafrasdoor.outcomes import NotRun, Unknown
-from sassafrasdoor.requests.calls import Calls
+from sassafrasdoor.requests.calls import CallRunner
 from sassafrasdoor.requests.messages import Request
 from sassafrasdoor.requests.tests.fakes import FakeService, settings, view
 from sassafrasdoor.routing.chooser import Chooser
@@ -20,30 +20,38 @@
 
 
 class CallsTest(unittest.IsolatedAsyncioTestCase):
-    def calls(self, service, seen, **sections):
-        """Return the runner of calls over a fake service."""
-        made = settings(**sections)
-        self.chooser = Chooser(made)
-        self.admission = Admission(made)
-        work = (made, lambda: seen, self.admission, self.chooser, service)
-        return Calls(*work, RetryBudget(made))
-
-    async def run_one(self, service, seen=None, within=10.0, **fields):
+    def calls(self, service, current_view, **sections):
+        """Return a ``CallRunner`` over a fake service."""
+        test_settings = settings(**sections)
+        self.chooser = Chooser(test_settings)
+        self.admission = Admission(test_settings)
+        shared = (
+            test_settings,
+            lambda: current_view,
+            self.admission,
+            self.chooser,
+            service,
+        )
+        return CallRunner(*shared, RetryBudget(test_settings))
+
+    async def run_one(self, service, current_view=None, within=10.0, **fields):
         """Run one request and return its outcome."""
-        seen = seen or view(count=len(service.script))
+        current_view = current_view or view(count=len(service.script))
         request = Request(
             "POST", "/x", request_id="id", deadline=deadline_in(within), **fields
         )
-        return await self.calls(service, seen).run(seen.row("app"), request)
+        return await self.calls(service, current_view).run(
+            current_view.row("app"), request
+        )
 
     async def test_table_of_faults(self):
-        """Symptom: a payment is booked twice, or a refusal is a lie.
+        """Guards against calls that run twice, or run although reported as not run.
 
-        Sequence: a server refuses the connection, or takes the call and hangs
-        up. Cause: trying again after a byte may have left, or calling such a
-        call not run.
+        A server refuses the connection, or accepts the call and closes it. Once a byte
+        may have been sent, a non-repeatable call must not be retried or reported as not
+        run.
         """
-        # (what each server does, repeatable) -> outcome, times run at most
+        # (result of each server, repeatable) -> outcome, maximum runs
         cases = [
             ((OK,), False, Answer, 1),
             ((REFUSED,), False, NotRun, 0),
@@ -80,15 +88,14 @@
         self.assertEqual(service.calls, [])
 
     async def test_paused_between_admission_and_dispatch(self):
-        """Symptom: a call runs long after its caller was told unknown.
+        """Guards against a call that runs long after its caller was answered unknown.
 
-        Sequence: the instance is stopped after admitting it, the deadline
-        passes, the instance goes on. Cause: the deadline was only looked at on
-        arrival.
+        The instance is paused after admission and resumes after the deadline, which
+        must be checked again before dispatch.
         """
         service = FakeService(b0=OK)
-        seen = view(count=1)
-        calls = self.calls(service, seen)
+        current_view = view(count=1)
+        calls = self.calls(service, current_view)
         request = Request("POST", "/x", request_id="id", deadline=deadline_in(60))
         choose = Chooser.choose
 
@@ -98,22 +105,22 @@
 
         Chooser.choose = slow_choose
         self.addCleanup(setattr, Chooser, "choose", choose)
-        outcome = await calls.run(seen.row("app"), request)
+        outcome = await calls.run(current_view.row("app"), request)
         self.assertIsInstance(outcome, NotRun)
         self.assertEqual(service.calls, [])
 
-    async def test_caller_that_leaves_frees_slot_and_server(self):
+    async def test_disconnected_caller_frees_slot_and_server(self):
         service = FakeService(b0=OK)
         service.gate = asyncio.Event()
-        seen = view(count=1)
-        calls = self.calls(service, seen)
+        current_view = view(count=1)
+        calls = self.calls(service, current_view)
         request = Request("POST", "/x", request_id="id", deadline=deadline_in(60))
-        task = asyncio.ensure_future(calls.run(seen.row("app"), request))
+        task = asyncio.ensure_future(calls.run(current_view.row("app"), request))
         await until(lambda: service.calls)
-        self.assertEqual(self.chooser.in_flight(seen.backends[0]), 1)
+        self.assertEqual(self.chooser.in_flight(current_view.backends[0]), 1)
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
-        self.assertEqual(self.chooser.in_flight(seen.backends[0]), 0)
+        self.assertEqual(self.chooser.in_flight(current_view.backends[0]), 0)
         self.assertEqual(self.admission.in_use(), {})
 
     async def test_first_try_leaves_time_for_a_second(self):
@@ -125,18 +132,19 @@
         self.assertGreater(service.calls[0][1].deadline, deadline_in(8.0))
 
     async def test_retries_are_bounded_when_all_fails(self):
-        """Symptom: an outage of the servers triples their load.
+        """Guards against retries that triple the load of failing servers.
 
-        Sequence: every call fails. Cause: each is retried with no regard to how
-        many others are.
+        Every call fails, so retries need a common budget.
         """
         service = FakeService(b0=CUT, b1=CUT, b2=CUT)
-        seen = view(count=3)
-        calls = self.calls(service, seen, routing={"suspect_backend_for": 0.001})
+        current_view = view(count=3)
+        calls = self.calls(
+            service, current_view, routing={"suspect_backend_for": 0.001}
+        )
         for number in range(200):
             request = Request("GET", "/", request_id=str(number))
             request.deadline = deadline_in(10)
-            await calls.run(seen.row("app"), request)
+            await calls.run(current_view.row("app"), request)
         self.assertLess(len(service.calls), 200 * 1.2)
 
 
--- a/sassafrasdoor/requests/tests/test_streaming.py
+++ b/sassafrasdoor/requests/tests/test_streaming.py
@@ -1,4 +1,4 @@
-"""Callers' streams: every way in which one may end, and going on elsewhere."""
+"""Callers' streams: outcomes by the results of sends, and resuming elsewhere."""
 
 import asyncio
 import unittest
@@ -23,7 +23,7 @@
 
 
 class Client:
-    """Plays a script: for each send, how many events and then what outcome."""
+    """Plays a script with the number of events and the outcome of each send."""
 
     def __init__(self, script):
         self.script = list(script)
@@ -32,21 +32,21 @@
     async def reach(self, replica):
         return True
 
-    async def stream(self, replica, call, passing):
+    async def stream(self, replica, call, relay):
         self.calls.append((replica.identity, call.after))
         events, outcome = self.script.pop(0)
         first = 0 if call.after is None else call.after + 1
         if events is not None:
-            passing.head([("Of", replica.identity)])
+            relay.head([("Of", replica.identity)])
             for number in range(first, first + events):
-                await passing.event(number, b"%d " % number)
+                await relay.event(number, b"%d " % number)
         if outcome is HANG:
             await asyncio.Event().wait()
         return outcome
 
 
 class Caller:
-    """Records what it is sent."""
+    """Records the headers and events that it receives."""
 
     def __init__(self):
         self.headers = None
@@ -55,7 +55,7 @@
     async def begin(self, headers):
         self.headers = headers
 
-    async def pass_on(self, block):
+    async def send_event(self, block):
         self.text += block
 
 
@@ -64,12 +64,12 @@
         self.client = Client(script)
         self.caller = Caller()
         service = StreamService(self.client, replicas(3))
-        found = route(repeat=repeat, streams=True, **fields)
-        request = direct_request(found, seconds)
+        stream_route = route(repeat=repeat, streams=True, **fields)
+        request = direct_request(stream_route, seconds)
         return await service.answer(request, self.caller)
 
-    async def test_ends_of_streams(self):
-        # script -> outcome if resumable, text; outcome if it may run once, text
+    async def test_outcomes_of_streams(self):
+        # script -> outcome and text if resumable; outcome and text if run at most once
         cases = [
             ([(3, True)], True, b"0 1 2 ", True, b"0 1 2 "),
             ([(0, True)], True, b"", True, b""),
@@ -96,11 +96,11 @@
                         self.assertIsInstance(result, outcome)
                     self.assertEqual(self.caller.text, text)
 
-    async def test_stream_goes_on_after_its_last_event_elsewhere(self):
-        """Symptom: a text holds a piece twice, or pieces of two runs.
+    async def test_stream_resumes_after_its_last_event_at_another_replica(self):
+        """Guards against a text with a repeated part, or with parts of two runs.
 
-        Sequence: a replica is lost after its second event. Cause: the stream was
-        begun anew, or gone on with where it was lost, or under another head.
+        A replica is lost after its second event. The stream must resume after that
+        event, at another replica and under the headers of the first.
         """
         await self.stream((2, LOST), (1, True))
         (first, begun), (second, after) = self.client.calls
@@ -113,20 +113,19 @@
         self.assertIsInstance(result, Unknown)
         self.assertEqual(len(self.client.calls), 2)
 
-    async def test_silent_replica_is_left_where_another_can_go_on(self):
-        """Symptom: a reader gives up on a text that stands still.
+    async def test_resumable_stream_leaves_a_silent_replica(self):
+        """Guards against a stalled text that only the deadline ends.
 
-        Sequence: a replica loses power in the middle of a stream. Cause: nothing but
-        the deadline ends the wait.
+        A replica loses power in the middle of a stream.
         """
-        with mock.patch.object(streaming, "LONGEST_SILENCE", 0.05):
+        with mock.patch.object(streaming, "SILENCE_TIMEOUT", 0.05):
             self.assertIs(await self.stream((1, HANG), (1, True)), True)
             self.assertEqual(self.caller.text, b"0 1 ")
             result = await self.stream((1, HANG), repeat=Repeat.ONCE, seconds=0.3)
         self.assertIsInstance(result, Unknown)
         self.assertEqual(len(self.client.calls), 1)
 
-    async def test_deadline_with_a_run_on_its_way_is_no_refusal(self):
+    async def test_deadline_during_a_send_is_unknown(self):
         result = await self.stream((None, HANG), repeat=Repeat.ONCE, seconds=0.05)
         self.assertIsInstance(result, Unknown)
 
--- a/sassafrasdoor/steps/durable/runner.py
+++ b/sassafrasdoor/steps/durable/runner.py
@@ -255,7 +255,7 @@
         """Say whether an item that crashes replicas must wait for its next attempt."""
         if job.broke_at is None or passed(job.broke_at + CRASH_RETRY_DELAY):
             return False
-        return self._crashes.quarantines(_ItemRequest(job))
+        return self._crashes.is_quarantined(_ItemRequest(job))
 
     def _fail_if_expired(self, job):
         route = self._route(job)
@@ -404,7 +404,7 @@
             self._requeue(job, replica, ABORT_REASONS[OUTDATED])
         elif result is True:
             replica.state.answered()
-            self._crashes.judged(_ItemRequest(job), replica, result)
+            self._crashes.record_result(_ItemRequest(job), replica, result)
             self._handle_completion(job, replica, route)
         elif isinstance(result, SampleFailed):
             self._handle_failure(job, replica, route, result)
@@ -415,7 +415,7 @@
                 replica.state.failed(SUSPECT_DURATION)
             if job.abort_reason not in ABORT_REASONS:
                 job.broke_at = now()
-                self._crashes.judged(_ItemRequest(job), replica, result)
+                self._crashes.record_result(_ItemRequest(job), replica, result)
             self._requeue(job, replica, result.reason)
 
     def _handle_completion(self, job, replica, route):
