--- a/sassafrasdoor/log/agreed.py
+++ b/sassafrasdoor/log/agreed.py
@@ -66,11 +66,11 @@
             str(name): claims.Lease.from_document(lease)
             for name, lease in document["leases"].items()
         }
-        told = [
+        announcements = [
             Announcement(model=model, version=version)
             for model, version in document["weights"].items()
         ]
-        weights = {one.model: one.version for one in told}
+        weights = {announced.model: announced.version for announced in announcements}
         accepted = tables.Accepted.from_document(document["accepted"])
         return cls(accepted, weights, leases)
 
@@ -92,17 +92,17 @@
 
 def _fold_weights(state, record):
     try:
-        told = Announcement.model_validate(record.body)
+        announced = Announcement.model_validate(record.body)
     except ValidationError:
-        # A version beyond 64 bits, once folded in, could be told to no entry any
+        # A version beyond 64 bits, once folded in, could be announced to no entry any
         # more: all of them would keep the view that they have.
         return state
     known = state.weights
-    if told.version <= known.get(told.model, 0):
+    if announced.version <= known.get(announced.model, 0):
         return state
-    if told.model not in known and len(known) >= MAX_MODELS:
+    if announced.model not in known and len(known) >= MAX_MODELS:
         return state
-    weights = {**known, told.model: told.version}
+    weights = {**known, announced.model: announced.version}
     return Agreed(state.accepted, weights, state.leases)
 
 
--- a/sassafrasdoor/log/announce.py
+++ b/sassafrasdoor/log/announce.py
@@ -7,7 +7,7 @@
 from sassafrasdoor.log.follower import Follower
 from sassafrasdoor.outcomes import Rejected, ReplyLost, Unavailable
 
-PAUSE = 0.1
+RETRY_INTERVAL = 0.1
 
 
 async def announce(settings, log, model, version, deadline):
@@ -31,5 +31,5 @@
         if passed(deadline):
             return ReplyLost("the announcement has not been seen in the log yet")
         if not await follower.poll(remaining(deadline)):
-            await asyncio.sleep(min(PAUSE, remaining(deadline)))
+            await asyncio.sleep(min(RETRY_INTERVAL, remaining(deadline)))
     return follower.state.weights[model]
--- a/sassafrasdoor/log/checkpoints.py
+++ b/sassafrasdoor/log/checkpoints.py
@@ -3,7 +3,7 @@
 from sassafrasdoor.outcomes import Expired
 
 KIND = "checkpoint"
-BATCH = 500
+BATCH_SIZE = 500
 
 
 class Checkpoint:
@@ -60,22 +60,22 @@
         return end
     while True:
         start = max(0, end - window)
-        found = await _scan(log, stream, start, state_class)
-        if isinstance(found, Expired):
-            start = found.first
-            found = await _scan(log, stream, start, state_class)
-        if isinstance(found, Expired):
+        scan = await _scan(log, stream, start, state_class)
+        if isinstance(scan, Expired):
+            start = scan.first
+            scan = await _scan(log, stream, start, state_class)
+        if isinstance(scan, Expired):
             continue
-        if not isinstance(found, _Scan):
-            return found
-        best = found.best
-        complete = start <= found.first_offset or start == 0
+        if not isinstance(scan, _ScanResult):
+            return scan
+        best = scan.best
+        complete = start <= scan.first_offset or start == 0
         if complete or (best and best.as_of >= start):
             return best
         window *= 2
 
 
-class _Scan:
+class _ScanResult:
     """The records of a part of the log: best usable checkpoint in it."""
 
     __slots__ = ("best", "first_offset")
@@ -96,15 +96,15 @@
 
 
 async def _scan(log, stream, offset, state_class):
-    scan = _Scan()
+    scan = _ScanResult()
     while True:
-        batch = await log.read(stream, offset, BATCH, 0)
+        batch = await log.read(stream, offset, BATCH_SIZE, 0)
         if not batch:
             return batch
         for record in batch.records:
             if is_checkpoint(record):
                 scan.consider(decode(record, state_class))
-        if len(batch.records) < BATCH:
+        if len(batch.records) < BATCH_SIZE:
             scan.finish(batch.first_offset)
             return scan
         offset = batch.next_offset
--- a/sassafrasdoor/log/demand.py
+++ b/sassafrasdoor/log/demand.py
@@ -11,7 +11,7 @@
 from sassafrasdoor.decisions import note_routine
 from sassafrasdoor.metrics import counter
 
-START, FOLLOW, AGAIN, CONFIRM, LOAD, RELAY, PROBE = (
+START, FOLLOW, RETRY, CONFIRM, LOAD, RELAY, PROBE = (
     "start",
     "follow",
     "again",
@@ -31,7 +31,7 @@
 
 
 @contextlib.contextmanager
-def asked_for(purpose):
+def call_purpose(purpose):
     """Count the calls of this block, and of tasks that it starts, for ``purpose``."""
     token = _PURPOSE.set(purpose)
     try:
@@ -40,35 +40,35 @@
         _PURPOSE.reset(token)
 
 
-class Demand:
+class CallCounter:
     """Counts calls; ``report()`` writes what has come since the last one."""
 
-    __slots__ = ("_open", "_since")
+    __slots__ = ("_open_calls", "_totals")
 
     def __init__(self):
-        self._open = 0
-        self._since = {}
+        self._open_calls = 0
+        self._totals = {}
 
     def begin(self, call):
         """Count a call that is sent; return its purpose, or its own name."""
-        self._open += 1
+        self._open_calls += 1
         return _PURPOSE.get() or call
 
     def end(self, purpose, answered, size):
         """Count the end of a call: whether it was answered, and with how many bytes."""
-        self._open -= 1
-        found = self._since.setdefault(purpose, [0, 0, 0])
-        found[0] += 1
-        found[1] += not answered
-        found[2] += size
+        self._open_calls -= 1
+        totals = self._totals.setdefault(purpose, [0, 0, 0])
+        totals[0] += 1
+        totals[1] += not answered
+        totals[2] += size
         CALLS.inc({"purpose": purpose, "result": "done" if answered else "failed"})
         BYTES.add({"purpose": purpose}, size)
 
     def report(self):
         """Write one line: for each purpose the calls, the failed ones and kilobytes."""
-        since, self._since = self._since, {}
-        shown = {
+        totals, self._totals = self._totals, {}
+        fields = {
             purpose: [calls, failed, size // 1024]
-            for purpose, (calls, failed, size) in sorted(since.items())
+            for purpose, (calls, failed, size) in sorted(totals.items())
         }
-        note_routine("store.asked", open=self._open, **shown)
+        note_routine("store.asked", open=self._open_calls, **fields)
--- a/sassafrasdoor/log/follower.py
+++ b/sassafrasdoor/log/follower.py
@@ -10,16 +10,20 @@
 from sassafrasdoor.metrics import counter, gauge
 from sassafrasdoor.outcomes import Expired, Unavailable
 
-BATCH = 500
+BATCH_SIZE = 500
 # A silent connection is found after this and the call timeout.
-LONG_POLL = 2.0
-SCAN_WINDOW = 2
-LOG_START = 1
+LONG_POLL_TIMEOUT = 2.0
+SCAN_WINDOW_FACTOR = 2
+FIRST_OFFSET = 1
 
-FOLDED = counter("log_records_folded_total", "Records folded into the agreed state.")
-RECOVERED = counter("log_recoveries_total", "Starts from a checkpoint, by result.")
-WRITTEN = counter("log_checkpoints_total", "Checkpoints appended, by result.")
-AS_OF = gauge("log_as_of_offset", "Next offset to read of the agreed stream.")
+RECORDS_FOLDED = counter(
+    "log_records_folded_total", "Records folded into the agreed state."
+)
+RECOVERIES = counter("log_recoveries_total", "Starts from a checkpoint, by result.")
+CHECKPOINTS_WRITTEN = counter(
+    "log_checkpoints_total", "Checkpoints appended, by result."
+)
+AS_OF_OFFSET = gauge("log_as_of_offset", "Next offset to read of the agreed stream.")
 
 
 class Follower:
@@ -43,13 +47,13 @@
         "_folded_since",
         "_log",
         "_notified",
-        "_offer_not_before",
-        "_reachable",
+        "_checkpoint_not_before",
+        "_is_reachable",
         "_settings",
         "_started",
         "_state",
-        "_trouble",
-        "_usable",
+        "_last_error",
+        "_is_usable",
         "may_checkpoint",
         "may_poll",
     )
@@ -71,15 +75,15 @@
         self._confirmed_at = None
         self._callbacks = []
         self._notified = initial
-        self._usable = False
-        self._trouble = "too slow"
+        self._is_usable = False
+        self._last_error = "too slow"
         self._started = False
-        self._reachable = True
+        self._is_reachable = True
         self._first_offset = 0
         self._folded_since = 0
         self._checkpoint = None
         self._checkpoint_deadline = self._next_checkpoint()
-        self._offer_not_before = now()
+        self._checkpoint_not_before = now()
         self.may_checkpoint = may_checkpoint
         self.may_poll = may_poll
 
@@ -113,8 +117,8 @@
         """
         forward = as_of > self._as_of
         if forward:
-            self._move(state, as_of)
-            self._usable = True
+            self._set_state(state, as_of)
+            self._is_usable = True
         if confirmed_at is not None and as_of >= self._as_of:
             self._confirm(confirmed_at)
         self._notify()
@@ -124,8 +128,8 @@
         """Follow until cancelled."""
         while True:
             started = now()
-            progress = self.may_poll() and await self.poll(LONG_POLL)
-            await self._offer_checkpoint()
+            progress = self.may_poll() and await self.poll(LONG_POLL_TIMEOUT)
+            await self._write_checkpoint_if_due()
             # A log that does not hold a poll open, or is down, answers at once; we
             # would spin and load it with reads.
             if not progress:
@@ -138,9 +142,9 @@
             return False
         sent_at = now()
         stream = self._settings.agreed_stream
-        result = await self._log.read(stream, self._as_of, BATCH, wait)
-        self._note_reachable(result)
-        return await self._take(result, sent_at)
+        result = await self._log.read(stream, self._as_of, BATCH_SIZE, wait)
+        self._record_reachability(result)
+        return await self._apply_result(result, sent_at)
 
     async def catch_up(self, deadline):
         """Poll until the log confirms the state; ``Unavailable`` after ``deadline``."""
@@ -150,7 +154,7 @@
             if self._confirmed_at is not None and self._confirmed_at >= asked_at:
                 return self._state
             if passed(deadline):
-                return Unavailable(f"log did not confirm the state: {self._trouble}")
+                return Unavailable(f"log did not confirm the state: {self._last_error}")
             if not progress:
                 await asyncio.sleep(
                     min(remaining(deadline), self._settings.poll_interval)
@@ -159,56 +163,56 @@
     async def _start(self):
         # Reading all that is kept would cost a start minutes where the log keeps
         # days, so a start is made from a checkpoint where there is one.
-        found = await self._recover()
-        self._started = found is None or bool(found)
+        checkpoint = await self._recover()
+        self._started = checkpoint is None or bool(checkpoint)
         return self._started
 
     async def _recover(self):
-        found = await checkpoints.newest_usable(
+        checkpoint = await checkpoints.newest_usable(
             self._log,
             self._settings.agreed_stream,
             type(self._state),
-            SCAN_WINDOW * self._settings.checkpoint_every,
+            SCAN_WINDOW_FACTOR * self._settings.checkpoint_every,
         )
-        self._note_reachable(found)
-        if found:
-            self._note_checkpoint(found)
+        self._record_reachability(checkpoint)
+        if checkpoint:
+            self._record_checkpoint(checkpoint)
             # Never back: what we know may be further on than any checkpoint.
-            if found.as_of > self._as_of:
-                self._move(found.state, found.as_of)
-                RECOVERED.inc({"result": "moved"})
-                changed("log.recovered", as_of=found.as_of, at=found.offset)
-        return found
+            if checkpoint.as_of > self._as_of:
+                self._set_state(checkpoint.state, checkpoint.as_of)
+                RECOVERIES.inc({"result": "moved"})
+                changed("log.recovered", as_of=checkpoint.as_of, at=checkpoint.offset)
+        return checkpoint
 
     @singledispatchmethod
-    async def _take(self, result, sent_at):
+    async def _apply_result(self, result, sent_at):
         return False
 
-    @_take.register
+    @_apply_result.register
     async def _(self, batch: Batch, sent_at):
         self._first_offset = batch.first_offset
         for record in batch.records:
             self._fold_in(record)
         self._as_of = max(self._as_of, batch.next_offset)
-        AS_OF.set({}, self._as_of)
-        if len(batch.records) < BATCH:
+        AS_OF_OFFSET.set({}, self._as_of)
+        if len(batch.records) < BATCH_SIZE:
             self._confirm(sent_at)
         self._notify()
         return bool(batch.records)
 
-    @_take.register
+    @_apply_result.register
     async def _(self, expired: Expired, sent_at):
-        if not self._as_of and expired.first <= LOG_START:
+        if not self._as_of and expired.first <= FIRST_OFFSET:
             # Nothing has expired: this log begins at its first offset, not at 0.
             self._as_of = expired.first
             return True
         # The log forgot records that we have not read; folding on without them
         # would let this reader disagree with all others for good.
-        found = await self._recover()
-        if found and found.as_of >= expired.first:
+        checkpoint = await self._recover()
+        if checkpoint and checkpoint.as_of >= expired.first:
             return True
-        RECOVERED.inc({"result": "none"})
-        self._trouble = "records have expired and no checkpoint of them is kept"
+        RECOVERIES.inc({"result": "none"})
+        self._last_error = "records have expired and no checkpoint of them is kept"
         return False
 
     def _fold_in(self, record):
@@ -216,39 +220,39 @@
         if record.offset < self._as_of:
             return
         if checkpoints.is_checkpoint(record):
-            self._note_checkpoint(checkpoints.decode(record, type(self._state)))
+            self._record_checkpoint(checkpoints.decode(record, type(self._state)))
         else:
             self._state = self._fold(self._state, record)
             self._folded_since += 1
         self._as_of = record.offset + 1
-        FOLDED.inc({})
+        RECORDS_FOLDED.inc({})
 
-    def _move(self, state, as_of):
+    def _set_state(self, state, as_of):
         self._state = state
         self._as_of = as_of
 
     def _confirm(self, at):
         self._confirmed_at = max(at, self._confirmed_at or at)
-        self._usable = True
+        self._is_usable = True
 
     def _notify(self):
         # A start folds old revisions one after another; nobody may act on those.
-        if not self._usable or self._state is self._notified:
+        if not self._is_usable or self._state is self._notified:
             return
         self._notified = self._state
         for callback in self._callbacks:
             callback(self._state)
 
-    def _note_reachable(self, result):
+    def _record_reachability(self, result):
         reachable = not isinstance(result, Unavailable)
-        if reachable != self._reachable:
+        if reachable != self._is_reachable:
             reason = "" if reachable else result.reason
             changed("log.reachable", reachable=reachable, reason=reason)
         if not reachable:
-            self._trouble = result.reason
-        self._reachable = reachable
+            self._last_error = result.reason
+        self._is_reachable = reachable
 
-    def _note_checkpoint(self, checkpoint):
+    def _record_checkpoint(self, checkpoint):
         if checkpoint is None:
             return
         if self._checkpoint and checkpoint.as_of <= self._checkpoint.as_of:
@@ -258,24 +262,28 @@
         )
         self._folded_since = 0
         self._checkpoint_deadline = self._next_checkpoint()
-        self._offer_not_before = now()
+        self._checkpoint_not_before = now()
 
     def _next_checkpoint(self):
         return deadline_in(self._settings.checkpoint_interval)
 
     @property
-    def checkpoint_due(self):
+    def is_checkpoint_due(self):
         """Whether the newest checkpoint is so old that another is needed."""
-        if not self._as_of or not self._usable or not passed(self._offer_not_before):
+        if (
+            not self._as_of
+            or not self._is_usable
+            or not passed(self._checkpoint_not_before)
+        ):
             return False
         return (
             self._folded_since >= self._settings.checkpoint_every
             or passed(self._checkpoint_deadline)
-            or self._checkpoint_sinks
+            or self._checkpoint_near_expiry
         )
 
     @property
-    def _checkpoint_sinks(self):
+    def _checkpoint_near_expiry(self):
         # The newest checkpoint is gone, or half of what the log keeps has come
         # after it: wait longer and it vanishes, and with it every table whose
         # record has expired. While nothing has expired what the log keeps is not
@@ -287,12 +295,12 @@
         kept = self._as_of - self._first_offset
         return self._folded_since > 0 and newest - self._first_offset < kept / 2
 
-    async def _offer_checkpoint(self):
-        if not self.checkpoint_due or not self.may_checkpoint():
+    async def _write_checkpoint_if_due(self):
+        if not self.is_checkpoint_due or not self.may_checkpoint():
             return
         body = checkpoints.body(self._state, self._as_of)
         result = await self._log.append(self._settings.agreed_stream, body)
-        WRITTEN.inc({"result": type(result).__name__})
+        CHECKPOINTS_WRITTEN.inc({"result": type(result).__name__})
         # Whether it arrived is seen by reading it back. Until then not again: a
         # log that answers slowly would be filled with copies.
-        self._offer_not_before = deadline_in(self._settings.call_timeout)
+        self._checkpoint_not_before = deadline_in(self._settings.call_timeout)
--- a/sassafrasdoor/log/http.py
+++ b/sassafrasdoor/log/http.py
@@ -11,16 +11,16 @@
 from sassafrasdoor.outcomes import Expired, ReplyLost, Unavailable
 
 MAX_CLIENTS = 20
-LONGEST_PATIENCE = 16
-END = -1
-DOWN = 503
+MAX_TIMEOUT_FACTOR = 16
+END_OFFSET = -1
+SERVICE_UNAVAILABLE = 503
 GONE = 410
 
 CALLS = counter("log_calls_total", "Calls to the platform's log, by kind and result.")
 BYTES = counter("log_bytes_read_total", "Bytes read from the platform's log.")
 
 # Only these prove that no byte of the request reached the log.
-NEVER_SENT = {pycurl.E_COULDNT_CONNECT, pycurl.E_COULDNT_RESOLVE_HOST}
+NOT_SENT_ERRNOS = {pycurl.E_COULDNT_CONNECT, pycurl.E_COULDNT_RESOLVE_HOST}
 
 
 class Client(CurlAsyncHTTPClient):
@@ -41,11 +41,11 @@
 class HttpLog(PlatformLog):
     """Speaks the platform's wire as ``docs/INTERNALS.md`` has it."""
 
-    __slots__ = ("_client", "_patience", "_settings")
+    __slots__ = ("_client", "_timeout_factor", "_settings")
 
     def __init__(self, settings):
         self._settings = settings.platform
-        self._patience = 1
+        self._timeout_factor = 1
         self._client = Client(force_instance=True, max_clients=MAX_CLIENTS)
 
     async def append(self, stream, body):
@@ -62,7 +62,7 @@
 
     async def end(self, stream):
         """Return the next offset to be given, or ``Unavailable``."""
-        batch = await self.read(stream, END, 1, 0)
+        batch = await self.read(stream, END_OFFSET, 1, 0)
         if isinstance(batch, Expired):
             # A log that does not know "the end" as a place to read from; what it
             # keeps first is before the end, and readers go on from there.
@@ -82,7 +82,7 @@
             follow_redirects=False,
             connect_timeout=self._settings.call_timeout,
             request_timeout=self._settings.call_timeout,
-            prepare_curl_callback=_fresh,
+            prepare_curl_callback=_use_fresh_connection,
         )
         try:
             response = await self._client.fetch(request)
@@ -98,19 +98,19 @@
             self._url(stream) + query,
             follow_redirects=False,
             connect_timeout=self._settings.call_timeout,
-            request_timeout=wait + self._patience * self._settings.call_timeout,
-            prepare_curl_callback=_reusable,
+            request_timeout=wait + self._timeout_factor * self._settings.call_timeout,
+            prepare_curl_callback=_allow_connection_reuse,
         )
         try:
             response = await self._client.fetch(request)
-            self._patience = max(1, self._patience // 2)
+            self._timeout_factor = max(1, self._timeout_factor // 2)
             BYTES.add({}, len(response.body))
             return _batch(json.loads(response.body))
         except HTTPError as error:
             if _timed_out(error):
                 # A log that needs longer than the timeout for each answer would
                 # never be read at all, as if it were down. Reading is harmless.
-                self._patience = min(LONGEST_PATIENCE, 2 * self._patience)
+                self._timeout_factor = min(MAX_TIMEOUT_FACTOR, 2 * self._timeout_factor)
             return _read_failed(error)
         except (ValueError, KeyError, TypeError) as error:
             return Unavailable(f"read reply not understood: {error}")
@@ -119,23 +119,23 @@
         return f"{self._settings.log_url}/log/{stream}"
 
 
-def _direct(curl):
+def _bypass_proxy(curl):
     # A proxy named in the environment would stand between us and the log and
     # answer in its place (seen as 502s that no log ever sent).
     curl.setopt(pycurl.NOPROXY, "*")
 
 
-def _fresh(curl):
+def _use_fresh_connection(curl):
     # libcurl sends a POST again by itself when a reused connection closes before
     # the first reply byte: one append, two records. A fresh connection is never
     # retried.
-    _direct(curl)
+    _bypass_proxy(curl)
     curl.setopt(pycurl.FRESH_CONNECT, 1)
 
 
-def _reusable(curl):
+def _allow_connection_reuse(curl):
     # Handles are pooled with their options; undo what an append has set.
-    _direct(curl)
+    _bypass_proxy(curl)
     curl.setopt(pycurl.FRESH_CONNECT, 0)
 
 
@@ -147,9 +147,9 @@
 
 
 def _append_failed(error):
-    if error.code == DOWN or 400 <= error.code < 500:
+    if error.code == SERVICE_UNAVAILABLE or 400 <= error.code < 500:
         return Unavailable(f"log answered {error.code}")
-    if getattr(error, "errno", None) in NEVER_SENT:
+    if getattr(error, "errno", None) in NOT_SENT_ERRNOS:
         return Unavailable(str(error))
     return ReplyLost(str(error))
 
--- a/sassafrasdoor/log/memory_partitioned.py
+++ b/sassafrasdoor/log/memory_partitioned.py
@@ -13,7 +13,7 @@
 )
 from sassafrasdoor.outcomes import Expired, ReplyLost, Unavailable
 
-KEYED = "keyed."
+KEYED_PREFIX = "keyed."
 
 
 class Partition:
@@ -63,7 +63,7 @@
     def __init__(self, parts=12):
         self._parts = parts
         self._partitions = {}
-        self._late = set()
+        self._late_appends = set()
         self.down = False
         self.lose_replies = 0
         self.land_late = None
@@ -81,25 +81,25 @@
         partition = self.partition(topic, part)
         if self.lose_replies > 0:
             self.lose_replies -= 1
-            self._unanswered(topic, part, records)
+            self._append_unanswered(topic, part, records)
             return ReplyLost("reply lost")
-        first = partition.add(records, topic.startswith(KEYED))
+        first = partition.add(records, topic.startswith(KEYED_PREFIX))
         return Appended(first, partition.end)
 
-    def _unanswered(self, topic, part, records):
+    def _append_unanswered(self, topic, part, records):
         partition = self.partition(topic, part)
         if self.land_late is None:
-            partition.add(records, topic.startswith(KEYED))
+            partition.add(records, topic.startswith(KEYED_PREFIX))
             return
-        task = asyncio.ensure_future(self._land(partition, records, topic))
-        self._late.add(task)
-        task.add_done_callback(self._late.discard)
+        task = asyncio.ensure_future(self._append_late(partition, records, topic))
+        self._late_appends.add(task)
+        task.add_done_callback(self._late_appends.discard)
 
-    async def _land(self, partition, records, topic):
+    async def _append_late(self, partition, records, topic):
         await asyncio.sleep(self.land_late)
-        partition.add(records, topic.startswith(KEYED))
+        partition.add(records, topic.startswith(KEYED_PREFIX))
 
-    async def read(self, topic, part, offset, wait, slack, most=None):
+    async def read(self, topic, part, offset, wait, slack, max_bytes=None):
         """Return a ``RawBatch``, ``Expired`` or ``Unavailable``."""
         self.calls.append(("read", topic, part))
         limit = deadline_in(wait)
@@ -113,8 +113,8 @@
             return Unavailable("down")
         if offset < partition.first:
             return Expired("offset no longer kept", partition.first)
-        found = partition.records[offset - partition.first :]
-        return RawBatch(_within(found, most), offset, partition.end)
+        records = partition.records[offset - partition.first :]
+        return RawBatch(_limit_bytes(records, max_bytes), offset, partition.end)
 
     async def newest(self, topic):
         """Return the ``NewestKeys`` of a keyed topic."""
@@ -126,14 +126,14 @@
         return NewestKeys(dict(partition.newest), partition.end)
 
 
-def _within(records, most):
+def _limit_bytes(records, max_bytes):
     """Return the first records with so many bytes together, one at least."""
-    if most is None:
+    if max_bytes is None:
         return list(records)
-    found, size = [], 0
+    limited, size = [], 0
     for record in records:
         size += len(record)
-        if found and size > most:
+        if limited and size > max_bytes:
             break
-        found.append(record)
-    return found
+        limited.append(record)
+    return limited
--- a/sassafrasdoor/log/partitioned.py
+++ b/sassafrasdoor/log/partitioned.py
@@ -48,7 +48,7 @@
     """The log. Every call may return ``Unavailable``: then it took no effect."""
 
     @property
-    def is_away(self):
+    def is_cut_off(self):
         """Whether it is reached through others only, if at all."""
         return False
 
@@ -57,7 +57,7 @@
         """Append all records or none: ``Appended``, ``Unavailable``, ``ReplyLost``."""
 
     @abstractmethod
-    async def read(self, topic, part, offset, wait, slack, most=None):
+    async def read(self, topic, part, offset, wait, slack, max_bytes=None):
         """Return a ``RawBatch`` or ``Expired``; wait up to ``wait`` seconds.
 
         ``slack`` is how many seconds more the answer may take, ``most`` how many bytes
--- a/sassafrasdoor/log/tail.py
+++ b/sassafrasdoor/log/tail.py
@@ -11,42 +11,42 @@
 
 from sassafrasdoor.clock import LONG_AGO, deadline_in, now, passed, remaining
 from sassafrasdoor.decisions import note
-from sassafrasdoor.log.demand import AGAIN, CONFIRM, FOLLOW, LOAD, START, asked_for
+from sassafrasdoor.log.demand import CONFIRM, FOLLOW, LOAD, RETRY, START, call_purpose
 from sassafrasdoor.log.partitioned import NewestKeys, split_keyed
-from sassafrasdoor.log.sharing import LONGEST_SLACK, Way
+from sassafrasdoor.log.sharing import MAX_READ_SLACK, ReadCoordinator
 from sassafrasdoor.metrics import counter
 from sassafrasdoor.outcomes import Expired, Unavailable
 
-LONG_POLL = 1.0
+LONG_POLL_TIMEOUT = 1.0
 """Seconds that a read waits. A read that was sent while the log was silent is never
 answered; with the slack it ends well within the two seconds in which a change that
 is acknowledged right after the log's return must be in force."""
-SLACK = 0.5
+READ_SLACK = 0.5
 """Seconds beyond the wait while the log answers: that takes 4 ms, or 240 ms where the
 log is slow."""
-ASK_AGAIN = 0.5
+HEDGE_INTERVAL = 0.5
 """Seconds without an answer after which a failing log is asked once more, beside the
 reads that are still waited for: a read that was sent while it was silent is never
 answered."""
 PROBE_BYTES = 1024
 """Bytes that such reads ask for: they tell that the log answers, the rest follows."""
-START_SLACKS = (1.5, 1.5, 3.0)
+INITIAL_READ_SLACKS = (1.5, 1.5, 3.0)
 """Seconds for the tries in a row of a partition that was not read to its end yet: a
 second one of three would hold a start in silence for that long after the log's return;
 the third is for a log that is slower than the others allow."""
-CONFIRM_PAUSE = 0.05
+CONFIRM_RETRY_INTERVAL = 0.05
 """Seconds between the reads of a caller who waits for a confirmation."""
 
-RESTARTS = counter("log_tail_restarts_total", "Reads that met expired records.")
+EXPIRED_READS = counter("log_tail_restarts_total", "Reads that met expired records.")
 
 
-def all_read(tails):
+def all_caught_up(tails):
     """Say whether partitions were read to their ends, as far as the log answers."""
-    answered = [one for one in tails if one.failing_since is None]
-    return bool(answered) and all(one.has_caught_up for one in answered)
+    answering = [tail for tail in tails if tail.failing_since is None]
+    return bool(answering) and all(tail.has_caught_up for tail in answering)
 
 
-class Silence:
+class Outage:
     """A time without an answer of the log, as one reader has seen it.
 
     The log may have been away from ``since``, its last answer before (monotonic,
@@ -76,23 +76,30 @@
     """
 
     def __init__(
-        self, log, topic, part, fold, pause=lambda: 0.0, wanted=None, way=None
+        self,
+        log,
+        topic,
+        part,
+        fold,
+        pause=lambda: 0.0,
+        wanted=None,
+        read_coordinator=None,
     ):
-        self.wanted = wanted or _always()
-        self._way = way or Way()
-        self._waits_for_others = way is not None
+        self.wanted = wanted or _set_event()
+        self._read_coordinator = read_coordinator or ReadCoordinator()
+        self._shares_reads = read_coordinator is not None
         self._log = log
         self._topic = topic
         self._part = part
         self._fold = fold
         self._pause = pause
-        self._attending = 0
-        self._attended = asyncio.Event()
+        self._waiting_readers = 0
+        self._reader_arrived = asyncio.Event()
         self._running = False
-        self._behind = False
-        self._confirming = None
+        self._has_backlog = False
+        self._confirm_task = None
         self._following_since = now()
-        self._answered_at = LONG_AGO
+        self._last_answer_at = LONG_AGO
         self._bytes_read = 0
         self._reads = Counter()
         self.offset = 0
@@ -102,7 +109,7 @@
         self.ended_at = LONG_AGO
         self.failing_since = None
         self.restored_at = None
-        self.silence = None
+        self.last_outage = None
 
     async def run(self):
         """Follow until cancelled."""
@@ -112,26 +119,28 @@
                 self.confirmed_at = None
                 await self.wanted.wait()
                 self._following_since = now()
-            elif not await self.poll(LONG_POLL):
-                await asyncio.sleep(self._way.pause)
-            elif not (self._attending or self._behind) and (pause := self._pause()):
-                await self._rest(pause)
+            elif not await self.poll(LONG_POLL_TIMEOUT):
+                await asyncio.sleep(self._read_coordinator.retry_delay)
+            elif not (self._waiting_readers or self._has_backlog) and (
+                pause := self._pause()
+            ):
+                await self._pause_until_needed(pause)
 
     @contextlib.contextmanager
-    def attended(self):
+    def without_pauses(self):
         """Read without pauses while somebody waits for new records."""
-        self._attending += 1
-        self._attended.set()
+        self._waiting_readers += 1
+        self._reader_arrived.set()
         try:
             yield
         finally:
-            self._attending -= 1
+            self._waiting_readers -= 1
 
-    async def _rest(self, seconds):
-        self._attended.clear()
+    async def _pause_until_needed(self, seconds):
+        self._reader_arrived.clear()
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(seconds):
-                await self._attended.wait()
+                await self._reader_arrived.wait()
 
     @property
     def has_caught_up(self):
@@ -163,26 +172,30 @@
     async def poll(self, wait):
         """Read once; say whether the log answered."""
         sent_at = now()
-        if self._reads_all or (self._behind and self._waits_for_others):
-            sent_at, result = await self._way.read_backlog(self._part, self._read_start)
+        if self._needs_initial_read or (self._has_backlog and self._shares_reads):
+            sent_at, result = await self._read_coordinator.read_backlog(
+                self._part, self._read_initial
+            )
         elif self.failing_since is None:
-            with asked_for(FOLLOW if wait else CONFIRM):
-                result = await self._read(wait, SLACK, self._way.most())
-        elif self._waits_for_others:
-            sent_at, result = await self._way.read_backlog(
-                self._part, self._read_once_more
+            with call_purpose(FOLLOW if wait else CONFIRM):
+                result = await self._read(
+                    wait, READ_SLACK, self._read_coordinator.max_bytes()
+                )
+        elif self._shares_reads:
+            sent_at, result = await self._read_coordinator.read_backlog(
+                self._part, self._retry_read
             )
         else:
-            with asked_for(AGAIN):
-                sent_at, result = await self._ask_again(self._probe)
+            with call_purpose(RETRY):
+                sent_at, result = await self._hedge(self._probe)
         if isinstance(result, Unavailable):
             self._reads["given up"] += 1
-            self._note_failed(result)
+            self._record_failure(result)
             return False
         self._reads["answered"] += 1
-        self._note_answered()
+        self._record_answer()
         if isinstance(result, Expired):
-            RESTARTS.inc({})
+            EXPIRED_READS.inc({})
             note(
                 "log.records_expired",
                 topic=self._topic,
@@ -190,82 +203,82 @@
                 read_to=self.offset,
                 first_kept=result.first,
             )
-            self._expired(result)
+            self._handle_expired(result)
             return True
         self._fold_batch(result)
-        self._behind = self.offset < result.end
-        if not self._behind:
-            self._note_caught_up()
+        self._has_backlog = self.offset < result.end
+        if not self._has_backlog:
+            self._log_caught_up()
             self.confirmed_at, self.ended_at = sent_at, now()
         return True
 
     @property
-    def _is_late(self):
+    def _is_behind_or_failing(self):
         """Whether what was acknowledged is still to be read, or read again."""
-        return self._behind or self.failing_since is not None
+        return self._has_backlog or self.failing_since is not None
 
     @property
-    def _reads_all(self):
+    def _needs_initial_read(self):
         """Whether all that the partition holds is still to be read."""
         return self.confirmed_at is None
 
-    async def _read(self, wait, slack, most=None):
+    async def _read(self, wait, slack, max_bytes=None):
         return await self._log.read(
-            self._topic, self._part, self.offset, wait, slack, most
+            self._topic, self._part, self.offset, wait, slack, max_bytes
         )
 
-    async def _read_start(self, most, failed):
+    async def _read_initial(self, max_bytes, failures):
         # Megabytes to read: asked for twice, they would take twice as long.
-        slack = START_SLACKS[failed % len(START_SLACKS)]
-        with asked_for(START):
-            return await self._read(0, slack, most)
+        slack = INITIAL_READ_SLACKS[failures % len(INITIAL_READ_SLACKS)]
+        with call_purpose(START):
+            return await self._read(0, slack, max_bytes)
 
-    async def _read_once_more(self, most, failed):
+    async def _retry_read(self, max_bytes, failures):
         # What has come meanwhile may be megabytes too.
-        slack = START_SLACKS[failed % len(START_SLACKS)]
-        with asked_for(AGAIN):
-            return await self._read(0, slack, most)
+        slack = INITIAL_READ_SLACKS[failures % len(INITIAL_READ_SLACKS)]
+        with call_purpose(RETRY):
+            return await self._read(0, slack, max_bytes)
 
-    async def _probe(self, seconds):
-        return await self._read(0, seconds, PROBE_BYTES)
+    async def _probe(self, slack):
+        return await self._read(0, slack, PROBE_BYTES)
 
-    async def _ask_again(self, call):
+    async def _hedge(self, call):
         """Return when the first call that was answered was sent, and its result.
 
         ``call(seconds)`` asks the log once, for that long at most. A single call that
         was sent just before the log's return would hold its reader for seconds more:
         claims lapse, a change is in force late, a server that left gets work.
         """
-        limit = deadline_in(LONGEST_SLACK)
-        sent_at, waiting = {}, set()
+        deadline = deadline_in(MAX_READ_SLACK)
+        sent_at, pending = {}, set()
         try:
             while True:
-                if not passed(limit):
-                    asked = asyncio.ensure_future(call(remaining(limit)))
-                    sent_at[asked] = now()
-                    waiting.add(asked)
-                done, waiting = await asyncio.wait(
-                    waiting, timeout=ASK_AGAIN, return_when=asyncio.FIRST_COMPLETED
+                if not passed(deadline):
+                    task = asyncio.ensure_future(call(remaining(deadline)))
+                    sent_at[task] = now()
+                    pending.add(task)
+                done, pending = await asyncio.wait(
+                    pending, timeout=HEDGE_INTERVAL, return_when=asyncio.FIRST_COMPLETED
                 )
-                ended = sorted(done, key=lambda asked: not _answers(asked))
-                if ended and (_answers(ended[0]) or not waiting):
-                    return sent_at[ended[0]], ended[0].result()
+                completed = sorted(done, key=lambda task: not _was_answered(task))
+                if completed and (_was_answered(completed[0]) or not pending):
+                    return sent_at[completed[0]], completed[0].result()
         finally:
-            for asked in sent_at:
-                asked.cancel()
+            for task in sent_at:
+                task.cancel()
 
     async def confirm(self, deadline):
         """Read until all that was acknowledged before this call is folded in.
 
         Return True, or False after ``deadline``.
         """
-        asked_at = now()
+        called_at = now()
         while not passed(deadline) and self.wanted.is_set():
-            if self.confirmed_at is not None and self.confirmed_at >= asked_at:
+            if self.confirmed_at is not None and self.confirmed_at >= called_at:
                 return True
             if not await self._confirm_once():
-                await asyncio.sleep(CONFIRM_PAUSE)
-        return self.confirmed_at is not None and self.confirmed_at >= asked_at
+                await asyncio.sleep(CONFIRM_RETRY_INTERVAL)
+        return self.confirmed_at is not None and self.confirmed_at >= called_at
 
     async def _confirm_once(self):
         """Read once, together with all others who ask; say whether the log answered.
@@ -274,25 +287,25 @@
         same megabytes again: instances that start together share what the log sends.
         And one that failed is made again already.
         """
-        if self.is_starting or (self._running and self._is_late):
+        if self.is_starting or (self._running and self._is_behind_or_failing):
             return False
-        if self._confirming is None:
-            self._confirming = asyncio.ensure_future(self.poll(0))
-            self._confirming.add_done_callback(self._confirmed)
-        return await asyncio.shield(self._confirming)
+        if self._confirm_task is None:
+            self._confirm_task = asyncio.ensure_future(self.poll(0))
+            self._confirm_task.add_done_callback(self._confirm_done)
+        return await asyncio.shield(self._confirm_task)
 
-    def _confirmed(self, task):
-        self._confirming = None
+    def _confirm_done(self, task):
+        self._confirm_task = None
         # Everybody who asked may have left; a failed read is noted where it failed.
         task.cancelled() or task.exception()
 
-    async def fresh(self, seconds, deadline):
+    async def ensure_fresh(self, max_age, deadline):
         """Say whether the end was read within so many seconds, or now."""
-        if self.confirmed_at is not None and now() - self.confirmed_at <= seconds:
+        if self.confirmed_at is not None and now() - self.confirmed_at <= max_age:
             return True
         return await self.confirm(deadline)
 
-    def _expired(self, expired):
+    def _handle_expired(self, expired):
         self.skipped += max(0, expired.first - self.offset)
         self.offset = max(self.offset, expired.first)
 
@@ -307,7 +320,7 @@
                 self.offset = offset + 1
             offset += 1
 
-    def _note_caught_up(self):
+    def _log_caught_up(self):
         if self.confirmed_at is None:
             note(
                 "log.caught_up",
@@ -320,43 +333,43 @@
                 reads_given_up=self._reads["given up"],
             )
 
-    def _note_failed(self, result):
-        self._tell_failed()
+    def _record_failure(self, result):
+        self._report_failure()
         if self.failing_since is None:
             self.failing_since = now()
             note("log.lost", topic=self._topic, part=self._part, reason=result.reason)
 
-    def _tell_failed(self):
-        self._way.note_failed()
+    def _report_failure(self):
+        self._read_coordinator.record_read_failure()
 
-    def _tell_answered(self):
+    def _report_answer(self):
         """Say so to the other tails; only what a list says counts for them."""
 
-    def _note_answered(self):
-        last, self._answered_at = self._answered_at, now()
-        self._tell_answered()
+    def _record_answer(self):
+        previous_answer_at, self._last_answer_at = self._last_answer_at, now()
+        self._report_answer()
         if self.failing_since is None:
             return
-        away = round(now() - self.failing_since, 3)
-        note("log.regained", topic=self._topic, part=self._part, away_seconds=away)
+        seconds = round(now() - self.failing_since, 3)
+        note("log.regained", topic=self._topic, part=self._part, away_seconds=seconds)
         self.failing_since = None
         self.restored_at = now()
-        self.silence = Silence(last, self.restored_at)
+        self.last_outage = Outage(previous_answer_at, self.restored_at)
 
 
 def _age(moment):
     return None if moment is None else round(now() - moment, 3)
 
 
-def _always():
+def _set_event():
     wanted = asyncio.Event()
     wanted.set()
     return wanted
 
 
-def _answers(asked):
+def _was_answered(task):
     """Say whether a call that has ended was answered by the log."""
-    return not isinstance(asked.result(), Unavailable)
+    return not isinstance(task.result(), Unavailable)
 
 
 class KeyedTail(Tail):
@@ -367,11 +380,19 @@
     reader knows, or None: where the log is away at the start they are the next best.
     """
 
-    def __init__(self, log, topic, on_value, pause=0.0, elsewhere=None, way=None):
+    def __init__(
+        self,
+        log,
+        topic,
+        on_value,
+        pause=0.0,
+        newest_from_peer=None,
+        read_coordinator=None,
+    ):
         super().__init__(log, topic, 0, self._fold_record, lambda: pause)
-        self._way = way or self._way
+        self._read_coordinator = read_coordinator or self._read_coordinator
         self._on_value = on_value
-        self._elsewhere = elsewhere
+        self._newest_from_peer = newest_from_peer
         self._values = {}
         self.loaded = False
 
@@ -391,61 +412,61 @@
             return await super().poll(wait)
         return await self._load()
 
-    def _tell_failed(self):
-        self._way.note_failed(self._topic)
+    def _report_failure(self):
+        self._read_coordinator.record_read_failure(self._topic)
 
-    def _tell_answered(self):
-        self._way.note_list_answered(self._topic)
+    def _report_answer(self):
+        self._read_coordinator.record_list_answer(self._topic)
 
-    def _expired(self, expired):
+    def _handle_expired(self, expired):
         # Records that were never read are gone; only the newest values, read anew,
         # tell what changed and which keys were dropped meanwhile.
         self.loaded = False
 
     @property
-    def _reads_all(self):
+    def _needs_initial_read(self):
         # What was loaded, here or elsewhere, lacks a few records only.
         return False
 
     async def _load(self):
         sent_at = now()
-        with asked_for(LOAD):
+        with call_purpose(LOAD):
             if self.failing_since is None:
                 newest = await self._log.newest(self._topic)
             else:
-                sent_at, newest = await self._ask_again(self._newest)
+                sent_at, newest = await self._hedge(self._load_newest)
         if not isinstance(newest, Unavailable) and newest.end < self.offset:
             newest = Unavailable("older than what was read")
         if isinstance(newest, Unavailable):
-            self._note_failed(newest)
-            await self._load_elsewhere()
+            self._record_failure(newest)
+            await self._load_from_peer()
             return False
-        self._note_answered()
-        self._take_all(newest)
+        self._record_answer()
+        self._apply_newest(newest)
         self.confirmed_at, self.ended_at = sent_at, now()
         return True
 
-    async def _newest(self, seconds):
+    async def _load_newest(self, timeout):
         try:
-            async with asyncio.timeout(seconds):
+            async with asyncio.timeout(timeout):
                 return await self._log.newest(self._topic)
         except TimeoutError:
             return Unavailable("timeout")
 
-    async def _load_elsewhere(self):
+    async def _load_from_peer(self):
         """Begin with what another reader knows.
 
         Only at the start: what was read from the log once is never replaced by what
         somebody else remembers.
         """
-        if self._elsewhere is None or self.offset:
+        if self._newest_from_peer is None or self.offset:
             return
-        newest = await self._elsewhere(self._topic)
+        newest = await self._newest_from_peer(self._topic)
         if newest is not None:
             note("log.loaded_elsewhere", topic=self._topic, offset=newest.end)
-            self._take_all(newest)
+            self._apply_newest(newest)
 
-    def _take_all(self, newest):
+    def _apply_newest(self, newest):
         for key in set(self._values) - set(newest.values):
             self._on_value(key, b"")
         for key, value in newest.values.items():
--- a/sassafrasdoor/log/tests/test_contract.py
+++ b/sassafrasdoor/log/tests/test_contract.py
@@ -112,14 +112,14 @@
         self.assertIsInstance(await self.log.read(STREAM, 0, 5, 0), Unavailable)
         self.assertIsInstance(await self.log.end(STREAM), Unavailable)
 
-    async def test_an_expired_offset_says_what_is_still_kept(self):
+    async def test_an_expired_offset_returns_the_first_kept_one(self):
         offsets = await self.fill(9)
         self.fixture.fault(retain=4)
         expired = await self.log.read(STREAM, offsets[2], 5, 0)
         self.assertIsInstance(expired, Expired)
         self.assertEqual(expired.first, offsets[-4])
         batch = await self.log.read(STREAM, expired.first, 50, 0)
-        self.assertEqual([one.offset for one in batch.records], offsets[-4:])
+        self.assertEqual([record.offset for record in batch.records], offsets[-4:])
         self.assertEqual(batch.first_offset, expired.first)
 
     async def test_a_waiting_read_ends_with_the_first_record(self):
@@ -128,7 +128,7 @@
         reading = asyncio.create_task(self.log.read(STREAM, end, 5, 20))
         offset = await self.log.append(STREAM, {})
         batch = await reading
-        self.assertEqual([one.offset for one in batch.records], [offset])
+        self.assertEqual([record.offset for record in batch.records], [offset])
         self.assertGreater(remaining(deadline), 0)
 
 
@@ -154,7 +154,7 @@
 class HttpContractTest(ContractTests, unittest.IsolatedAsyncioTestCase):
     fixture_class = HttpFixture
 
-    async def test_an_append_that_never_arrived_may_not_be_told_from_a_lost_reply(self):
+    async def test_a_dropped_connection_is_a_lost_reply(self):
         self.fixture.fault(refuse=1)
         self.assertIsInstance(await self.log.append(STREAM, {}), ReplyLost)
         self.assertEqual(len(self.fixture.written()), 0)
@@ -178,7 +178,7 @@
 
         await until(found, what="an answer")
 
-    async def test_a_log_that_cannot_say_its_end_says_where_it_begins(self):
+    async def test_a_log_without_an_end_offset_returns_its_first_offset(self):
         await self.fill(5)
         self.fixture.fault(retain=2)
         with mock.patch.object(platform, "NEWEST", None):
@@ -209,14 +209,14 @@
                 await asyncio.to_thread(lambda: None)
         self.assertEqual(errors, [])
 
-    async def test_nobody_listening_is_unavailable(self):
+    async def test_a_refused_connection_is_unavailable(self):
         self.fixture.server.stop()
         log = HttpLog(settings_at(self.fixture.url))
         self.assertIsInstance(await log.append(STREAM, {}), Unavailable)
         log.close()
 
 
-class HangsUpOnSecond(TCPServer):
+class SecondRequestDropper(TCPServer):
     """Answers the first request of a connection, reads the next and hangs up."""
 
     appends = 0
@@ -237,7 +237,7 @@
             pass
 
 
-class NeverSentTwiceTest(unittest.IsolatedAsyncioTestCase):
+class SingleAppendTest(unittest.IsolatedAsyncioTestCase):
     async def test_an_append_is_sent_once_although_its_connection_breaks(self):
         """
         Symptom: one published table stands in the log twice.
@@ -246,7 +246,7 @@
         Cause: libcurl holds a reused connection that closes without a reply byte
         for one that had timed out, whatever the method.
         """
-        server = HangsUpOnSecond()
+        server = SecondRequestDropper()
         server.listen(0, "127.0.0.1")
         port = next(iter(server._sockets.values())).getsockname()[1]
         log = HttpLog(settings_at(f"http://127.0.0.1:{port}"))
--- a/sassafrasdoor/log/tests/test_demand.py
+++ b/sassafrasdoor/log/tests/test_demand.py
@@ -15,7 +15,7 @@
 
     def __init__(self):
         super().__init__()
-        self.demand = module.Demand()
+        self.counter = module.CallCounter()
 
     async def read(self, *arguments):
         """Read on, counted."""
@@ -26,22 +26,22 @@
         return await self._counted("newest", super().newest(topic))
 
     async def _counted(self, name, call):
-        purpose = self.demand.begin(name)
+        purpose = self.counter.begin(name)
         result = await call
-        self.demand.end(purpose, not self.down, 2048)
+        self.counter.end(purpose, not self.down, 2048)
         return result
 
 
-class DemandTest(unittest.IsolatedAsyncioTestCase):
+class CallCounterTest(unittest.IsolatedAsyncioTestCase):
     def setUp(self):
         self.log = CountedLog()
 
     def reported(self):
         with mock.patch.object(module, "note_routine") as line:
-            self.log.demand.report()
+            self.log.counter.report()
         return line.call_args.kwargs
 
-    async def test_reads_of_a_tail_are_told_apart(self):
+    async def test_reads_of_a_tail_are_counted_by_purpose(self):
         tail = Tail(self.log, "t", 0, lambda at, data: None)
         await tail.poll(0.01)
         await tail.poll(0.01)
@@ -58,19 +58,19 @@
         }
         self.assertEqual(self.reported(), expected)
 
-    async def test_load_is_told_apart(self):
+    async def test_load_is_counted_by_purpose(self):
         tail = KeyedTail(self.log, "keyed.t", lambda key, value: None)
         await tail.poll(0.01)
         await tail.poll(0.01)
         expected = {"open": 0, "load": [1, 0, 2], "follow": [1, 0, 2]}
         self.assertEqual(self.reported(), expected)
 
-    async def test_line_tells_what_came_since_the_last_one(self):
+    async def test_report_covers_calls_since_the_last_one(self):
         await self.log.read("t", 0, 0, 0, 1.0)
         self.assertIn("read", self.reported())
         self.assertEqual(self.reported(), {"open": 0})
 
-    async def test_call_under_way_is_open(self):
+    async def test_unfinished_call_is_open(self):
         waiting = asyncio.ensure_future(self.log.read("t", 0, 0, 5.0, 1.0))
         await asyncio.sleep(0)
         self.assertEqual(self.reported(), {"open": 1})
@@ -78,8 +78,8 @@
         await waiting
         self.assertEqual(self.reported()["open"], 0)
 
-    async def test_purpose_holds_in_tasks_of_its_block_alone(self):
-        with module.asked_for(module.RELAY):
+    async def test_purpose_applies_only_to_tasks_of_its_block(self):
+        with module.call_purpose(module.RELAY):
             task = asyncio.ensure_future(self.log.read("t", 0, 0, 0, 1.0))
         await self.log.read("t", 0, 0, 0, 1.0)
         await task
--- a/sassafrasdoor/log/tests/test_follower.py
+++ b/sassafrasdoor/log/tests/test_follower.py
@@ -14,7 +14,7 @@
 from sassafrasdoor.support import until
 from sassafrasdoor.table.tests.test_accepted import proposal
 
-PATIENCE = 20
+CATCH_UP_TIMEOUT = 20
 
 
 def settings_with(**platform):
@@ -42,14 +42,14 @@
 
     async def caught_up(self, follower=None):
         follower = follower or self.follower()
-        self.assertTrue(await follower.catch_up(deadline_in(PATIENCE)))
+        self.assertTrue(await follower.catch_up(deadline_in(CATCH_UP_TIMEOUT)))
         return follower
 
     async def checkpoint(self, follower):
         body = checkpoints.body(follower.state, follower.as_of)
         return await self.log.append(STREAM, body)
 
-    async def test_it_folds_all_kinds_of_record(self):
+    async def test_all_kinds_of_record_are_folded(self):
         revision = await self.propose("a", 0)
         await self.append(kind="weights", model="m", version=4)
         await self.append(kind="weights", model="m", version=3)
@@ -63,7 +63,7 @@
         document = state.as_document()
         self.assertEqual(agreed.Agreed.from_document(document).as_document(), document)
 
-    async def test_a_delayed_checkpoint_reverts_nobody(self):
+    async def test_a_delayed_checkpoint_reverts_no_reader(self):
         """
         Symptom: a starting instance puts a table in force that was replaced.
         Sequence: an instance is paused between making a checkpoint and appending
@@ -75,22 +75,22 @@
         paused = await self.caught_up()
         late = checkpoints.body(paused.state, paused.as_of)
         second = await self.propose("b", first, weight=2.0)
-        awake = await self.caught_up()
-        newest = awake.as_of
-        await self.checkpoint(awake)
+        up_to_date = await self.caught_up()
+        newest = up_to_date.as_of
+        await self.checkpoint(up_to_date)
         await self.log.append(STREAM, late)
         for everything_kept in (True, False):
             with self.subTest(everything_kept=everything_kept):
                 reader = await self.caught_up()
                 self.assertEqual(reader.state.revision, second)
-                self.assertEqual(awake.state.revision, second)
+                self.assertEqual(up_to_date.state.revision, second)
                 found = await checkpoints.newest_usable(
                     self.log, STREAM, agreed.Agreed, 1
                 )
                 self.assertEqual(found.as_of, newest)
             self.log.expire(STREAM, before=newest)
 
-    async def test_a_checkpoint_with_a_gap_behind_it_is_not_used(self):
+    async def test_a_checkpoint_followed_by_a_gap_is_not_used(self):
         """
         Symptom: one instance disagrees with all others for good.
         Sequence: a checkpoint is appended late; records between its as-of and
@@ -107,7 +107,7 @@
         self.assertIsInstance(await reader.catch_up(deadline_in(0)), Unavailable)
         self.assertIsNone(reader.state.table)
 
-    async def test_what_is_no_checkpoint_of_ours_is_not_used(self):
+    async def test_an_invalid_checkpoint_is_not_used(self):
         await self.propose("a", 0)
         state = (await self.caught_up()).state.as_document()
         bodies = [
@@ -123,14 +123,14 @@
                 record = Record(7, {"kind": "checkpoint", **body})
                 self.assertIsNone(checkpoints.decode(record, agreed.Agreed))
 
-    async def test_a_log_that_answers_at_once_is_not_read_again_and_again(self):
+    async def test_empty_polls_are_paced(self):
         """
         Symptom: while the log is down or holds no poll open, each instance sends
         it thousands of reads a second.
         Sequence: a poll ends at once with nothing; the next one follows.
         Cause: leaving the pace to the other side.
         """
-        patient = self.follower(settings_with(poll_interval=1000))
+        follower = self.follower(settings_with(poll_interval=1000))
         reads = 0
 
         async def down(*arguments):
@@ -139,23 +139,25 @@
             return Unavailable("down")
 
         self.log.end = self.log.read = down
-        running = asyncio.create_task(patient.run())
+        running = asyncio.create_task(follower.run())
         for _ in range(100):
             await asyncio.sleep(0)
         self.assertEqual(reads, 1)
         running.cancel()
 
-    async def test_a_checkpoint_that_has_not_come_back_is_not_written_again(self):
+    async def test_an_unconfirmed_checkpoint_is_not_written_again(self):
         """
         Symptom: a slow log is filled with copies of one checkpoint.
         Sequence: a checkpoint is appended; its record is not readable yet.
         Cause: judging by the newest checkpoint read alone.
         """
         await self.append(kind="weights", model="m", version=1)
-        eager = settings_with(checkpoint_every=1)
-        writer = await self.caught_up(self.follower(eager, may_checkpoint=lambda: True))
+        eager_settings = settings_with(checkpoint_every=1)
+        writer = await self.caught_up(
+            self.follower(eager_settings, may_checkpoint=lambda: True)
+        )
         for _ in range(3):
-            await writer._offer_checkpoint()
+            await writer._write_checkpoint_if_due()
         self.assertEqual(len(self.log._records[STREAM]), 2)
 
     async def test_records_that_expire_under_a_slow_reader_are_not_skipped(self):
@@ -167,9 +169,9 @@
         first = await self.propose("a", 0)
         slow = await self.caught_up()
         second = await self.propose("b", first)
-        awake = await self.caught_up()
-        await self.checkpoint(awake)
-        self.log.expire(STREAM, before=awake.as_of)
+        up_to_date = await self.caught_up()
+        await self.checkpoint(up_to_date)
+        self.log.expire(STREAM, before=up_to_date.as_of)
         await self.append(kind="weights", model="m", version=1)
         await self.caught_up(slow)
         self.assertEqual(slow.state.revision, second)
@@ -224,7 +226,7 @@
         self.assertEqual(starting.as_of, peer.as_of)
         self.assertIs(starting.state, peer.state)
 
-    async def test_a_batch_asked_for_before_a_peers_state_came_is_not_folded(self):
+    async def test_a_batch_older_than_an_adopted_state_is_not_folded(self):
         """
         Symptom: an instance reads the same records for ever, or twice.
         Sequence: a read is under way; a peer's state, further on, is adopted; the
@@ -237,11 +239,11 @@
         await self.append(kind="weights", model="m", version=1)
         peer = await self.caught_up()
         reader.adopt(peer.state, peer.as_of)
-        await reader._take(batch, now())
+        await reader._apply_result(batch, now())
         self.assertEqual(reader.as_of, peer.as_of)
         self.assertIs(reader.state, peer.state)
 
-    async def test_a_start_with_the_log_down_learns_from_a_peer(self):
+    async def test_a_start_with_the_log_down_adopts_a_peers_state(self):
         await self.propose("a", 0)
         peer = await self.caught_up()
         self.log.down = True
@@ -281,7 +283,7 @@
                 reader = await self.caught_up(self.follower(settings_with(**platform)))
                 self.log.expire(STREAM, expired)
                 await self.caught_up(reader)
-                self.assertEqual(reader.checkpoint_due, due)
+                self.assertEqual(reader.is_checkpoint_due, due)
 
     async def test_a_checkpoint_that_expires_in_an_idle_log_is_renewed(self):
         """
@@ -293,13 +295,13 @@
         writer = await self.caught_up(self.follower(may_checkpoint=lambda: True))
         await self.checkpoint(writer)
         await self.caught_up(writer)
-        self.assertFalse(writer.checkpoint_due)
+        self.assertFalse(writer.is_checkpoint_due)
         self.log.expire(STREAM, await self.log.end(STREAM))
         await self.caught_up(writer)
-        await writer._offer_checkpoint()
+        await writer._write_checkpoint_if_due()
         self.assertTrue((await self.caught_up()).state.table)
         await self.caught_up(writer)
-        self.assertFalse(writer.checkpoint_due)
+        self.assertFalse(writer.is_checkpoint_due)
 
     async def test_state_outlives_every_record_of_it(self):
         """
@@ -324,5 +326,7 @@
         reader = await self.caught_up()
         self.assertEqual(reader.state.revision, revision)
         self.assertEqual(reader.state.as_document(), writer.state.as_document())
-        written = [one for one in self.log._records[STREAM] if one.body.get("as_of")]
+        written = [
+            record for record in self.log._records[STREAM] if record.body.get("as_of")
+        ]
         self.assertLess(len(written), 6)
--- a/sassafrasdoor/log/tests/test_machine.py
+++ b/sassafrasdoor/log/tests/test_machine.py
@@ -28,23 +28,27 @@
 FAULT = st.sampled_from([None, None, "lose_replies", "duplicates"])
 
 
-class RememberingLog(MemoryLog):
+class RecordingLog(MemoryLog):
     """Keeps every record ever and the state after it, to judge the readers by."""
 
     def __init__(self):
         super().__init__(stride=2)
-        self.ever = []
-        self.truths = [agreed.Agreed()]
+        self.all_records = []
+        self.expected_states = [agreed.Agreed()]
 
     def _add(self, stream, body):
         offset = super()._add(stream, body)
-        self.ever.append(self._records[stream][-1])
-        self.truths.append(agreed.fold(self.truths[-1], self.ever[-1]))
+        self.all_records.append(self._records[stream][-1])
+        self.expected_states.append(
+            agreed.fold(self.expected_states[-1], self.all_records[-1])
+        )
         return offset
 
-    def truth(self, below):
+    def expected_state(self, below):
         """Return the fold of every record ever appended below an offset."""
-        return self.truths[bisect_left([one.offset for one in self.ever], below)]
+        return self.expected_states[
+            bisect_left([record.offset for record in self.all_records], below)
+        ]
 
 
 class Reader:
@@ -52,7 +56,7 @@
 
     def __init__(self, log):
         self.published = []
-        self.judged = None
+        self.checked_state = None
         self.follower = following.Follower(
             SETTINGS, log, agreed.fold, agreed.Agreed(), may_checkpoint=lambda: True
         )
@@ -64,12 +68,12 @@
     def start(self):
         self.runner = asyncio.Runner()
         self.patches = [
-            mock.patch.object(following, "BATCH", 3),
-            mock.patch.object(checkpoints, "BATCH", 3),
+            mock.patch.object(following, "BATCH_SIZE", 3),
+            mock.patch.object(checkpoints, "BATCH_SIZE", 3),
         ]
         for patch in self.patches:
             patch.start()
-        self.log = RememberingLog()
+        self.log = RecordingLog()
         self.readers = [Reader(self.log) for _ in range(READERS)]
         self.snapshots = []
         self.count = 0
@@ -78,7 +82,7 @@
         if not hasattr(self, "runner"):
             return
         try:
-            self.all_that_can_catch_up_agree()
+            self.check_caught_up_readers_agree()
         finally:
             for patch in self.patches:
                 patch.stop()
@@ -108,10 +112,10 @@
         self.append({"kind": "lease", "replaces": replaces, **body}, fault)
         self.append({"kind": "weights", "model": "m", "version": version}, fault)
 
-    @precondition(lambda self: self.log.ever)
+    @precondition(lambda self: self.log.all_records)
     @rule(which=ANY)
     def repeat_an_old_append(self, which):
-        self.append(self.log.ever[which % len(self.log.ever)].body)
+        self.append(self.log.all_records[which % len(self.log.all_records)].body)
 
     @rule(reader=READER, times=st.integers(1, 4), restarted=st.booleans())
     def read(self, reader, times, restarted):
@@ -125,63 +129,63 @@
 
     @precondition(lambda self: self.snapshots)
     @rule(which=ANY, reader=READER)
-    def an_old_word_of_a_peer_arrives(self, which, reader):
+    def adopt_an_old_peer_state(self, which, reader):
         self.readers[reader].follower.adopt(
             *self.snapshots[which % len(self.snapshots)]
         )
 
     @precondition(lambda self: self.snapshots)
     @rule(which=ANY)
-    def a_checkpoint_is_appended_perhaps_late(self, which):
+    def append_a_possibly_late_checkpoint(self, which):
         snapshot = self.snapshots[which % len(self.snapshots)]
         self.append(checkpoints.body(*snapshot))
 
     @rule(reader=READER)
-    def offer_checkpoint(self, reader):
-        self.runner.run(self.readers[reader].follower._offer_checkpoint())
+    def write_checkpoint_if_due(self, reader):
+        self.runner.run(self.readers[reader].follower._write_checkpoint_if_due())
 
-    @precondition(lambda self: self.log.ever)
+    @precondition(lambda self: self.log.all_records)
     @rule(keep=st.integers(1, 8))
     def expire(self, keep):
-        self.log.expire(STREAM, self.log.ever[-keep:][0].offset)
+        self.log.expire(STREAM, self.log.all_records[-keep:][0].offset)
 
     @rule(reader=READER)
-    def an_outage_meets_a_reader(self, reader):
+    def poll_during_an_outage(self, reader):
         self.log.down = True
         follower = self.readers[reader].follower
         assert not self.runner.run(follower.poll(0))
         self.log.down = False
 
     @invariant()
-    def every_reader_holds_the_fold_of_all_records_below_it(self):
+    def state_is_the_fold_of_all_records_below_as_of(self):
         for reader in getattr(self, "readers", ()):
             follower = reader.follower
-            if follower.state is not reader.judged:
-                reader.judged = follower.state
-                expected = self.log.truth(follower.as_of).as_document()
+            if follower.state is not reader.checked_state:
+                reader.checked_state = follower.state
+                expected = self.log.expected_state(follower.as_of).as_document()
                 assert follower.state.as_document() == expected
 
     @invariant()
-    def nobody_publishes_an_earlier_revision(self):
+    def no_reader_publishes_an_earlier_revision(self):
         for reader in getattr(self, "readers", ()):
             assert reader.published == sorted(reader.published)
 
-    def all_that_can_catch_up_agree(self):
+    def check_caught_up_readers_agree(self):
         end = self.log._next[STREAM]
-        expected = self.log.truth(end).as_document()
+        expected = self.log.expected_state(end).as_document()
         for reader in [*self.readers, Reader(self.log)]:
-            for _ in range(len(self.log.ever) + 2):
+            for _ in range(len(self.log.all_records) + 2):
                 self.runner.run(reader.follower.poll(0))
             if reader.follower.as_of == end:
                 assert reader.follower.state.as_document() == expected
             else:
-                self.assert_nothing_usable(reader.follower.as_of)
+                self.assert_no_usable_checkpoint(reader.follower.as_of)
 
-    def assert_nothing_usable(self, as_of):
+    def assert_no_usable_checkpoint(self, as_of):
         """Only a reader whose records are gone, with no checkpoint, may be stuck."""
         first = self.log._first[STREAM]
         assert as_of < first
-        kept = [record for record in self.log.ever if record.offset >= first]
+        kept = [record for record in self.log.all_records if record.offset >= first]
         usable = [
             record
             for record in kept
--- a/sassafrasdoor/log/tests/test_relay.py
+++ b/sassafrasdoor/log/tests/test_relay.py
@@ -13,7 +13,7 @@
 SILENCE = 30.0
 
 
-class CutLog:
+class CuttableLog:
     """The way of one instance to a log; ``cut`` leaves every call without a reply.
 
     With ``held_fail`` the reads that wait fail; ``short_reads`` counts the others.
@@ -22,7 +22,7 @@
     def __init__(self, log):
         self.log = log
         self.cut = False
-        self.held_fail = False
+        self.long_polls_fail = False
         self.answer = None
         self.calls = 0
         self.short_reads = 0
@@ -36,10 +36,10 @@
             return self.answer
         return await self.log.append(topic, part, records, deadline)
 
-    async def read(self, topic, part, offset, wait, slack, most=None):
+    async def read(self, topic, part, offset, wait, slack, max_bytes=None):
         self.calls += 1
         self.short_reads += not wait
-        if self.held_fail and wait:
+        if self.long_polls_fail and wait:
             return Unavailable("refused")
         if self.cut:
             await asyncio.sleep(wait + slack)
@@ -59,7 +59,7 @@
 class RelayTest(unittest.IsolatedAsyncioTestCase):
     def setUp(self):
         self.log = MemoryPartitionedLog()
-        self.direct, self.peer = CutLog(self.log), CutLog(self.log)
+        self.direct, self.peer = CuttableLog(self.log), CuttableLog(self.log)
         self.relayed = RelayedLog(self.direct, lambda: [self.peer])
 
     def records(self):
@@ -68,12 +68,12 @@
     async def append(self, data=b"x", seconds=1.0):
         return await self.relayed.append("t", 0, [data], deadline_in(seconds))
 
-    async def test_direct_way_alone_is_used_while_it_answers(self):
+    async def test_only_the_direct_path_is_used_while_it_answers(self):
         self.assertIsInstance(await self.append(), Appended)
         self.assertIsInstance(await self.relayed.read("t", 0, 0, 0, 1.0), RawBatch)
         self.assertEqual(self.peer.calls, 0)
 
-    async def test_silent_way_is_left_before_the_deadline(self):
+    async def test_unresponsive_direct_path_is_relayed_before_the_deadline(self):
         """Symptom: an instance that alone is cut off loses its shards.
 
         Sequence: its connection to the log goes silent while it runs steps; its claim
@@ -85,9 +85,9 @@
         self.assertIsInstance(result, Appended)
         self.assertFalse(passed(deadline))
         self.assertEqual(self.records(), [b"x"])
-        self.assertTrue(self.relayed.is_away)
+        self.assertTrue(self.relayed.is_cut_off)
 
-    async def test_list_that_expired_is_loaded_through_another(self):
+    async def test_expired_list_is_loaded_through_a_relay(self):
         """Guards against a list that stays as it was for as long as a cut lasts."""
         await self.log.append("keyed.t", 0, [keyed_record("a", b"1")], deadline_in(1))
         self.direct.cut = True
@@ -102,7 +102,7 @@
     async def refused(self, topic):
         return Unavailable("store answered 503")
 
-    async def test_reads_that_wait_learn_of_the_cut_from_appends(self):
+    async def test_long_polls_are_relayed_once_an_append_detects_the_cut(self):
         """Symptom: the instance renews its claim and does not see it.
 
         Sequence: as above, with a read that waits for new records. Cause: that read
@@ -115,7 +115,7 @@
         async with asyncio.timeout(20):
             self.assertEqual((await reading).records, [b"x"])
 
-    async def test_refused_instance_goes_through_another_at_once(self):
+    async def test_refused_call_is_relayed_at_once(self):
         self.direct.answer = Unavailable("store answered 429")
         self.assertIsInstance(await self.append(), Appended)
         calls = self.direct.calls
@@ -123,7 +123,7 @@
         self.assertEqual(self.direct.calls, calls)
         self.assertIsInstance(await self.relayed.read("t", 0, 0, 0, 1.0), RawBatch)
 
-    async def test_instance_goes_back_once_the_direct_way_answers(self):
+    async def test_instance_returns_to_the_direct_path_once_it_answers(self):
         """Symptom: no caller is sent to an instance any more after a short cut.
 
         Sequence: one of its calls goes unanswered, a relay answers, the direct way
@@ -134,28 +134,28 @@
         await self.append(seconds=30.0)
         self.direct.cut = False
         limit = deadline_in(30.0)
-        while self.relayed.is_away:
+        while self.relayed.is_cut_off:
             self.assertFalse(passed(limit), "still relayed")
             await self.relayed.read("t", 0, 1, 0.05, 1.0)
         calls = self.peer.calls
         self.assertIsInstance(await self.append(), Appended)
         self.assertEqual(self.peer.calls, calls)
 
-    async def test_call_lost_at_the_logs_return_sends_nobody_elsewhere(self):
+    async def test_call_lost_at_recovery_does_not_divert_callers(self):
         """Symptom: after an outage for all every instance names only others.
 
         Sequence: each has a call under way that was sent in silence, a relay answers
         first. Cause: the direct way was asked again only a second later.
         """
-        every, module.PROBE_EVERY = module.PROBE_EVERY, 1000.0
-        self.addCleanup(setattr, module, "PROBE_EVERY", every)
+        interval, module.PROBE_INTERVAL = module.PROBE_INTERVAL, 1000.0
+        self.addCleanup(setattr, module, "PROBE_INTERVAL", interval)
         self.direct.cut = True
         await self.append(seconds=30.0)
         self.direct.cut = False
         await self.relayed.read("t", 0, 1, 0.05, 1.0)
-        self.assertFalse(self.relayed.is_away)
+        self.assertFalse(self.relayed.is_cut_off)
 
-    async def test_way_that_stays_cut_holds_no_read(self):
+    async def test_probe_of_a_cut_path_delays_no_read(self):
         """Each look at the direct way runs beside the reads, which relays answer."""
         self.direct.cut = True
         await self.append(seconds=30.0)
@@ -165,9 +165,9 @@
             found = await self.relayed.read("t", 0, 0, 300.0, 300.0)
             self.assertEqual(found.records, [b"x"])
             await asyncio.sleep(0.02)
-        self.assertTrue(self.relayed.is_away)
+        self.assertTrue(self.relayed.is_cut_off)
 
-    async def test_return_of_the_direct_way_ends_the_wait_for_a_relay(self):
+    async def test_recovery_of_the_direct_path_ends_the_wait_for_a_relay(self):
         """Guards against lists that stay as they are while a dead relay is waited for."""
         self.direct.cut = True
         await self.append(seconds=30.0)
@@ -177,22 +177,22 @@
         await asyncio.sleep(0)
         self.direct.cut = False
         limit = deadline_in(30.0)
-        while self.relayed.is_away:
+        while self.relayed.is_cut_off:
             self.assertFalse(passed(limit), "still relayed")
             await self.relayed.read("t", 0, 1, 0.05, 0.05)
         async with asyncio.timeout(20):
             self.assertEqual((await held).records, [b"x"])
 
-    async def test_way_that_answers_by_turns_is_probed_once_in_a_while(self):
+    async def test_intermittent_direct_path_is_probed_once_per_interval(self):
         """Guards against reads that end each other at the speed of the network."""
-        every, module.PROBE_EVERY = module.PROBE_EVERY, 1000.0
-        self.addCleanup(setattr, module, "PROBE_EVERY", every)
-        self.direct.held_fail = True
+        interval, module.PROBE_INTERVAL = module.PROBE_INTERVAL, 1000.0
+        self.addCleanup(setattr, module, "PROBE_INTERVAL", interval)
+        self.direct.long_polls_fail = True
         for _ in range(10):
             await self.relayed.read("t", 0, 1, 0.02, 0.02)
         self.assertEqual(self.direct.short_reads, 1)
 
-    async def test_slow_log_is_not_asked_twice_for_each_call(self):
+    async def test_slow_log_is_not_sent_every_call_twice(self):
         """Guards against a log that relays keep slow after its cause has gone."""
         self.direct.answer = self.peer.answer = Unavailable("store answered 503")
         for _ in range(100):
@@ -200,7 +200,7 @@
         self.assertEqual(self.direct.calls, 100)
         self.assertLess(self.peer.calls, 20)
 
-    async def test_relays_that_reach_nothing_end_no_other_read(self):
+    async def test_failed_relays_do_not_end_other_reads(self):
         """Symptom: while the log is away for all, every instance takes several times
         the processor and asks it again and again.
 
@@ -216,14 +216,14 @@
         self.peer.answer = Unavailable("down")
         found = await self.relayed.read("t", 0, 1, 0.05, 0.05)
         self.assertIsInstance(found, Unavailable)
-        self.assertFalse(self.relayed.is_away)
+        self.assertFalse(self.relayed.is_cut_off)
         self.peer.answer = None
         calls = self.peer.calls + self.direct.calls
         await asyncio.sleep(0.05)
         self.assertFalse(held.done())
         self.assertEqual(self.peer.calls + self.direct.calls, calls)
 
-    async def test_append_that_may_have_landed_is_not_called_without_effect(self):
+    async def test_append_that_may_have_landed_is_reported_as_reply_lost(self):
         """Symptom: a step is refused as not kept, and runs.
 
         Sequence: the direct append loses its reply, the relay refuses. Cause: the
@@ -237,7 +237,7 @@
         self.direct.answer = self.peer.answer = Unavailable("down")
         self.assertIsInstance(await self.append(), Unavailable)
 
-    async def test_relayed_append_of_unknown_fate_is_not_forgotten(self):
+    async def test_unknown_outcome_of_a_relayed_append_is_kept(self):
         """Symptom: as above, at an instance that was cut off before.
 
         Sequence: the relay loses its reply, then refuses, the direct way refuses too.
@@ -253,8 +253,8 @@
         self.peer.append = append
         self.assertIsInstance(await self.append(), ReplyLost)
 
-    async def test_nobody_reaches_it(self):
+    async def test_unreachable_log_is_unavailable(self):
         self.direct.answer = self.peer.answer = Unavailable("down")
         found = await self.relayed.read("t", 0, 0, 0, 1.0)
         self.assertIsInstance(found, Unavailable)
-        self.assertFalse(self.relayed.is_away)
+        self.assertFalse(self.relayed.is_cut_off)
--- a/sassafrasdoor/log/tests/test_retention_cluster.py
+++ b/sassafrasdoor/log/tests/test_retention_cluster.py
@@ -5,38 +5,40 @@
 from sassafrasdoor.cluster import TABLE, Cluster
 from sassafrasdoor.support import until
 
-KEPT = 50
-BUSY = {"lease": {"duration": 1.5, "renew_interval": 0.1}}
+RETAINED_RECORDS = 50
+FREQUENT_RENEWALS = {"lease": {"duration": 1.5, "renew_interval": 0.1}}
 
 
 class RetentionClusterTest(unittest.IsolatedAsyncioTestCase):
     async def revisions(self, cluster):
         """Return the revision that each instance uses."""
         return [
-            (await cluster.get(one.address, "/v1/status"))[1]["revision"]
-            for one in cluster.instances
+            (await cluster.get(instance.address, "/v1/status"))[1]["revision"]
+            for instance in cluster.instances
         ]
 
-    async def outlived(self, cluster, revision):
+    async def has_outlived_record(self, cluster, revision):
         """Say whether the table's record is long gone and a checkpoint is recent."""
         address = cluster.platform_url.removeprefix("http://")
         _, truth = await cluster.get(address, "/standin/truth")
-        kept = truth["streams"]["agreed"][-KEPT:]
-        if kept[0]["offset"] <= revision + KEPT:
+        kept = truth["streams"]["agreed"][-RETAINED_RECORDS:]
+        if kept[0]["offset"] <= revision + RETAINED_RECORDS:
             return False
-        recent = kept[KEPT // 4]["offset"]
-        return any(one["body"].get("as_of", 0) >= recent for one in kept)
+        recent = kept[RETAINED_RECORDS // 4]["offset"]
+        return any(record["body"].get("as_of", 0) >= recent for record in kept)
 
-    async def test_all_instances_are_killed_after_the_tables_record_expired(self):
+    async def test_table_survives_a_restart_of_all_instances_after_its_record_expired(
+        self,
+    ):
         """
         Symptom: after a power cut no instance knows a table, and none is withdrawn.
         Sequence: renewals of leases push the table's record out of the log; then
         every instance is killed at once and new ones start.
         Cause: no checkpoint among what the log still keeps, or an unusable one.
         """
-        async with Cluster(BUSY) as cluster:
+        async with Cluster(FREQUENT_RENEWALS) as cluster:
             cluster.start_platform()
-            await cluster.platform_faults(retain=KEPT)
+            await cluster.platform_faults(retain=RETAINED_RECORDS)
             cluster.start_engine("engine-1")
             revision = await cluster.propose(TABLE)
             for name in ("old-1", "old-2", "old-3"):
@@ -44,7 +46,8 @@
             await cluster.ready()
 
             await until(
-                lambda: self.outlived(cluster, revision), what="expiry, a checkpoint"
+                lambda: self.has_outlived_record(cluster, revision),
+                what="expiry, a checkpoint",
             )
             for instance in cluster.instances:
                 instance.kill()
--- a/sassafrasdoor/log/tests/test_standstill.py
+++ b/sassafrasdoor/log/tests/test_standstill.py
@@ -6,21 +6,21 @@
 
 from sassafrasdoor.clock import now
 from sassafrasdoor.log.partitioned import keyed_record
-from sassafrasdoor.log.sharing import Way, backlog_share, retry_pause
+from sassafrasdoor.log.sharing import ReadCoordinator, backlog_share, list_retry_pause
 from sassafrasdoor.log.tail import KeyedTail, Tail
 from sassafrasdoor.log.tests.virtual import MEGABYTE, BoundedLog, run
 
-RATE = 40 * MEGABYTE
+BYTES_PER_SECOND = 40 * MEGABYTE
 """Half of what the log is said to send."""
-CALLS = 1000
+CALLS_PER_SECOND = 1000
 """Reads a second, above what the instances make in calm."""
 SHARDS = 5
-RECORD = 50_000
-KEPT = 48
+RECORD_BYTES = 50_000
+RECORDS_PER_SHARD = 48
 """Records of each shard that a new reader has to read, 2.4 MB."""
 FOLLOWERS, NEWCOMERS = 24, 24
-SERVERS, SERVER = 90, 300
-STEPS_EVERY, SERVERS_EVERY, TABLE_EVERY = 0.5, 0.2, 2.0
+SERVERS, SERVER_BYTES = 90, 300
+STEP_INTERVAL, HEARTBEAT_INTERVAL, TABLE_INTERVAL = 0.5, 0.2, 2.0
 
 
 class Instance:
@@ -28,11 +28,15 @@
 
     def __init__(self, log, readers):
         reader = log.reader()
-        share = backlog_share(readers, 2 * RATE, 4 * RECORD)
-        pause = retry_pause(readers, log.calls)
-        way = Way(lambda: share, lambda: pause)
-        self.table = KeyedTail(reader, "keyed.table", self._put_in_force, way=way)
-        self.servers = KeyedTail(reader, "keyed.list", self._listed, 0.35, way=way)
+        share = backlog_share(readers, 2 * BYTES_PER_SECOND, 4 * RECORD_BYTES)
+        pause = list_retry_pause(readers, log.calls_per_second)
+        read_coordinator = ReadCoordinator(lambda: share, lambda: pause)
+        self.table = KeyedTail(
+            reader, "keyed.table", self._apply_table, read_coordinator=read_coordinator
+        )
+        self.servers = KeyedTail(
+            reader, "keyed.list", self._ignore, 0.35, read_coordinator=read_coordinator
+        )
         self.steps = [
             Tail(
                 reader,
@@ -40,79 +44,81 @@
                 shard,
                 lambda offset, data: None,
                 lambda: 0.4,
-                way=way,
+                read_coordinator=read_coordinator,
             )
             for shard in range(SHARDS)
         ]
         self.version = 0
-        self.late = 0.0
+        self.table_delay = 0.0
         self._log = log
 
-    def _listed(self, key, value):
+    def _ignore(self, key, value):
         pass
 
-    def _put_in_force(self, key, value):
+    def _apply_table(self, key, value):
         version, written_at = value.split(b" ")[:2]
         if int(version) > self.version:
             self.version = int(version)
-            self.late = now() - float(written_at)
+            self.table_delay = now() - float(written_at)
 
     def follow_lists(self):
         """Return the tasks that follow the lists."""
-        return [asyncio.ensure_future(one.run()) for one in (self.table, self.servers)]
+        return [
+            asyncio.ensure_future(tail.run()) for tail in (self.table, self.servers)
+        ]
 
     def follow_steps(self):
         """Return the tasks that follow the steps."""
-        return [asyncio.ensure_future(one.run()) for one in self.steps]
+        return [asyncio.ensure_future(tail.run()) for tail in self.steps]
 
     @property
-    def knows_all(self):
+    def is_caught_up(self):
         """Whether it has read everything that the log keeps, but the latest."""
-        kept = self._log.kept
+        storage = self._log.storage
         return all(
-            kept.partition("steps", shard).end - tail.offset <= 2
+            storage.partition("steps", shard).end - tail.offset <= 2
             for shard, tail in enumerate(self.steps)
         )
 
 
 class Fleet:
-    """Instances at one log with its writers; ``cause()`` is over when it returns."""
+    """Instances at one log with its writers; ``disturbance()`` is over when it returns."""
 
-    def __init__(self, followers, newcomers, calls):
-        self.log = BoundedLog(RATE, calls)
+    def __init__(self, followers, newcomers, calls_per_second):
+        self.log = BoundedLog(BYTES_PER_SECOND, calls_per_second)
         self.all = [
             Instance(self.log, followers + newcomers)
             for _ in range(followers + newcomers)
         ]
         self.newcomers = self.all[followers:]
-        self.following = self.all[:followers]
+        self.step_followers = self.all[:followers]
         self._tasks = []
         self._version = 0
 
     async def begin(self):
         """Let the followers read to the end, one by one."""
         self._tasks = [
-            asyncio.ensure_future(self._write(every, write))
-            for every, write in (
-                (STEPS_EVERY, self._step),
-                (SERVERS_EVERY, self._beat),
-                (TABLE_EVERY, self._change),
+            asyncio.ensure_future(self._write_periodically(interval, write))
+            for interval, write in (
+                (STEP_INTERVAL, self._write_steps),
+                (HEARTBEAT_INTERVAL, self._send_heartbeats),
+                (TABLE_INTERVAL, self._write_table),
             )
         ]
         for shard in range(SHARDS):
-            await self._put("steps", shard, [bytes(RECORD)] * KEPT)
-        for one in self.all:
-            self._tasks += one.follow_lists()
-        for one in self.all[: len(self.all) - len(self.newcomers)]:
-            self._tasks += one.follow_steps()
+            await self._put("steps", shard, [bytes(RECORD_BYTES)] * RECORDS_PER_SHARD)
+        for instance in self.all:
+            self._tasks += instance.follow_lists()
+        for instance in self.all[: len(self.all) - len(self.newcomers)]:
+            self._tasks += instance.follow_steps()
             await asyncio.sleep(0.5)
         await asyncio.sleep(2.0)
 
     async def newcomers_read(self):
         """All newcomers begin to read the steps at the same moment."""
-        self.following = self.all
-        for one in self.newcomers:
-            self._tasks += one.follow_steps()
+        self.step_followers = self.all
+        for instance in self.newcomers:
+            self._tasks += instance.follow_steps()
 
     async def silence(self, seconds):
         """Nothing that is asked is answered, for that long."""
@@ -122,52 +128,56 @@
 
     async def refusal(self, seconds):
         """Everything that is asked is refused at once, for that long."""
-        self.log.refuses = True
+        self.log.refuses_calls = True
         await asyncio.sleep(seconds)
-        self.log.refuses = False
+        self.log.refuses_calls = False
 
     def end(self):
         """End all."""
         for task in self._tasks:
             task.cancel()
 
-    async def _write(self, every, write):
+    async def _write_periodically(self, interval, write):
         while True:
             await write()
-            await asyncio.sleep(every)
+            await asyncio.sleep(interval)
 
     async def _put(self, topic, part, records):
-        await self.log.kept.append(topic, part, records, now() + 1)
+        await self.log.storage.append(topic, part, records, now() + 1)
 
-    async def _step(self):
+    async def _write_steps(self):
         for shard in range(SHARDS):
             await self._put("steps", shard, [bytes(5_000)])
 
-    async def _beat(self):
-        for at in range(SERVERS):
-            if int(now() / SERVERS_EVERY) % 6 == at % 6:
-                record = keyed_record(f"i-{at}", b"%f" % now() + bytes(SERVER))
+    async def _send_heartbeats(self):
+        for server in range(SERVERS):
+            if int(now() / HEARTBEAT_INTERVAL) % 6 == server % 6:
+                record = keyed_record(
+                    f"i-{server}", b"%f" % now() + bytes(SERVER_BYTES)
+                )
                 await self._put("keyed.list", 0, [record])
 
-    async def _change(self):
+    async def _write_table(self):
         self._version += 1
         value = b"%d %f " % (self._version, now()) + bytes(40_000)
         await self._put("keyed.table", 0, [keyed_record("config", value)])
 
 
-class StandstillTest(unittest.TestCase):
+class OverloadRecoveryTest(unittest.TestCase):
     """Each sum of bytes fits the log's rate well, once the cause has gone."""
 
-    def play(self, newcomers, cause, rest, calls=math.inf):
+    def run_fleet(self, newcomers, disturbance, settle_time, calls_per_second=math.inf):
         """Check the fleet ``rest`` seconds after the cause has gone."""
 
         async def main(loop):
-            fleet = Fleet(FOLLOWERS, newcomers, calls)
+            fleet = Fleet(FOLLOWERS, newcomers, calls_per_second)
             await fleet.begin()
-            self.assertTrue(all(one.knows_all for one in fleet.all[:FOLLOWERS]))
+            self.assertTrue(
+                all(instance.is_caught_up for instance in fleet.all[:FOLLOWERS])
+            )
             self.assertLess(fleet.log.backlog, 0.3)
-            await cause(fleet)
-            await asyncio.sleep(rest)
+            await disturbance(fleet)
+            await asyncio.sleep(settle_time)
             fleet.end()
             self.check(fleet)
 
@@ -176,25 +186,30 @@
     def check(self, fleet):
         """The log's answers come soon, and all know what it keeps."""
         self.assertLess(fleet.log.backlog, 0.5)
-        behind = sum(not one.knows_all for one in fleet.following)
+        behind = sum(not instance.is_caught_up for instance in fleet.step_followers)
         self.assertEqual(behind, 0)
-        self.assertLess(max(one.late for one in fleet.all), 2.0)
+        self.assertLess(max(instance.table_delay for instance in fleet.all), 2.0)
 
-    def test_newcomers_that_read_all_steps_at_once_get_done(self):
+    def test_newcomers_that_start_together_catch_up(self):
         """Guards against reads that are given up and made again for good."""
-        self.play(NEWCOMERS, Fleet.newcomers_read, 30.0)
+        self.run_fleet(NEWCOMERS, Fleet.newcomers_read, 30.0)
 
-    def test_newcomers_of_a_larger_fleet_get_done(self):
+    def test_newcomers_of_a_larger_fleet_catch_up(self):
         """Guards against a bound that holds for one size of the fleet only."""
-        self.play(4 * NEWCOMERS, Fleet.newcomers_read, 60.0)
+        self.run_fleet(4 * NEWCOMERS, Fleet.newcomers_read, 60.0)
 
-    def test_fleet_reads_on_after_a_refusal(self):
+    def test_fleet_recovers_from_refused_reads(self):
         """Guards against refused reads that are repeated faster than they are taken."""
-        self.play(4 * NEWCOMERS, lambda fleet: fleet.refusal(3.0), 10.0, calls=CALLS)
+        self.run_fleet(
+            4 * NEWCOMERS,
+            lambda fleet: fleet.refusal(3.0),
+            10.0,
+            calls_per_second=CALLS_PER_SECOND,
+        )
 
-    def test_fleet_reads_on_after_a_silence(self):
+    def test_fleet_recovers_from_unanswered_reads(self):
         """Guards against a fleet whose repeats outlive the log's silence."""
-        self.play(0, lambda fleet: fleet.silence(6.0), 10.0)
+        self.run_fleet(0, lambda fleet: fleet.silence(6.0), 10.0)
 
 
 if __name__ == "__main__":
--- a/sassafrasdoor/log/tests/test_tail.py
+++ b/sassafrasdoor/log/tests/test_tail.py
@@ -10,23 +10,23 @@
 from sassafrasdoor.log.sharing import RETRY_PAUSE
 from sassafrasdoor.log.tail import KeyedTail, Tail
 
-CALL_SECONDS = 2.0
+CALL_TIMEOUT = 2.0
 """How long a call that names no time is waited for."""
 
 
-class SilentOnce(MemoryPartitionedLog):
+class SilentFirstReadLog(MemoryPartitionedLog):
     """Never answers the first read: it was sent while the log was cut off."""
 
     def __init__(self):
         super().__init__()
         self.silent = 1
 
-    async def read(self, topic, part, offset, wait, slack, most=None):
+    async def read(self, topic, part, offset, wait, slack, max_bytes=None):
         if self.silent:
             self.silent -= 1
             await asyncio.sleep(wait + slack)
             return module.Unavailable("timeout")
-        return await super().read(topic, part, offset, wait, slack, most)
+        return await super().read(topic, part, offset, wait, slack, max_bytes)
 
 
 class SilentLog(MemoryPartitionedLog):
@@ -37,15 +37,15 @@
         self.silent = False
         self.waiting = self.given_up = 0
 
-    async def read(self, topic, part, offset, wait, slack, most=None):
+    async def read(self, topic, part, offset, wait, slack, max_bytes=None):
         if not self.silent:
-            return await super().read(topic, part, offset, wait, slack, most)
+            return await super().read(topic, part, offset, wait, slack, max_bytes)
         return await self._unanswered(wait + slack)
 
     async def newest(self, topic):
         if not self.silent:
             return await super().newest(topic)
-        return await self._unanswered(CALL_SECONDS)
+        return await self._unanswered(CALL_TIMEOUT)
 
     async def _unanswered(self, seconds):
         self.waiting += 1
@@ -82,14 +82,14 @@
         await self.tail.poll(0)
         self.assertEqual(self.folded, [(2, b"c")])
 
-    async def test_confirms_only_what_was_read_after_the_question(self):
+    async def test_confirms_only_with_reads_sent_after_the_call(self):
         self.assertTrue(await self.tail.confirm(deadline_in(1)))
         self.log.down = True
         self.assertFalse(await self.tail.confirm(deadline_in(0.1)))
-        self.assertTrue(await self.tail.fresh(1000, deadline_in(0)))
-        self.assertFalse(await self.tail.fresh(0, deadline_in(0)))
+        self.assertTrue(await self.tail.ensure_fresh(1000, deadline_in(0)))
+        self.assertFalse(await self.tail.ensure_fresh(0, deadline_in(0)))
 
-    async def test_many_who_ask_share_one_read(self):
+    async def test_concurrent_confirmations_share_one_read(self):
         """Symptom: after a start of all instances the log is read for seconds.
 
         Sequence: readers ask for steps while the shards are read. Cause: each of
@@ -113,7 +113,7 @@
             while not self.folded:  # noqa: ASYNC110
                 await asyncio.sleep(0.01)
 
-    async def test_reader_who_waits_ends_the_pause(self):
+    async def test_waiting_reader_ends_the_pause(self):
         """Guards against samples that come a pause late to the trainer who waits."""
         self.tail._pause = lambda: 1000.0
         task = asyncio.ensure_future(self.tail.run())
@@ -121,13 +121,13 @@
         async with asyncio.timeout(20):
             while self.tail.confirmed_at is None:  # noqa: ASYNC110
                 await asyncio.sleep(0.01)
-            with self.tail.attended():
+            with self.tail.without_pauses():
                 for count, data in enumerate((b"a", b"b", b"c"), start=1):
                     await self.append(data)
                     while len(self.folded) < count:  # noqa: ASYNC110
                         await asyncio.sleep(0.01)
 
-    async def test_outage_is_remembered_with_its_end(self):
+    async def test_end_of_an_outage_is_recorded(self):
         self.log.down = True
         await self.tail.poll(0)
         self.assertIsNotNone(self.tail.failing_since)
@@ -136,9 +136,9 @@
         self.assertIsNone(self.tail.failing_since)
         self.assertLessEqual(self.tail.restored_at, now())
 
-    async def test_silence_begins_with_the_last_answer_before_it(self):
+    async def test_outage_starts_at_the_last_answer_before_it(self):
         """A read that waits is given up long after the log went away."""
-        self.assertIsNone(self.tail.silence)
+        self.assertIsNone(self.tail.last_outage)
         await self.tail.poll(0)
         answered = now()
         self.log.down = True
@@ -147,26 +147,26 @@
         failed = self.tail.failing_since
         self.log.down = False
         await self.tail.poll(0)
-        silence = self.tail.silence
-        self.assertLessEqual(silence.since, answered)
-        self.assertLess(silence.since, failed)
-        self.assertEqual(silence.until, self.tail.restored_at)
+        outage = self.tail.last_outage
+        self.assertLessEqual(outage.since, answered)
+        self.assertLess(outage.since, failed)
+        self.assertEqual(outage.until, self.tail.restored_at)
 
-    async def test_silence_before_the_first_answer_has_no_begin(self):
+    async def test_outage_before_the_first_answer_has_no_start(self):
         self.log.down = True
         await self.tail.poll(0)
         self.log.down = False
         await self.tail.poll(0)
-        self.assertEqual(self.tail.silence.since, LONG_AGO)
+        self.assertEqual(self.tail.last_outage.since, LONG_AGO)
 
-    async def test_read_that_is_never_answered_is_given_up_soon(self):
+    async def test_unanswered_read_times_out_soon(self):
         """Symptom: a change is in force 2.2 s after the log's return.
 
         Sequence: a read is sent while the log is silent, which then comes back and
         acknowledges a change. Cause: the read was waited for five seconds.
         """
-        self.assertLess(module.LONG_POLL + module.SLACK + RETRY_PAUSE, 1.8)
-        log = SilentOnce()
+        self.assertLess(module.LONG_POLL_TIMEOUT + module.READ_SLACK + RETRY_PAUSE, 1.8)
+        log = SilentFirstReadLog()
         seen = asyncio.Event()
         tail = Tail(log, "t", 0, lambda at, data: seen.set())
         task = asyncio.ensure_future(tail.run())
@@ -175,7 +175,7 @@
         async with asyncio.timeout(20):
             await seen.wait()
 
-    async def test_return_is_seen_by_a_read_that_was_sent_after_it(self):
+    async def test_recovery_is_detected_by_a_read_sent_after_it(self):
         """Symptom: an instance goes on 2.5 s after the log has come back.
 
         Sequence: the log is silent for all for seconds, its readers have given up some
@@ -199,7 +199,7 @@
             await folded.wait()
         self.assertEqual(log.given_up, given_up)
 
-    async def test_start_in_silence_is_not_held_by_its_second_read(self):
+    async def test_second_read_of_a_start_during_an_outage_is_short(self):
         """Symptom: steps stand still for three seconds after the log's return.
 
         Sequence: an instance starts while the log is silent, its first read is given
@@ -207,18 +207,20 @@
         """
         asked = []
 
-        async def read(topic, part, offset, wait, slack, most=None):
+        async def read(topic, part, offset, wait, slack, max_bytes=None):
             asked.append(wait + slack)
             return module.Unavailable("timeout")
 
         self.log.read = read
         for _ in range(4):
-            await self.tail.poll(module.LONG_POLL)
-        self.assertLessEqual(max(asked[:2]), module.LONG_POLL + module.SLACK)
+            await self.tail.poll(module.LONG_POLL_TIMEOUT)
+        self.assertLessEqual(
+            max(asked[:2]), module.LONG_POLL_TIMEOUT + module.READ_SLACK
+        )
         # A log that is slower than that is read all the same.
         self.assertGreater(max(asked), 2 * asked[0] - 0.1)
 
-    async def test_pause_gathers_records(self):
+    async def test_pause_batches_records(self):
         reads = []
         read = self.log.read
 
@@ -247,7 +249,7 @@
         self.assertEqual(len(reads), 1)
 
 
-class KeyedReturnTest(unittest.IsolatedAsyncioTestCase):
+class KeyedTailRecoveryTest(unittest.IsolatedAsyncioTestCase):
     """A list is read on soon after the log's return, in whatever state it was."""
 
     async def asyncSetUp(self):
@@ -259,11 +261,13 @@
         record = keyed_record(key, value)
         await self.log.append("keyed.t", 0, [record], deadline_in(1))
 
-    async def elsewhere(self, topic):
+    async def newest_from_peer(self, topic):
         return NewestKeys({"a": b"1"}, 1)
 
-    def follow(self, elsewhere=None):
-        tail = KeyedTail(self.log, "keyed.t", self.take, elsewhere=elsewhere)
+    def follow(self, newest_from_peer=None):
+        tail = KeyedTail(
+            self.log, "keyed.t", self.take, newest_from_peer=newest_from_peer
+        )
         task = asyncio.ensure_future(tail.run())
         self.addCleanup(task.cancel)
         return tail
@@ -289,7 +293,7 @@
             await self.changed.wait()
         self.assertEqual(self.log.given_up, given_up)
 
-    async def test_list_taken_from_elsewhere_is_read_on_at_the_return(self):
+    async def test_list_from_a_peer_is_read_on_after_an_outage(self):
         """Symptom: a server that leaves after an outage is used three seconds more.
 
         Sequence: an instance starts while the log is silent, goes by another's list,
@@ -297,11 +301,11 @@
         one by one, up to three seconds each, although the list had been loaded.
         """
         self.log.silent = True
-        self.follow(self.elsewhere)
+        self.follow(self.newest_from_peer)
         await self.put("a")
         await self.check_return()
 
-    async def test_list_that_expired_in_an_outage_is_loaded_at_the_return(self):
+    async def test_list_expired_during_an_outage_is_reloaded_after_it(self):
         """Symptom: as above, where the log also forgets its history meanwhile.
 
         Sequence: a list is followed, the log goes silent and forgets, a key is
@@ -329,7 +333,7 @@
         record = keyed_record(key, value)
         await self.log.append("keyed.t", 0, [record], deadline_in(1))
 
-    async def test_begins_with_the_newest_values(self):
+    async def test_starts_with_the_newest_values(self):
         await self.put("a", b"1")
         await self.put("a", b"2")
         await self.tail.poll(0)
@@ -344,7 +348,7 @@
         await self.tail.poll(0)
         self.assertEqual(self.values[-1], ("a", b""))
 
-    async def test_key_dropped_among_forgotten_records_is_noticed(self):
+    async def test_key_dropped_in_expired_records_is_reported(self):
         """Symptom: a replica that left long ago still gets work.
 
         Sequence: an instance is cut off; meanwhile a key is dropped and the log
@@ -361,7 +365,7 @@
         self.assertIn(("a", b""), self.values)
         self.assertIn(("c", b"1"), self.values)
 
-    async def test_load_that_is_older_than_what_was_read_changes_nothing(self):
+    async def test_load_older_than_the_read_offset_is_rejected(self):
         """Guards against a list that another reader, who is behind, takes back."""
         await self.put("a", b"1")
         await self.tail.poll(0)
@@ -379,7 +383,7 @@
     async def older(self, topic):
         return NewestKeys({"a": b"1"}, 1)
 
-    async def test_unreadable_record_is_passed_over(self):
+    async def test_unreadable_record_is_skipped(self):
         await self.tail.poll(0)
         partition = self.log.partition("keyed.t", 0)
         partition.records.append(b"")
@@ -388,7 +392,7 @@
         self.assertEqual(self.values, [("a", b"1")])
 
 
-class AllReadTest(unittest.TestCase):
+class AllCaughtUpTest(unittest.TestCase):
     def tails(self, *states):
         """Return tails that have caught up, are behind, or fail."""
         found = []
@@ -399,7 +403,7 @@
             found.append(tail)
         return found
 
-    def test_partitions_that_do_not_answer_keep_no_other_back(self):
+    def test_failing_partitions_are_ignored(self):
         """Guards against instances that never say what they have read."""
         cases = {
             ("read", "read"): True,
@@ -410,4 +414,4 @@
         }
         for states, expected in cases.items():
             with self.subTest(states):
-                self.assertIs(module.all_read(self.tails(*states)), expected)
+                self.assertIs(module.all_caught_up(self.tails(*states)), expected)
--- a/sassafrasdoor/log/tests/test_turns.py
+++ b/sassafrasdoor/log/tests/test_turns.py
@@ -2,94 +2,104 @@
 
 import unittest
 
-from sassafrasdoor.log.turns import AT_ONCE, LONGEST_WAIT, Turn, may_read
+from sassafrasdoor.log.turns import MAX_CONCURRENT_READERS, MAX_WAIT, ReadSlot, may_read
 
-KEPT = 9.0
+BACKLOG_MB = 9.0
 """MB of steps that each reader needs."""
-NEWS = 0.8
+PROPAGATION_DELAY = 0.8
 """Seconds until the others know that an instance has read."""
 READERS = 20
 STEP = 0.01
 
 
-class Play:
+class ReadSimulation:
     """Readers of a log that sends ``rate`` MB a second to all of them together.
 
     ``done`` is when each was done, ``most`` how many read at once at most.
     """
 
-    def __init__(self, rate, in_turns=True):
+    def __init__(self, rate, limited=True):
         self.done = {}
-        self.most = 0
+        self.max_concurrent = 0
         self._rate = rate
-        self._in_turns = in_turns
-        self._left = dict.fromkeys(range(READERS), KEPT)
+        self._limited = limited
+        self._remaining = dict.fromkeys(range(READERS), BACKLOG_MB)
         self._reading = set()
         at = 0.0
-        while self._left:
+        while self._remaining:
             self._begin(at)
             at += STEP
             self._send(at)
 
     def _begin(self, at):
-        known = {one for one, done in self.done.items() if done + NEWS <= at}
-        for one in set(self._left) - self._reading:
-            ahead = sum(other not in known for other in range(one))
-            if not self._in_turns or may_read(ahead, 0.0, at):
-                self._reading.add(one)
-        self.most = max(self.most, len(self._reading))
+        known_done = {
+            reader
+            for reader, done in self.done.items()
+            if done + PROPAGATION_DELAY <= at
+        }
+        for reader in set(self._remaining) - self._reading:
+            ahead = sum(other not in known_done for other in range(reader))
+            if not self._limited or may_read(ahead, 0.0, at):
+                self._reading.add(reader)
+        self.max_concurrent = max(self.max_concurrent, len(self._reading))
 
     def _send(self, at):
-        for one in list(self._reading):
-            self._left[one] -= self._rate * STEP / len(self._reading)
-            if self._left[one] <= 0:
-                del self._left[one]
-                self._reading.discard(one)
-                self.done[one] = at
+        for reader in list(self._reading):
+            self._remaining[reader] -= self._rate * STEP / len(self._reading)
+            if self._remaining[reader] <= 0:
+                del self._remaining[reader]
+                self._reading.discard(reader)
+                self.done[reader] = at
 
 
-class TurnsTest(unittest.TestCase):
-    def test_first_ones_are_done_before_the_others_begin(self):
+class ReadSlotTest(unittest.TestCase):
+    def test_first_readers_finish_before_the_others_start(self):
         """Guards against a runner that is done only when all readers are."""
         for rate in (10.0, 40.0):
-            at_once = Play(rate, in_turns=False)
-            self.assertGreater(at_once.done[0], (READERS - 1) * KEPT / rate)
-            done = Play(rate).done
-            for one in range(AT_ONCE):
-                self.assertLess(done[one], AT_ONCE * KEPT / rate + 2 * STEP)
-
-    def test_few_read_side_by_side(self):
+            at_once = ReadSimulation(rate, limited=False)
+            self.assertGreater(at_once.done[0], (READERS - 1) * BACKLOG_MB / rate)
+            done = ReadSimulation(rate).done
+            for reader in range(MAX_CONCURRENT_READERS):
+                self.assertLess(
+                    done[reader], MAX_CONCURRENT_READERS * BACKLOG_MB / rate + 2 * STEP
+                )
+
+    def test_concurrent_readers_are_limited(self):
         """Guards against answers that come later than readers wait for them."""
-        self.assertEqual(Play(40.0).most, AT_ONCE)
+        self.assertEqual(ReadSimulation(40.0).max_concurrent, MAX_CONCURRENT_READERS)
 
-    def test_turns_last_little_longer_than_reading_at_once(self):
+    def test_limit_adds_little_to_the_total_time(self):
         """Guards against a fleet whose last instances hand calls on for long."""
         for rate in (10.0, 40.0):
-            rounds = READERS / AT_ONCE
-            last = max(Play(rate).done.values())
-            self.assertLess(last, READERS * KEPT / rate + rounds * NEWS)
+            rounds = READERS / MAX_CONCURRENT_READERS
+            last = max(ReadSimulation(rate).done.values())
+            self.assertLess(
+                last, READERS * BACKLOG_MB / rate + rounds * PROPAGATION_DELAY
+            )
 
-    def test_wait_is_bounded_whatever_the_others_do(self):
+    def test_wait_is_bounded(self):
         """Guards against a turn that never comes while others come and go."""
-        self.assertFalse(may_read(AT_ONCE, 7.0, 7.0 + LONGEST_WAIT / 2))
-        self.assertTrue(may_read(100, 7.0, 7.0 + LONGEST_WAIT))
+        self.assertFalse(may_read(MAX_CONCURRENT_READERS, 7.0, 7.0 + MAX_WAIT / 2))
+        self.assertTrue(may_read(100, 7.0, 7.0 + MAX_WAIT))
 
-    def test_first_of_all_never_waits(self):
-        for ahead in range(AT_ONCE):
+    def test_first_readers_never_wait(self):
+        for ahead in range(MAX_CONCURRENT_READERS):
             self.assertTrue(may_read(ahead, 7.0, 7.0))
 
-    def test_turn_comes_once_and_is_waited_for_anew_after_a_step_back(self):
+    def test_slot_is_acquired_once_and_again_after_a_reset(self):
         """Guards against an instance in reserve that reads all as soon as it is called."""
-        turn = Turn()
-        self.assertIsNone(turn.look(AT_ONCE, 10.0))
-        self.assertEqual(turn.look(0, 11.5), 1.5)
-        self.assertTrue(turn.has_come)
-        self.assertIsNone(turn.look(AT_ONCE, 12.0))
-        self.assertTrue(turn.has_come)
-        turn.step_back()
-        self.assertIsNone(turn.look(AT_ONCE, 100.0))
-        self.assertFalse(turn.has_come)
-        self.assertEqual(turn.look(AT_ONCE, 100.0 + LONGEST_WAIT), LONGEST_WAIT)
+        slot = ReadSlot()
+        self.assertIsNone(slot.try_acquire(MAX_CONCURRENT_READERS, 10.0))
+        self.assertEqual(slot.try_acquire(0, 11.5), 1.5)
+        self.assertTrue(slot.has_come)
+        self.assertIsNone(slot.try_acquire(MAX_CONCURRENT_READERS, 12.0))
+        self.assertTrue(slot.has_come)
+        slot.reset()
+        self.assertIsNone(slot.try_acquire(MAX_CONCURRENT_READERS, 100.0))
+        self.assertFalse(slot.has_come)
+        self.assertEqual(
+            slot.try_acquire(MAX_CONCURRENT_READERS, 100.0 + MAX_WAIT), MAX_WAIT
+        )
 
 
 if __name__ == "__main__":
--- a/sassafrasdoor/log/tests/virtual.py
+++ b/sassafrasdoor/log/tests/virtual.py
@@ -13,12 +13,12 @@
 
 LOAD_TIMEOUT = 2.0
 """Seconds for a load of the newest values, as of the platform's store."""
-DELAY = 0.004
+ANSWER_DELAY = 0.004
 MEGABYTE = 1_000_000
-HEADER = 200
+HEADER_BYTES = 200
 
 
-class _Skipping(selectors.SelectSelector):
+class _VirtualSelector(selectors.SelectSelector):
     """Sleeps by moving the time on."""
 
     def __init__(self):
@@ -34,12 +34,12 @@
     """An event loop whose time passes in its waits alone."""
 
     def __init__(self):
-        self._skipping = _Skipping()
-        super().__init__(self._skipping)
+        self._selector = _VirtualSelector()
+        super().__init__(self._selector)
 
     def time(self):
         """Return the virtual seconds since the begin."""
-        return self._skipping.time
+        return self._selector.time
 
 
 def run(main):
@@ -62,12 +62,12 @@
     more than ``calls`` a second it refuses all at once; refused ones count too.
     """
 
-    def __init__(self, rate, calls=math.inf):
-        self.kept = MemoryPartitionedLog()
+    def __init__(self, rate, calls_per_second=math.inf):
+        self.storage = MemoryPartitionedLog()
         self.rate = rate
-        self.calls = calls
-        self.refuses = False
-        self._level = 0.0
+        self.calls_per_second = calls_per_second
+        self.refuses_calls = False
+        self._bucket_level = 0.0
         self._leaked_at = 0.0
         self.silent = False
         self.sent = 0
@@ -78,12 +78,12 @@
         """Seconds for which a small answer would wait now."""
         return max(0.0, self._free_at - clock.now())
 
-    def takes(self):
+    def accepts_call(self):
         """Count a call; say whether it is not refused."""
-        leaked = (clock.now() - self._leaked_at) * min(self.calls, 1e9)
+        leaked = (clock.now() - self._leaked_at) * min(self.calls_per_second, 1e9)
         self._leaked_at = clock.now()
-        self._level = max(0.0, self._level - leaked) + 1
-        return self._level <= self.calls and not self.refuses
+        self._bucket_level = max(0.0, self._bucket_level - leaked) + 1
+        return self._bucket_level <= self.calls_per_second and not self.refuses_calls
 
     def reader(self):
         """Return the way of one instance to it."""
@@ -93,7 +93,7 @@
         """Return once so many bytes are sent behind all that was asked before."""
         self.sent += size
         self._free_at = max(self._free_at, clock.now()) + size / self.rate
-        await asyncio.sleep(self._free_at + DELAY - clock.now())
+        await asyncio.sleep(self._free_at + ANSWER_DELAY - clock.now())
 
 
 class _Reader(PartitionedLog):
@@ -103,24 +103,24 @@
         self._log = log
 
     @property
-    def is_away(self):
+    def is_cut_off(self):
         return False
 
     async def append(self, topic, part, records, deadline):
-        return await self._log.kept.append(topic, part, records, deadline)
+        return await self._log.storage.append(topic, part, records, deadline)
 
-    async def read(self, topic, part, offset, wait, slack, most=None):
-        return await self._within(
-            wait + slack, self._read(topic, part, offset, wait, slack, most)
+    async def read(self, topic, part, offset, wait, slack, max_bytes=None):
+        return await self._with_timeout(
+            wait + slack, self._read(topic, part, offset, wait, slack, max_bytes)
         )
 
     async def newest(self, topic):
-        return await self._within(LOAD_TIMEOUT, self._newest(topic))
+        return await self._with_timeout(LOAD_TIMEOUT, self._newest(topic))
 
-    async def _within(self, seconds, call):
-        if not self._log.takes():
+    async def _with_timeout(self, seconds, call):
+        if not self._log.accepts_call():
             call.close()
-            await asyncio.sleep(DELAY)
+            await asyncio.sleep(ANSWER_DELAY)
             return Unavailable("store answered 429")
         try:
             async with asyncio.timeout(seconds):
@@ -128,20 +128,22 @@
         except TimeoutError:
             return Unavailable("timeout")
 
-    async def _read(self, topic, part, offset, wait, slack, most):
-        await self._heard()
-        most = MEGABYTE if most is None else min(most, MEGABYTE)
-        batch = await self._log.kept.read(topic, part, offset, wait, slack, most)
-        await self._log.answer(HEADER + sum(map(len, batch.records)))
+    async def _read(self, topic, part, offset, wait, slack, max_bytes):
+        await self._block_if_silent()
+        max_bytes = MEGABYTE if max_bytes is None else min(max_bytes, MEGABYTE)
+        batch = await self._log.storage.read(
+            topic, part, offset, wait, slack, max_bytes
+        )
+        await self._log.answer(HEADER_BYTES + sum(map(len, batch.records)))
         return batch
 
     async def _newest(self, topic):
-        await self._heard()
-        newest = await self._log.kept.newest(topic)
-        size = HEADER + sum(map(len, newest.values.values()))
+        await self._block_if_silent()
+        newest = await self._log.storage.newest(topic)
+        size = HEADER_BYTES + sum(map(len, newest.values.values()))
         await self._log.answer(size)
         return newest
 
-    async def _heard(self):
+    async def _block_if_silent(self):
         if self._log.silent:
             await asyncio.get_running_loop().create_future()
--- a/sassafrasdoor/log/turns.py
+++ b/sassafrasdoor/log/turns.py
@@ -9,39 +9,39 @@
 The others hand their callers on to those that have read.
 """
 
-AT_ONCE = 4
+MAX_CONCURRENT_READERS = 4
 """Instances that read side by side: by itself one takes a third of what the log sends."""
-LONGEST_WAIT = 8.0
+MAX_WAIT = 8.0
 """Seconds after which an instance reads in any case."""
 
 
-def may_read(ahead, waiting_since, moment):
-    """Say whether an instance may begin to read what the log keeps at a ``moment``.
+def may_read(ahead, waiting_since, at):
+    """Say whether an instance may begin to read what the log keeps at a ``at``.
 
     ``ahead`` is how many instances that come before it may still have to read;
     ``waiting_since`` is when it began to wait. Times are monotonic.
     """
-    return ahead < AT_ONCE or moment >= waiting_since + LONGEST_WAIT
+    return ahead < MAX_CONCURRENT_READERS or at >= waiting_since + MAX_WAIT
 
 
-class Turn:
+class ReadSlot:
     """One instance's turn to read: ``has_come`` until it steps back."""
 
     __slots__ = ("_waiting_since", "has_come")
 
     def __init__(self):
-        self.step_back()
+        self.reset()
 
-    def step_back(self):
+    def reset(self):
         """Wait anew from the next look on: it need not read for now."""
         self._waiting_since = None
         self.has_come = False
 
-    def look(self, ahead, moment):
+    def try_acquire(self, ahead, at):
         """Return the seconds that it waited if its turn comes now, else None."""
         if self.has_come:
             return None
         if self._waiting_since is None:
-            self._waiting_since = moment
-        self.has_come = may_read(ahead, self._waiting_since, moment)
-        return moment - self._waiting_since if self.has_come else None
+            self._waiting_since = at
+        self.has_come = may_read(ahead, self._waiting_since, at)
+        return at - self._waiting_since if self.has_come else None
--- a/sassafrasdoor/platform/peers.py
+++ b/sassafrasdoor/platform/peers.py
@@ -9,7 +9,7 @@
 import random
 
 from sassafrasdoor.clock import deadline_in
-from sassafrasdoor.log.demand import RELAY, asked_for
+from sassafrasdoor.log.demand import RELAY, call_purpose
 from sassafrasdoor.outcomes import Expired, Outcome, ReplyLost, Unavailable
 from sassafrasdoor.platform.handlers import WireHandler
 from sassafrasdoor.platform.store import (
@@ -88,7 +88,7 @@
     async def _from_store(self, tail):
         if tail.failing_since is not None:
             return None
-        with asked_for(RELAY):
+        with call_purpose(RELAY):
             return await self._while_present(self._parts.store.newest(tail.topic))
 
 
@@ -104,7 +104,7 @@
 
     async def get(self):
         """Read on; answers only what the store itself has said."""
-        with asked_for(RELAY):
+        with call_purpose(RELAY):
             await self._read()
 
     async def _read(self):
@@ -128,7 +128,7 @@
         if not records:
             self._reply(400)
             return
-        with asked_for(RELAY):
+        with call_purpose(RELAY):
             result = await self._parts.store.append(
                 *self._partition(), records, deadline_in(TIMEOUT)
             )
--- a/sassafrasdoor/platform/process.py
+++ b/sassafrasdoor/platform/process.py
@@ -9,11 +9,16 @@
 
 from sassafrasdoor.clock import deadline_in, now, passed, remaining
 from sassafrasdoor.decisions import note
-from sassafrasdoor.log.demand import Demand
+from sassafrasdoor.log.demand import CallCounter
 from sassafrasdoor.log.relay import RelayedLog
-from sassafrasdoor.log.sharing import Way, backlog_share, retry_pause, shared_pause
-from sassafrasdoor.log.tail import KeyedTail, Tail, all_read
-from sassafrasdoor.log.turns import Turn
+from sassafrasdoor.log.sharing import (
+    ReadCoordinator,
+    backlog_share,
+    follower_pause,
+    list_retry_pause,
+)
+from sassafrasdoor.log.tail import KeyedTail, Tail, all_caught_up
+from sassafrasdoor.log.turns import ReadSlot
 from sassafrasdoor.platform import (
     configuration,
     front,
@@ -88,7 +93,7 @@
         self._settings_stamp = platform_settings.stamp(path)
         self._metrics_port = metrics_port
         self._stop = asyncio.Event()
-        self._turn = Turn()
+        self._turn = ReadSlot()
         self._follows = asyncio.Event()
         self._servers = []
         self.closing = False
@@ -97,11 +102,11 @@
 
     def _build(self):
         settings = self._settings
-        self._demand = Demand()
+        self._demand = CallCounter()
         self._store = Store(settings.store, self._demand)
         self._peers = Peers(settings.peers)
         self._log = RelayedLog(self._store, self._relays)
-        self._way = Way(self._backlog_share, self._retry_pause)
+        self._read_coordinator = ReadCoordinator(self._backlog_share, self._retry_pause)
         self._client = WireReplicas()
         self._routes = RoutesInForce(
             lambda: self._operator.confirmed_at, lambda: settings.config_apply
@@ -124,7 +129,7 @@
             CRASHES_PAUSE,
             self._peers.newest,
             # Apart from the others: while it is late the steps are read all the same.
-            Way(self._backlog_share, self._retry_pause),
+            ReadCoordinator(self._backlog_share, self._retry_pause),
         )
         self._steps = Steps()
         # The shard after those of the steps is no step's: its holder orders the loads.
@@ -140,7 +145,7 @@
             self._peers.newest,
             settings.control,
             member,
-            self._way,
+            self._read_coordinator,
         )
         self._tails = [
             Tail(
@@ -150,7 +155,7 @@
                 self._fold_of(shard),
                 self._pause_of(shard),
                 self._follows,
-                self._way,
+                self._read_coordinator,
             )
             for shard in range(shards + 1)
         ]
@@ -182,8 +187,8 @@
             self._log,
             configuration.OPERATOR_TOPIC,
             keys.take,
-            elsewhere=self._peers.newest,
-            way=self._way,
+            newest_from_peer=self._peers.newest,
+            read_coordinator=self._read_coordinator,
         )
         listed = configuration.ServerKeys(self._replicas)
         self._list = KeyedTail(
@@ -192,7 +197,7 @@
             listed.take,
             LIST_PAUSE,
             self._peers.newest,
-            self._way,
+            self._read_coordinator,
         )
         self._replicas.list_tail = self._list
 
@@ -337,7 +342,7 @@
             else:
                 self._follows.clear()
             steps = self._tails[: self._weights_shard]
-            self._instances.has_read = self._follows.is_set() and all_read(steps)
+            self._instances.has_read = self._follows.is_set() and all_caught_up(steps)
             waits = not (self._turn.has_come or self._instances.in_reserve)
             await asyncio.sleep(FIRST_TICK if waits else FOLLOW_TICK)
 
@@ -353,7 +358,7 @@
         if self._shards.holding:
             return True
         if not self._instances.is_entry_point:
-            self._turn.step_back()
+            self._turn.reset()
             return False
         if not self._turn.has_come:
             self._look_at_turn()
@@ -361,7 +366,7 @@
 
     def _look_at_turn(self):
         ahead = self._unread_ahead
-        waited = self._turn.look(ahead, now())
+        waited = self._turn.try_acquire(ahead, now())
         if waited is not None:
             note(
                 "steps.reading",
@@ -406,7 +411,7 @@
         """Return the pause between reads of a shard, as a function of no arguments."""
 
         def pause():
-            shared = shared_pause(
+            shared = follower_pause(
                 self._instances.entry_points,
                 len(self._steps.used_shards),
                 self._settings.reads_per_second,
@@ -426,7 +431,7 @@
         )
 
     def _retry_pause(self):
-        return retry_pause(self._instances.alive, self._settings.reads_per_second)
+        return list_retry_pause(self._instances.alive, self._settings.reads_per_second)
 
     def _fold_of(self, shard):
         return lambda offset, data: self._steps.fold(shard, offset, data)
--- a/sassafrasdoor/platform/store.py
+++ b/sassafrasdoor/platform/store.py
@@ -8,7 +8,7 @@
 from sassafrasdoor.backends.connections import Connections, Outgoing
 from sassafrasdoor.backends.interface import Broken
 from sassafrasdoor.clock import deadline_in
-from sassafrasdoor.log.demand import Demand
+from sassafrasdoor.log.demand import CallCounter
 from sassafrasdoor.log.partitioned import (
     Appended,
     NewestKeys,
@@ -41,7 +41,7 @@
     def __init__(self, address, demand=None, newest_query=()):
         self._address = address
         self._newest_query = dict(newest_query)
-        self._demand = demand or Demand()
+        self._demand = demand or CallCounter()
         self._connections = Connections()
 
     def close(self):
@@ -63,13 +63,13 @@
             return Unavailable(f"store answered {reply.status}")
         return ReplyLost(f"store answered {reply.status}")
 
-    async def read(self, topic, part, offset, wait, slack=CALL_TIMEOUT, most=None):
+    async def read(self, topic, part, offset, wait, slack=CALL_TIMEOUT, max_bytes=None):
         """Return a ``RawBatch``, ``Expired`` or ``Unavailable``."""
         query = {"Topic": topic, "part": part, "From": offset}
         if wait:
             query["WaitMs"] = int(wait * 1000)
-        if most is not None:
-            query["MaxKb"] = max(1, int(most) // 1024)
+        if max_bytes is not None:
+            query["MaxKb"] = max(1, int(max_bytes) // 1024)
         deadline = deadline_in(wait + slack)
         reply = await self._call("read", "GET", "log-read", query, b"", deadline)
         if isinstance(reply, Broken):
--- a/sassafrasdoor/platform/tests/test_process.py
+++ b/sassafrasdoor/platform/tests/test_process.py
@@ -5,7 +5,7 @@
 import unittest
 from unittest import mock
 
-from sassafrasdoor.log.sharing import LISTS, READS_SHARE
+from sassafrasdoor.log.sharing import FOLLOWER_READ_SHARE, LIST_COUNT
 from sassafrasdoor.platform import settings
 from sassafrasdoor.platform.local import TEXT
 from sassafrasdoor.platform.process import Process
@@ -37,10 +37,10 @@
             process._instances.tail,
             process._crash_list,
         )
-        self.assertEqual(len(lists), LISTS)
+        self.assertEqual(len(lists), LIST_COUNT)
         with mock.patch.object(Instances, "alive", ALIVE):
-            reads = sum(ALIVE / one._way.pause for one in lists)
-        self.assertLessEqual(reads, READS_SHARE * READS * 1.001)
+            reads = sum(ALIVE / one._read_coordinator.retry_delay for one in lists)
+        self.assertLessEqual(reads, FOLLOWER_READ_SHARE * READS * 1.001)
 
 
 if __name__ == "__main__":
--- a/sassafrasdoor/routing/instances.py
+++ b/sassafrasdoor/routing/instances.py
@@ -314,7 +314,7 @@
         """
         failing_since = self.tail.failing_since
         if failing_since is None:
-            return self._log.is_away
+            return self._log.is_cut_off
         return passed(failing_since + CUT_OFF_AFTER)
 
     def has_ended(self, address, process, since):
@@ -377,7 +377,7 @@
         """
         if self.tail.ended_at - one.at < one.lapses_after:
             return True
-        silence = self.tail.silence
+        silence = self.tail.last_outage
         if silence is None or passed(silence.until + one.lapses_after):
             return False
         return silence.since - one.at < one.lapses_after
--- a/sassafrasdoor/routing/replicas.py
+++ b/sassafrasdoor/routing/replicas.py
@@ -257,7 +257,7 @@
         Counted from the entry's end instead of from the list's return, or after any lost
         read, it would give work to a replica that left without a word until it exits.
         """
-        silence = self.list_tail.silence if self.list_tail is not None else None
+        silence = self.list_tail.last_outage if self.list_tail is not None else None
         if silence is None:
             return LONG_AGO
         if silence.until - silence.since < MISSED_TO_LAPSE * self._heartbeat:
@@ -282,7 +282,7 @@
     def _silence_fields(self, until):
         """Return what decided for how long a lapsed entry is believed on."""
         fields = {"tried_seconds": round(remaining(until), 3)}
-        silence = self.list_tail.silence
+        silence = self.list_tail.last_outage
         if silence is None:
             return fields
         if silence.since != LONG_AGO:
--- a/sassafrasdoor/routing/tests/test_instances.py
+++ b/sassafrasdoor/routing/tests/test_instances.py
@@ -9,7 +9,7 @@
 from sassafrasdoor.clock import LONG_AGO, deadline_in, now
 from sassafrasdoor.log.memory_partitioned import MemoryPartitionedLog
 from sassafrasdoor.log.partitioned import keyed_record, split_keyed
-from sassafrasdoor.log.tail import Silence
+from sassafrasdoor.log.tail import Outage
 from sassafrasdoor.routing import instance_view, instances as module
 from sassafrasdoor.routing.instances import Instances
 
@@ -62,7 +62,7 @@
         others = {"i1:80", "i2:80", "i3:80", "i4:80"}
         self.assertLessEqual(others, set(self.all[0].addresses("c")))
         tail.failing_since = None
-        tail.silence = Silence(now() - 1.2, now())
+        tail.last_outage = Outage(now() - 1.2, now())
         self.assertEqual(len(self.all[0].addresses("c")), 5)
 
     async def test_nobody_lapses_before_the_silence_is_noticed(self):
@@ -89,7 +89,7 @@
         await asyncio.sleep(0.2)
         tail.failing_since = now()
         await tail.poll(0)
-        tail.silence = None
+        tail.last_outage = None
         self.all[0]._view = None
         self.assertLessEqual(peers, set(self.all[0].addresses("c")))
 
@@ -103,8 +103,8 @@
         tail = self.all[0].tail
         self.all[0]._seen["i1:80"].at = now() - 60.0
         self.assertNotIn("i1:80", self.all[0].addresses("c"))
-        tail.silence = Silence(now() - 2.0, now())
-        tail.restored_at = tail.silence.until
+        tail.last_outage = Outage(now() - 2.0, now())
+        tail.restored_at = tail.last_outage.until
         self.all[0]._view = None
         self.assertNotIn("i1:80", self.all[0].addresses("c"))
 
--- a/sassafrasdoor/routing/tests/test_replicas.py
+++ b/sassafrasdoor/routing/tests/test_replicas.py
@@ -3,7 +3,7 @@
 import unittest
 
 from sassafrasdoor.clock import LONG_AGO, now
-from sassafrasdoor.log.tail import Silence
+from sassafrasdoor.log.tail import Outage
 from sassafrasdoor.routing import replicas as module
 from sassafrasdoor.routing.replicas import Listing, Replicas
 
@@ -11,7 +11,7 @@
 class Tail:
     """The state of the list's reader."""
 
-    silence = None
+    last_outage = None
 
 
 class ReplicasTest(unittest.TestCase):
@@ -37,7 +37,7 @@
     def test_entries_that_lapse_in_an_outage_are_tried_on(self):
         """Guards against lapsed entries taken for ended replicas in an outage."""
         self.listed("x")
-        self.tail.silence = Silence(now() - 6.0, now())
+        self.tail.last_outage = Outage(now() - 6.0, now())
         self.replicas.unlisted("x")
         self.assertEqual(self.names(), ["x"])
         self.replicas.get("x").absent_until = LONG_AGO
@@ -48,7 +48,7 @@
         """Guards against use of a replica that ended after an outage of the list."""
         self.listed("x")
         returned_at = now() - 2.0
-        self.tail.silence = Silence(returned_at - 6.0, returned_at)
+        self.tail.last_outage = Outage(returned_at - 6.0, returned_at)
         self.replicas.unlisted("x")
         used_until = getattr(self.replicas.get("x"), "absent_until", returned_at)
         self.assertLessEqual(used_until, returned_at + module.OUTAGE_GRACE)
@@ -56,13 +56,13 @@
     def test_short_silence_ends_no_entry(self):
         """Guards against a lost read of the list that extends ended entries."""
         self.listed("x")
-        self.tail.silence = Silence(now() - 2.0, now())
+        self.tail.last_outage = Outage(now() - 2.0, now())
         self.replicas.unlisted("x")
         self.assertEqual(self.names(), [])
 
     def test_entry_that_comes_back_is_whole_again(self):
         self.listed("x")
-        self.tail.silence = Silence(now() - 6.0, now())
+        self.tail.last_outage = Outage(now() - 6.0, now())
         self.replicas.unlisted("x")
         self.assertIsNotNone(self.replicas.get("x").absent_until)
         self.listed("x")
--- a/sassafrasdoor/steps/durable/service.py
+++ b/sassafrasdoor/steps/durable/service.py
@@ -149,9 +149,9 @@
         tail = self._tails[step.shard]
         if tail.is_starting and len(step.listed) <= first and not step.is_done:
             return self._unsure(step, first)
-        with tail.attended():
+        with tail.without_pauses():
             if not step.is_done:
-                await tail.fresh(READ_WITHIN, deadline_in(LOOK_TIMEOUT))
+                await tail.ensure_fresh(READ_WITHIN, deadline_in(LOOK_TIMEOUT))
             while len(step.listed) <= first and not step.is_done:
                 if passed(wait_deadline):
                     break
@@ -159,7 +159,7 @@
         # Another instance may have shown more already: one that has just started, or
         # was cut off, is still reading what the log lists.
         knows_all = len(step.listed) > first or step.is_done
-        if not knows_all and not await tail.fresh(
+        if not knows_all and not await tail.ensure_fresh(
             FRESH_WITHIN, deadline_in(CONFIRM_TIMEOUT)
         ):
             return self._unsure(step, first)
--- a/sassafrasdoor/steps/durable/tests/test_shards.py
+++ b/sassafrasdoor/steps/durable/tests/test_shards.py
@@ -187,8 +187,8 @@
         await asyncio.sleep(remaining(deadline))
         return ReplyLost("timeout")
 
-    async def read(self, topic, part, offset, wait, slack, most=None):
-        result = await super().read(topic, part, offset, wait, slack, most)
+    async def read(self, topic, part, offset, wait, slack, max_bytes=None):
+        result = await super().read(topic, part, offset, wait, slack, max_bytes)
         if self.silent:
             await asyncio.sleep(wait + slack)
             return Unavailable("timeout")
