--- a/sassafrasdoor/log/__init__.py
+++ b/sassafrasdoor/log/__init__.py
@@ -1,1 +1,1 @@
-"""Following and appending to the platform's log; checkpoints."""
+"""Access to the platform's log: adapters, followers and checkpoints."""
--- a/sassafrasdoor/log/agreed.py
+++ b/sassafrasdoor/log/agreed.py
@@ -1,7 +1,6 @@
-"""The agreed state: one pure fold over the agreed stream.
+"""The agreed state: a pure fold over the agreed stream.
 
-Every reader that folds the same records holds the same state, whenever and
-wherever it reads them.
+Readers that have folded the same records hold the same state.
 """
 
 from pydantic import BaseModel, ConfigDict, Field, ValidationError
@@ -14,7 +13,7 @@
 
 
 class Announcement(BaseModel):
-    """The body of a weights record."""
+    """Body of a record that announces a weight version."""
 
     model_config = ConfigDict(strict=True, extra="ignore")
 
@@ -25,8 +24,8 @@
 class Agreed:
     """The table in force, the newest weight versions and the leases.
 
-    ``accepted`` is the table's own state; ``weights`` maps a model to its newest
-    announced version; ``leases`` maps a lease's name to its ``Lease``.
+    ``accepted`` is the fold of the table proposals; ``weights`` maps a model to its
+    newest announced version, ``leases`` a lease's name to its ``Lease``.
     """
 
     __slots__ = ("accepted", "leases", "weights")
@@ -43,7 +42,7 @@
 
     @property
     def revision(self):
-        """The offset of the table in force; 0 for none."""
+        """The offset of the table in force, 0 if there is none."""
         return self.accepted.revision
 
     def as_document(self):
@@ -58,9 +57,9 @@
 
     @classmethod
     def from_document(cls, document):
-        """Return the state in such a mapping.
+        """Return the state from a mapping made by ``as_document()``.
 
-        Raises ``ValueError``, ``KeyError`` or ``TypeError`` if it is none.
+        Raises ``ValueError``, ``KeyError`` or ``TypeError`` if it is malformed.
         """
         leases = {
             str(name): claims.Lease.from_document(lease)
@@ -76,7 +75,7 @@
 
 
 def fold(state, record):
-    """Return the state after ``record``; other kinds of record change nothing."""
+    """Return the state after ``record``; records of unknown kinds are ignored."""
     body = record.body
     kind = body.get("kind") if isinstance(body, dict) else None
     step = _FOLDS.get(kind) if isinstance(kind, str) else None
@@ -94,8 +93,8 @@
     try:
         announced = Announcement.model_validate(record.body)
     except ValidationError:
-        # A version beyond 64 bits, once folded in, could be announced to no entry any
-        # more: all of them would keep the view that they have.
+        # A version beyond 64 bits could not be sent to any entry point: all of them
+        # would keep their current view.
         return state
     known = state.weights
     if announced.version <= known.get(announced.model, 0):
--- a/sassafrasdoor/log/announce.py
+++ b/sassafrasdoor/log/announce.py
@@ -7,14 +7,15 @@
 from sassafrasdoor.log.follower import Follower
 from sassafrasdoor.outcomes import Rejected, ReplyLost, Unavailable
 
-RETRY_INTERVAL = 0.1
+RETRY_INTERVAL = 0.1  # seconds
 
 
 async def announce(settings, log, model, version, deadline):
-    """Announce a version once; return the newest agreed one or an outcome.
+    """Announce a version once; return the model's newest agreed version or an outcome.
 
-    ``Rejected``: one as new or newer is announced already. ``ReplyLost``: the log
-    did not say in time; announcing again is harmless, the fold takes newer ones.
+    ``Rejected``: this or a newer version is already announced. ``ReplyLost``: the record
+    was not read back by ``deadline``; repeating the announcement is harmless, as the fold
+    ignores versions that are not newer.
     """
     follower = Follower(settings, log, agreed.fold, agreed.Agreed())
     state = await follower.catch_up(deadline)
--- a/sassafrasdoor/log/checkpoints.py
+++ b/sassafrasdoor/log/checkpoints.py
@@ -1,4 +1,4 @@
-"""Checkpoints: a state and the offset it stands at, so that it survives its records."""
+"""Checkpoints: the state as of an offset, which outlives the records it came from."""
 
 from sassafrasdoor.outcomes import Expired
 
@@ -9,7 +9,7 @@
 class Checkpoint:
     """A ``state`` as of an offset: all records below ``as_of`` are folded in.
 
-    ``offset`` is where the checkpoint itself stands in the log.
+    ``offset`` is that of the checkpoint's own record.
     """
 
     __slots__ = ("as_of", "offset", "state")
@@ -26,15 +26,15 @@
 
 
 def is_checkpoint(record):
-    """Say whether a record looks like a checkpoint."""
+    """Return whether a record is marked as a checkpoint; it may still be invalid."""
     return isinstance(record.body, dict) and record.body.get("kind") == KIND
 
 
 def decode(record, state_class):
-    """Return the ``Checkpoint`` in a record, or None if it is not usable."""
+    """Return the ``Checkpoint`` in a record, or None if it is invalid."""
     try:
         as_of = record.body["as_of"]
-        # One that claims to know records after itself was not written by us.
+        # No writer can have folded records that follow its checkpoint.
         if type(as_of) is not int or not 0 <= as_of <= record.offset:
             return None
         state = state_class.from_document(record.body["state"])
@@ -44,16 +44,15 @@
 
 
 async def newest_usable(log, stream, state_class, window):
-    """Return the ``Checkpoint`` with the highest as-of that can be continued.
+    """Return the usable ``Checkpoint`` with the highest ``as_of``.
 
-    That is one whose following records are all still kept; None if there is none,
-    ``Unavailable`` if the log did not answer. Never simply the last in the log: one
-    written before its writer was paused, and appended after it woke, is older than
-    its place says, and starting there would revert every new reader.
+    It is usable if all records from ``as_of`` on are still kept. Returns None if there
+    is none, ``Unavailable`` if the log did not answer. The last checkpoint in the log
+    may not be the newest: if its writer was paused before the append, its state is
+    older than its offset suggests, and would revert every reader that starts from it.
 
-    Looks at the last ``window`` offsets first and doubles that. A checkpoint that
-    lies before the part looked at is older than its offset, so once the best one's
-    as-of lies inside that part no other can beat it.
+    Scans the last ``window`` offsets and doubles the window until the best ``as_of``
+    lies inside it: ``as_of`` never exceeds the offset, so no earlier one is better.
     """
     end = await log.end(stream)
     if not end:
@@ -76,7 +75,7 @@
 
 
 class _ScanResult:
-    """The records of a part of the log: best usable checkpoint in it."""
+    """The best usable checkpoint in a scanned part of the log."""
 
     __slots__ = ("best", "first_offset")
 
@@ -90,7 +89,7 @@
 
     def finish(self, first_offset):
         self.first_offset = first_offset
-        # Records may have expired while we read; what follows it must be kept.
+        # Records may have expired during the scan, also those that follow ``as_of``.
         if self.best and self.best.as_of < first_offset:
             self.best = None
 
--- a/sassafrasdoor/log/demand.py
+++ b/sassafrasdoor/log/demand.py
@@ -1,8 +1,8 @@
-"""What one instance asks of the log, by purpose.
+"""Statistics of an instance's calls to the log, by purpose.
 
-Load pattern: readers whose answers come late ask again beside the calls that are still
-under way. The calls a second alone do not tell that from many who follow; what they
-are made for does.
+Load pattern: readers whose answers arrive late send retries beside the pending calls.
+The rate of calls alone does not distinguish these from many followers; their purposes
+do.
 """
 
 import contextlib
@@ -11,6 +11,9 @@
 from sassafrasdoor.decisions import note_routine
 from sassafrasdoor.metrics import counter
 
+# The first reads of a partition, reads of new records, retries beside unanswered calls,
+# reads that confirm the end, loads of all newest values, calls on behalf of another
+# instance, probes of the direct path. Other calls are counted by the name of the call.
 START, FOLLOW, RETRY, CONFIRM, LOAD, RELAY, PROBE = (
     "start",
     "follow",
@@ -20,19 +23,16 @@
     "relay",
     "probe",
 )
-"""A partition's first reads, its next records, a call beside those that were not
-answered, a look at its end, all newest values, a call for another instance, a look
-whether the direct way answers. Other calls go by their own name."""
 
 CALLS = counter("log_demand_calls_total", "Calls to the log, by purpose and result.")
-BYTES = counter("log_demand_bytes_total", "Bytes that the log answered, by purpose.")
+BYTES = counter("log_demand_bytes_total", "Bytes in answers of the log, by purpose.")
 
 _PURPOSE = ContextVar("purpose", default="")
 
 
 @contextlib.contextmanager
 def call_purpose(purpose):
-    """Count the calls of this block, and of tasks that it starts, for ``purpose``."""
+    """Count calls in this block, and in tasks started by it, under ``purpose``."""
     token = _PURPOSE.set(purpose)
     try:
         yield
@@ -41,7 +41,7 @@
 
 
 class CallCounter:
-    """Counts calls; ``report()`` writes what has come since the last one."""
+    """Counts calls and logs the totals of each period between two reports."""
 
     __slots__ = ("_open_calls", "_totals")
 
@@ -50,12 +50,12 @@
         self._totals = {}
 
     def begin(self, call):
-        """Count a call that is sent; return its purpose, or its own name."""
+        """Count a sent call; return its purpose, or ``call`` (its name) if none is set."""
         self._open_calls += 1
         return _PURPOSE.get() or call
 
     def end(self, purpose, answered, size):
-        """Count the end of a call: whether it was answered, and with how many bytes."""
+        """Count a finished call, with the ``size`` of its answer in bytes."""
         self._open_calls -= 1
         totals = self._totals.setdefault(purpose, [0, 0, 0])
         totals[0] += 1
@@ -65,7 +65,7 @@
         BYTES.add({"purpose": purpose}, size)
 
     def report(self):
-        """Write one line: for each purpose the calls, the failed ones and kilobytes."""
+        """Log calls, failed calls and KiB for each purpose since the last report."""
         totals, self._totals = self._totals, {}
         fields = {
             purpose: [calls, failed, size // 1024]
--- a/sassafrasdoor/log/follower.py
+++ b/sassafrasdoor/log/follower.py
@@ -1,4 +1,4 @@
-"""Following a stream of the platform's log and folding it into one state."""
+"""A reader that folds a stream of the platform's log into one state."""
 
 import asyncio
 from functools import singledispatchmethod
@@ -11,9 +11,11 @@
 from sassafrasdoor.outcomes import Expired, Unavailable
 
 BATCH_SIZE = 500
-# A silent connection is found after this and the call timeout.
+# Seconds; a connection that stopped answering is detected after this and call_timeout.
 LONG_POLL_TIMEOUT = 2.0
-SCAN_WINDOW_FACTOR = 2
+SCAN_WINDOW_FACTOR = (
+    2  # offsets searched for a checkpoint, in units of checkpoint_every
+)
 FIRST_OFFSET = 1
 
 RECORDS_FOLDED = counter(
@@ -23,17 +25,17 @@
 CHECKPOINTS_WRITTEN = counter(
     "log_checkpoints_total", "Checkpoints appended, by result."
 )
-AS_OF_OFFSET = gauge("log_as_of_offset", "Next offset to read of the agreed stream.")
+AS_OF_OFFSET = gauge("log_as_of_offset", "Next offset to read from the agreed stream.")
 
 
 class Follower:
-    """Holds the state that the log agrees on; only ever moves forward.
+    """Holds the state folded from the stream; never returns to an earlier one.
 
-    ``initial`` is the state before the first record; its class offers
+    ``initial`` is the state before the first record; its class provides
     ``as_document()`` and ``from_document(document)``. ``fold(state, record)`` is
-    pure and returns ``state`` itself where nothing changes. ``may_checkpoint()``
-    says whether this instance is the one that writes checkpoints now, and
-    ``may_poll()`` whether it reads the log itself or leaves that to peers.
+    pure and returns ``state`` itself if nothing changes. ``may_checkpoint()``
+    returns whether this instance currently writes the checkpoints, ``may_poll()``
+    whether it reads the log itself instead of adopting the state of peers.
     """
 
     __slots__ = (
@@ -99,21 +101,21 @@
 
     @property
     def confirmed_at(self):
-        """When the log last said that there is nothing newer; None: never yet.
+        """Monotonic time at which the last read that found nothing newer was sent.
 
-        Monotonic time at which that question was sent, so never too late.
+        None before the first one. The state was up to date at that time.
         """
         return self._confirmed_at
 
     def on_change(self, callback):
-        """Call ``callback(state)`` on each new state once it is up to date."""
+        """Call ``callback(state)`` for each new state once the reader is up to date."""
         self._callbacks.append(callback)
 
     def adopt(self, state, as_of, confirmed_at=None):
-        """Take over a peer's state if it is further on; say whether it was.
+        """Replace the state by a peer's if that is newer; return whether it was.
 
-        ``confirmed_at`` is the peer's, on our clock. A peer hands on only a state
-        that was confirmed to it.
+        ``confirmed_at`` is the peer's, converted to the local clock. Peers send only
+        states that were confirmed to them.
         """
         forward = as_of > self._as_of
         if forward:
@@ -130,14 +132,17 @@
             started = now()
             progress = self.may_poll() and await self.poll(LONG_POLL_TIMEOUT)
             await self._write_checkpoint_if_due()
-            # A log that does not hold a poll open, or is down, answers at once; we
-            # would spin and load it with reads.
+            # A log that is down, or does not support long polls, answers at once:
+            # without a pause the loop would flood it with reads.
             if not progress:
                 pause = self._settings.poll_interval - (now() - started)
                 await asyncio.sleep(max(0.0, pause))
 
     async def poll(self, wait):
-        """Read once, waiting up to ``wait`` seconds; say whether anything came."""
+        """Read once, waiting up to ``wait`` seconds for records.
+
+        Return whether the reader advanced: it read records or skipped expired offsets.
+        """
         if not self._started and not await self._start():
             return False
         sent_at = now()
@@ -147,7 +152,7 @@
         return await self._apply_result(result, sent_at)
 
     async def catch_up(self, deadline):
-        """Poll until the log confirms the state; ``Unavailable`` after ``deadline``."""
+        """Poll until the state is confirmed; return it, or ``Unavailable`` at ``deadline``."""
         asked_at = now()
         while True:
             progress = await self.poll(0)
@@ -161,8 +166,8 @@
                 )
 
     async def _start(self):
-        # Reading all that is kept would cost a start minutes where the log keeps
-        # days, so a start is made from a checkpoint where there is one.
+        # Start from a checkpoint if there is one: if the log keeps days of records,
+        # reading them all would take minutes.
         checkpoint = await self._recover()
         self._started = checkpoint is None or bool(checkpoint)
         return self._started
@@ -177,7 +182,7 @@
         self._record_reachability(checkpoint)
         if checkpoint:
             self._record_checkpoint(checkpoint)
-            # Never back: what we know may be further on than any checkpoint.
+            # An adopted state may be newer than every checkpoint.
             if checkpoint.as_of > self._as_of:
                 self._set_state(checkpoint.state, checkpoint.as_of)
                 RECOVERIES.inc({"result": "moved"})
@@ -203,20 +208,20 @@
     @_apply_result.register
     async def _(self, expired: Expired, sent_at):
         if not self._as_of and expired.first <= FIRST_OFFSET:
-            # Nothing has expired: this log begins at its first offset, not at 0.
+            # Nothing has expired: the first offset of this log is not 0.
             self._as_of = expired.first
             return True
-        # The log forgot records that we have not read; folding on without them
-        # would let this reader disagree with all others for good.
+        # Unread records have expired. Without them this reader's state would differ
+        # from that of all others permanently.
         checkpoint = await self._recover()
         if checkpoint and checkpoint.as_of >= expired.first:
             return True
         RECOVERIES.inc({"result": "none"})
-        self._last_error = "records have expired and no checkpoint of them is kept"
+        self._last_error = "unread records have expired and no checkpoint covers them"
         return False
 
     def _fold_in(self, record):
-        # A batch may begin below what a peer's state has brought meanwhile.
+        # The state of a peer may have been adopted since the batch was requested.
         if record.offset < self._as_of:
             return
         if checkpoints.is_checkpoint(record):
@@ -236,7 +241,7 @@
         self._is_usable = True
 
     def _notify(self):
-        # A start folds old revisions one after another; nobody may act on those.
+        # A start folds outdated revisions, which must not be published.
         if not self._is_usable or self._state is self._notified:
             return
         self._notified = self._state
@@ -269,7 +274,7 @@
 
     @property
     def is_checkpoint_due(self):
-        """Whether the newest checkpoint is so old that another is needed."""
+        """Whether a new checkpoint is needed."""
         if (
             not self._as_of
             or not self._is_usable
@@ -284,11 +289,10 @@
 
     @property
     def _checkpoint_near_expiry(self):
-        # The newest checkpoint is gone, or half of what the log keeps has come
-        # after it: wait longer and it vanishes, and with it every table whose
-        # record has expired. While nothing has expired what the log keeps is not
-        # known, and all that there is counts: had we waited to see the first
-        # record go, the table's might be that record.
+        # The newest checkpoint has expired, or lies in the older half of the records
+        # that the log keeps. If it expired, every table whose record has expired would
+        # be lost. Until a first record expires the retention is unknown and all
+        # existing records count: the first to expire might be that of the table.
         newest = self._checkpoint.as_of if self._checkpoint else 0
         if newest < self._first_offset:
             return True
@@ -301,6 +305,6 @@
         body = checkpoints.body(self._state, self._as_of)
         result = await self._log.append(self._settings.agreed_stream, body)
         CHECKPOINTS_WRITTEN.inc({"result": type(result).__name__})
-        # Whether it arrived is seen by reading it back. Until then not again: a
-        # log that answers slowly would be filled with copies.
+        # The checkpoint counts once it is read back. No other is written before the
+        # call timeout: a slow log would be filled with copies.
         self._checkpoint_not_before = deadline_in(self._settings.call_timeout)
--- a/sassafrasdoor/log/http.py
+++ b/sassafrasdoor/log/http.py
@@ -1,4 +1,4 @@
-"""The platform's log over HTTP, by Tornado's curl client."""
+"""Access to the platform's log over HTTP, with Tornado's curl client."""
 
 import json
 
@@ -12,34 +12,34 @@
 
 MAX_CLIENTS = 20
 MAX_TIMEOUT_FACTOR = 16
-END_OFFSET = -1
+END_OFFSET = -1  # requests the end of the stream
 SERVICE_UNAVAILABLE = 503
 GONE = 410
 
 CALLS = counter("log_calls_total", "Calls to the platform's log, by kind and result.")
 BYTES = counter("log_bytes_read_total", "Bytes read from the platform's log.")
 
-# Only these prove that no byte of the request reached the log.
+# Errors that prove that no byte of the request reached the log.
 NOT_SENT_ERRNOS = {pycurl.E_COULDNT_CONNECT, pycurl.E_COULDNT_RESOLVE_HOST}
 
 
 class Client(CurlAsyncHTTPClient):
-    """The curl client, closed without noise, also twice or with a poll under way."""
+    """The curl client; ``close()`` may be called twice or during a long poll."""
 
     def close(self):
-        """Give up all transfers and connections."""
+        """Abort all transfers and close the connections."""
         if self._multi is not None:
             super().close()
 
     def _handle_timeout(self):
-        # libcurl sets a timer while it gives up transfers on closing; Tornado then
-        # calls into the closed handle (a traceback on each planned stop).
+        # libcurl sets a timer when it aborts transfers during close; Tornado would then
+        # use the closed handle and log a traceback on each planned stop.
         if self._multi is not None:
             super()._handle_timeout()
 
 
 class HttpLog(PlatformLog):
-    """Speaks the platform's wire as ``docs/INTERNALS.md`` has it."""
+    """The platform's log; ``docs/INTERNALS.md`` describes the protocol."""
 
     __slots__ = ("_client", "_timeout_factor", "_settings")
 
@@ -61,11 +61,11 @@
         return result
 
     async def end(self, stream):
-        """Return the next offset to be given, or ``Unavailable``."""
+        """Return the offset of the next append, or ``Unavailable``."""
         batch = await self.read(stream, END_OFFSET, 1, 0)
         if isinstance(batch, Expired):
-            # A log that does not know "the end" as a place to read from; what it
-            # keeps first is before the end, and readers go on from there.
+            # This log does not support END_OFFSET. Its first kept offset is not after
+            # the end, so readers can start there.
             return batch.first
         return batch.next_offset if batch else Unavailable(batch.reason)
 
@@ -108,8 +108,8 @@
             return _batch(json.loads(response.body))
         except HTTPError as error:
             if _timed_out(error):
-                # A log that needs longer than the timeout for each answer would
-                # never be read at all, as if it were down. Reading is harmless.
+                # With a constant timeout a log that is slower than it could never be
+                # read. Repeated reads are harmless.
                 self._timeout_factor = min(MAX_TIMEOUT_FACTOR, 2 * self._timeout_factor)
             return _read_failed(error)
         except (ValueError, KeyError, TypeError) as error:
@@ -120,21 +120,20 @@
 
 
 def _bypass_proxy(curl):
-    # A proxy named in the environment would stand between us and the log and
-    # answer in its place (seen as 502s that no log ever sent).
+    # A proxy configured in the environment would answer in place of the log, for example
+    # with 502.
     curl.setopt(pycurl.NOPROXY, "*")
 
 
 def _use_fresh_connection(curl):
-    # libcurl sends a POST again by itself when a reused connection closes before
-    # the first reply byte: one append, two records. A fresh connection is never
-    # retried.
+    # libcurl repeats a POST if a reused connection closes before the first byte of the
+    # reply, so one append could store two records. It never does so on a new connection.
     _bypass_proxy(curl)
     curl.setopt(pycurl.FRESH_CONNECT, 1)
 
 
 def _allow_connection_reuse(curl):
-    # Handles are pooled with their options; undo what an append has set.
+    # Pooled handles keep their options: reset the one that an append has set.
     _bypass_proxy(curl)
     curl.setopt(pycurl.FRESH_CONNECT, 0)
 
@@ -164,7 +163,7 @@
     try:
         return Expired("offset no longer kept", int(_document(error)["first"]))
     except (ValueError, KeyError, TypeError):
-        return Unavailable("log said gone without its first offset")
+        return Unavailable("log answered 410 without its first offset")
 
 
 def _document(error):
--- a/sassafrasdoor/log/interface.py
+++ b/sassafrasdoor/log/interface.py
@@ -1,16 +1,16 @@
-"""What the rest of the system assumes of the platform's append-only log.
+"""Interface of the platform's append-only log.
 
-Offsets are positive, grow, and may have holes. A record may appear twice, at two
-offsets, when an append was retried. Reads may lag. Old offsets vanish. The log may
-be down for minutes, and has no compare-and-set. Meeting another log means a new
-``PlatformLog`` and no change elsewhere.
+Offsets are positive and increasing, possibly with gaps. A retried append may store its
+record twice, at two offsets. Reads may lag behind appends. Old records expire. The log
+may be down for minutes and has no compare-and-set. Support for another log takes only
+another ``PlatformLog``.
 """
 
 from abc import ABC, abstractmethod
 
 
 class Record:
-    """One record: its ``offset`` and ``body``, a JSON-ready mapping."""
+    """A record: its ``offset`` and its ``body``, a JSON-serializable mapping."""
 
     __slots__ = ("body", "offset")
 
@@ -25,8 +25,8 @@
 class Batch:
     """Records in offset order, possibly none.
 
-    ``next_offset`` is where to read on; ``first_offset`` is the first offset that
-    the log still keeps.
+    ``next_offset`` is the offset of the next read; ``first_offset`` is the first offset
+    that the log still keeps.
     """
 
     __slots__ = ("first_offset", "next_offset", "records")
@@ -44,7 +44,7 @@
     async def append(self, stream, body):
         """Append once; return the offset, ``Unavailable`` or ``ReplyLost``.
 
-        After ``ReplyLost`` the record may be in the log: read before writing again.
+        After ``ReplyLost`` the record may be in the log: read before appending again.
         """
 
     @abstractmethod
@@ -56,11 +56,11 @@
 
     @abstractmethod
     async def end(self, stream):
-        """Return the next offset to be given, or ``Unavailable``.
+        """Return the offset of the next append, or ``Unavailable``.
 
-        A log that cannot say returns an earlier one that it keeps.
+        A log that does not support this returns its first kept offset.
         """
 
     @abstractmethod
     def close(self):
-        """Give up connections."""
+        """Close the connections."""
--- a/sassafrasdoor/log/memory.py
+++ b/sassafrasdoor/log/memory.py
@@ -1,4 +1,4 @@
-"""A small log in memory, for tests and embedders, with faults to switch on."""
+"""An in-memory log with fault injection, for tests and embedding applications."""
 
 import asyncio
 import contextlib
@@ -10,10 +10,10 @@
 
 
 class MemoryLog(PlatformLog):
-    """Streams of records in lists; ``stride`` above one leaves holes.
+    """Keeps streams as lists of records; a ``stride`` above 1 leaves gaps in offsets.
 
-    Switches: ``down``; ``lose_replies`` and ``duplicates`` count the next appends
-    that lose their reply or are written twice; ``expire`` forgets old records.
+    Faults: ``down`` makes every call fail; ``lose_replies`` and ``duplicates`` are the
+    numbers of next appends that lose their reply or are stored twice.
     """
 
     __slots__ = (
@@ -67,14 +67,14 @@
             await self._wait(remaining(deadline))
 
     async def end(self, stream):
-        """Return the next offset to be given, or ``Unavailable``."""
+        """Return the offset of the next append, or ``Unavailable``."""
         return Unavailable("log is down") if self.down else self._next[stream]
 
     def close(self):
-        """There is nothing to give up."""
+        """Do nothing: there are no connections."""
 
     def expire(self, stream, before):
-        """Forget the records below the offset ``before``."""
+        """Drop the records below the offset ``before``."""
         self._first[stream] = max(self._first[stream], before)
         self._records[stream] = [
             record for record in self._records[stream] if record.offset >= before
@@ -93,8 +93,8 @@
         return Batch(records, max(offset, following), self._first[stream])
 
     async def _wait(self, seconds):
-        # Not by wait_for: until Python 3.12 it loses a cancellation that comes
-        # together with the record, and a follower's task never ends.
+        # asyncio.wait_for, until Python 3.12, loses a cancellation that coincides with
+        # the record, so that a follower's task would never end.
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(seconds):
                 await self._appended.wait()
--- a/sassafrasdoor/log/memory_partitioned.py
+++ b/sassafrasdoor/log/memory_partitioned.py
@@ -1,4 +1,4 @@
-"""A partitioned log in memory, with faults by command: for tests and stand-ins."""
+"""An in-memory partitioned log with fault injection, for tests and stand-ins."""
 
 import asyncio
 import contextlib
@@ -17,7 +17,7 @@
 
 
 class Partition:
-    """Records of one partition from offset ``first`` on."""
+    """A partition: its records from the offset ``first`` on."""
 
     __slots__ = ("changed", "first", "newest", "records")
 
@@ -29,7 +29,7 @@
 
     @property
     def end(self):
-        """The next offset to be given."""
+        """The offset of the next append."""
         return self.first + len(self.records)
 
     def add(self, records, keyed):
@@ -47,17 +47,17 @@
         return offset
 
     def expire(self, before):
-        """Forget the records before an offset."""
+        """Drop the records below the offset ``before``."""
         kept = max(self.first, min(before, self.end))
         del self.records[: kept - self.first]
         self.first = kept
 
 
 class MemoryPartitionedLog(PartitionedLog):
-    """The log; set ``down``, ``lose_replies`` or ``land_late`` for faults.
+    """The log; ``down``, ``lose_replies`` and ``land_late`` inject faults.
 
-    ``lose_replies`` counts appends that take effect unanswered; ``land_late``
-    (seconds, or None) delays the effect of such an append.
+    ``lose_replies`` is the number of next appends that take effect but lose their reply;
+    ``land_late`` (seconds, or None) delays the effect of such an append.
     """
 
     def __init__(self, parts=12):
@@ -70,7 +70,7 @@
         self.calls = []
 
     def partition(self, topic, part):
-        """Return a partition, made on first use."""
+        """Return a partition, created on first use."""
         return self._partitions.setdefault((topic, part), Partition())
 
     async def append(self, topic, part, records, deadline):
@@ -127,7 +127,7 @@
 
 
 def _limit_bytes(records, max_bytes):
-    """Return the first records with so many bytes together, one at least."""
+    """Return the first records up to ``max_bytes`` in total, but at least one."""
     if max_bytes is None:
         return list(records)
     limited, size = [], 0
--- a/sassafrasdoor/log/partitioned.py
+++ b/sassafrasdoor/log/partitioned.py
@@ -1,15 +1,14 @@
-"""A platform log with topics, partitions, raw records and keyed topics.
+"""Interface of a log with topics, partitions, raw records and keyed topics.
 
-What the system needs of such a log, whatever protocol it speaks. Offsets count the
-records of one partition from 0 without gaps. In a keyed topic the newest record of
-each key is kept for good.
+It is independent of the protocol of the log. Offsets count the records of a partition
+from 0 without gaps. In a keyed topic the newest record of each key never expires.
 """
 
 from abc import ABC, abstractmethod
 
 
 class Appended:
-    """An acknowledged append: ``first`` offset of it and ``end`` of the partition."""
+    """An acknowledged append: its ``first`` offset and the partition's ``end``."""
 
     __slots__ = ("end", "first")
 
@@ -30,12 +29,15 @@
 
     @property
     def next_offset(self):
-        """Where to read on."""
+        """The offset of the next read."""
         return self.first + len(self.records)
 
 
 class NewestKeys:
-    """``values``: the newest value (bytes) by key; ``end`` as of the first page."""
+    """``values`` maps keys to their newest values (bytes) as of the offset ``end``.
+
+    A list of several pages has the ``end`` of the first one.
+    """
 
     __slots__ = ("end", "values")
 
@@ -45,11 +47,11 @@
 
 
 class PartitionedLog(ABC):
-    """The log. Every call may return ``Unavailable``: then it took no effect."""
+    """The log. Every call may return ``Unavailable`` and has then had no effect."""
 
     @property
     def is_cut_off(self):
-        """Whether it is reached through others only, if at all."""
+        """Whether the log is reached only through other instances, if at all."""
         return False
 
     @abstractmethod
@@ -60,8 +62,8 @@
     async def read(self, topic, part, offset, wait, slack, max_bytes=None):
         """Return a ``RawBatch`` or ``Expired``; wait up to ``wait`` seconds.
 
-        ``slack`` is how many seconds more the answer may take, ``most`` how many bytes
-        it may have; None leaves that to the log.
+        ``slack`` is how many seconds the answer may take beyond that, ``max_bytes`` its
+        maximum size; None leaves the size to the log.
         """
 
     @abstractmethod
--- a/sassafrasdoor/log/relay.py
+++ b/sassafrasdoor/log/relay.py
@@ -1,12 +1,12 @@
-"""A log that is reached through another instance while this one is cut off from it.
+"""Access to the log through other instances while this one is cut off from it.
 
-The load that this answers: the log turns single instances away, or is unreachable for
-them, for five to nine seconds, and serves all others. The instance that runs the steps
-or orders the loads then lost its leases, and its steps stood still for two to four
-seconds; of seven and a half, the longest sample alone takes six.
+Load pattern: for five to nine seconds the log refuses single instances, or cannot be
+reached by them, and serves all others. Without relays the instance that runs the steps
+or orders the loads loses its leases, and its steps stop for two to four seconds. They
+must complete in seven and a half, of which the longest sample takes six.
 
-Every call may be made twice, once here and once through a relay: the records that
-instances append are idempotent or name what they replace.
+A call may be sent twice, directly and through a relay: the records that instances
+append are idempotent or name what they replace.
 """
 
 import asyncio
@@ -19,28 +19,33 @@
 from sassafrasdoor.metrics import counter
 from sassafrasdoor.outcomes import Outcome, ReplyLost, Unavailable
 
+# Seconds without a reply before an append is also relayed. A log that is 60 times slower
+# than usual still answers within 0.25 s.
 HEDGE_DELAY = 0.35
-"""Seconds without a reply after which an append goes through a relay too: a log that is
-60 times slower than usual answers within 0.25 s."""
+# Seconds between probes of the direct path (short reads); callers are sent to other
+# instances until one is answered.
 PROBE_INTERVAL = 1.0
-"""Seconds between looks at whether the direct way answers again, one short read each:
-callers are sent elsewhere until it does."""
+# Seconds allowed for a relayed read after the direct one has failed. A relay that reaches
+# the log answers within 0.25 s even if the log is slow; a relay that is cut off itself may
+# not have detected that yet.
 MAX_RELAY_SLACK = 0.5
-"""Seconds that a relay is given for a read whose direct way has failed: one that reaches
-the log answers within 0.25 s also where that is slow, the others do not know yet."""
+# Relays tried for one call. With half of the instances cut off, three calls of four
+# reach the log through one of two.
 MAX_RELAYS = 2
-"""Relays asked for one call; with a half of the instances cut off, three calls of four
-find one."""
+# Budget for relayed calls while the direct path is in use, as a fraction of the direct
+# calls and as a burst. One answered relayed call switches all others to relays.
 RELAY_SHARE, RELAY_BURST = 0.1, 6
-"""Relayed calls as a share of direct ones, and at once, while the direct way is in use:
-one that is answered takes all others along."""
 
-RELAYED = counter("log_relayed_calls_total", "Calls through a relay, by call, result.")
-DENIED = counter("log_relays_denied_total", "Calls that the budget did not relay.")
+RELAYED = counter(
+    "log_relayed_calls_total", "Calls through a relay, by call and result."
+)
+DENIED = counter(
+    "log_relays_denied_total", "Calls not relayed because the budget was exhausted."
+)
 
 
 class RelayedLog(PartitionedLog):
-    """``direct`` is the log; ``relays()`` returns such logs of other instances."""
+    """Calls ``direct``, or the logs of other instances, which ``relays()`` returns."""
 
     __slots__ = (
         "_cut_off",
@@ -63,7 +68,7 @@
 
     @property
     def is_cut_off(self):
-        """Whether the log is believed to be out of direct reach."""
+        """Whether calls go through relays since the direct path has failed."""
         return self._cut_off.is_set()
 
     async def append(self, topic, part, records, deadline):
@@ -93,7 +98,7 @@
                     topic, part, offset, wait, slack, max_bytes
                 )
             if isinstance(result, Unavailable):
-                # Nobody else reaches it either: the direct way is as good as any.
+                # No relay reaches the log either: the direct path is no worse.
                 self._switch_to_direct(result.reason)
             return result
         return await self._hedged(
@@ -117,12 +122,11 @@
         return result
 
     async def _hedged(self, call, delay, relay):
-        """Return the first answer of the log, or what became of both calls.
+        """Return the first answer of the log, or the combined outcome of both calls.
 
-        ``relay()`` begins the other call, if the budget allows it: after ``patience``
-        seconds, after a failure, or once another call has found the log away. A read
-        that waits for new records would learn of that by its own time only, one and a
-        half seconds later.
+        If the budget allows, ``relay()`` starts the second call after ``delay`` seconds,
+        after a failure, or as soon as another call has switched to relays. A long poll
+        would otherwise switch only at its own timeout, 1.5 s later.
         """
         self._budget.tried()
         direct = asyncio.ensure_future(call)
@@ -159,7 +163,7 @@
                     task.cancel()
 
     async def _unless_direct_restored(self, call):
-        """Return the result of a relayed call, None once the direct way answers."""
+        """Return the result of a relayed call, or None once the direct path is restored."""
         relayed = asyncio.ensure_future(call)
         restored = asyncio.ensure_future(self._direct_restored.wait())
         try:
@@ -194,9 +198,10 @@
         if self.is_cut_off:
             return
         note("log.relayed", reason=reason)
-        # The call that went unanswered may have been sent just before the log's return,
-        # so the direct way is probed at once, unless it has just been probed: a way that
-        # answers by turns would otherwise be changed at the speed of the network.
+        # The unanswered call may have been sent just before the log recovered, so the next
+        # read probes the direct path at once, unless that was probed less than
+        # PROBE_INTERVAL ago: an intermittent path would otherwise be switched to and from
+        # at the speed of the network.
         self._direct_restored.clear()
         self._cut_off.set()
 
@@ -206,11 +211,11 @@
         self._cut_off.clear()
 
     def _probe_if_due(self, topic, part, offset):
-        """Ask the direct way beside the relays, once in a while.
+        """Start a probe of the direct path if one is due.
 
-        A call that went there by itself would wait in vain while the way is cut; calls
-        that never do would be relayed for good, as one would notice by an instance to
-        which no caller is sent any more.
+        The probe runs beside the relayed calls: a direct call would block its caller
+        while the path is cut. Without probes an instance would use relays for ever, and
+        no callers would be sent to it any more.
         """
         if self._probe is None and passed(self._probe_at):
             self._probe = asyncio.ensure_future(self._run_probe(topic, part, offset))
@@ -220,7 +225,7 @@
             with call_purpose(PROBE):
                 result = await self._direct.read(topic, part, offset, 0, HEDGE_DELAY)
             if not isinstance(result, Unavailable):
-                self._switch_to_direct("it answers")
+                self._switch_to_direct("the direct path answers again")
                 self._direct_restored.set()
         finally:
             self._probe_at = deadline_in(PROBE_INTERVAL)
@@ -228,13 +233,16 @@
 
 
 def _was_answered(result):
-    """Say whether this is what the log itself said, not a failure on the way to it."""
+    """Return whether a result comes from the log, not from a failure to reach it."""
     return not isinstance(result, (Unavailable, ReplyLost))
 
 
 def _less_certain(first, second):
-    """Return the outcome of two calls that are over: unknown if an append may have
-    landed, an answer where there is one."""
+    """Return the outcome of two finished calls.
+
+    That is ``first`` if it was answered, else ``ReplyLost`` if either is: the append may
+    have taken effect.
+    """
     if _was_answered(first):
         return first
     return second if isinstance(second, ReplyLost) else first
--- a/sassafrasdoor/log/sharing.py
+++ b/sassafrasdoor/log/sharing.py
@@ -1,11 +1,11 @@
-"""How instances share what the log sends and the reads that it takes.
+"""How instances share the log's bandwidth and its limit of reads a second.
 
-Load pattern: many instances follow the same partitions, or all begin to read megabytes
-at the same moment. Together they ask for more than the log answers, it refuses others
-or answers late, and what is asked again keeps it so after the cause has gone.
+Load pattern: many instances follow the same partitions, or all start to read megabytes
+at the same time. Together they exceed what the log can answer, it refuses reads or
+answers late, and retries sustain the overload after its cause has gone.
 
-So readers pause by how many they are, ask for a share of a backlog at a time, and ask
-less often while reads fail.
+So pauses between reads grow with the number of readers, a backlog is read in shares,
+and failed reads are retried with backoff.
 """
 
 import asyncio
@@ -15,74 +15,68 @@
 from sassafrasdoor.clock import LONG_AGO, deadline_in, now, remaining
 from sassafrasdoor.outcomes import Unavailable
 
+# Seconds allowed for a read of a failing log; also the longest time that backlog reads
+# wait for the lists.
 MAX_READ_SLACK = 2.0
-"""Seconds for a read of a log that fails and is slow, and for which backlogs wait for
-the lists."""
-RETRY_PAUSE = 0.15
-"""Seconds between tries while the log is away: back well within a second."""
-MAX_RETRY_PAUSE = 5.0
-"""Seconds to which the pauses between reads of a backlog grow while these fail."""
+RETRY_PAUSE = 0.15  # seconds; a recovery must be detected well within 1 s
+MAX_RETRY_PAUSE = 5.0  # seconds; upper bound of the backoff of backlog reads
+# Seconds in which the log can send one backlog share to every reader.
 BACKLOG_INTERVAL = 1.0
-"""Seconds in which the log sends what all readers of backlogs have asked for."""
-MAX_ANSWER_BYTES = 1024 * 1024
-"""Bytes of one answer, at most: the first of them are used while others are read."""
-RECORD_MARGIN_BYTES = 4096
-"""Bytes beyond those of the largest record."""
-LIST_COUNT = 4
-"""Lists that every instance follows."""
+MAX_ANSWER_BYTES = 1024 * 1024  # so that records are folded while more are read
+RECORD_MARGIN_BYTES = 4096  # in addition to the size of the largest record
+LIST_COUNT = 4  # lists that every instance follows
+# Fraction of the log's reads that all followers of partitions may use together. The
+# lists, which every instance reads, and confirming reads use the rest.
 FOLLOWER_READ_SHARE = 0.4
-"""Part of the log's reads that those who follow the same partitions may take together;
-the lists, which every instance reads, and confirmations take the rest."""
+# Seconds; a shorter pause is left out: with few followers it would only add delay.
 MIN_FOLLOWER_PAUSE = 0.08
-"""Seconds below which followers do not pause: they are few, and answers would only
-come later."""
 
 
 def follower_pause(followers, partitions, reads_per_second):
-    """Return the seconds that each follower pauses after each read of a partition.
+    """Return the seconds that a follower pauses after each read of a partition.
 
-    Each append wakes all who wait for it. Where many follow busy partitions they exceed
-    the log's reads a second, it refuses the others, and a configuration is in force
-    seconds late on some instances.
+    Each append ends the long polls of all followers. On busy partitions their next
+    reads would exceed the log's limit, it would refuse other reads, and a configuration
+    would take effect seconds late on some instances.
     """
     pause = followers * partitions / (FOLLOWER_READ_SHARE * reads_per_second)
     return pause if pause >= MIN_FOLLOWER_PAUSE else 0.0
 
 
 def backlog_share(readers, bytes_per_second, record_bytes):
-    """Return how many bytes of a backlog one reader may ask for at a time.
+    """Return the maximum number of bytes of a backlog that one read may request.
 
-    What all ``readers`` that there may be have asked for is sent within
-    ``BACKLOG_WITHIN`` seconds, so that the answers of the lists behind it are in time.
+    ``readers`` is the largest possible number of concurrent readers. The log can send
+    one request of each within ``BACKLOG_INTERVAL``, so that the answers of the lists,
+    which queue behind these, arrive in time.
     """
     share = BACKLOG_INTERVAL * FOLLOWER_READ_SHARE * bytes_per_second / max(1, readers)
     return max(min(share, MAX_ANSWER_BYTES), record_bytes + RECORD_MARGIN_BYTES)
 
 
 def list_retry_pause(instances, reads_per_second):
-    """Return the seconds after which an instance asks for a list that was refused.
+    """Return the seconds before an instance retries a refused read of a list.
 
-    Refused reads count too: where those of all instances exceed the log's reads a
-    second, nothing is answered any more.
+    Refused reads count towards the log's limit: if the retries of all instances exceed
+    it, no read is answered any more.
     """
     share = LIST_COUNT * instances / (FOLLOWER_READ_SHARE * reads_per_second)
     return max(RETRY_PAUSE, share)
 
 
 class ReadCoordinator:
-    """What the tails of one instance know of their common way to the log.
-
-    Load pattern: many instances begin to read megabytes at the same moment. Answers
-    come later than they are waited for, all are asked for again, and what was asked in
-    vain still takes its share of what the log sends: the overload outlives its cause.
-
-    So each instance begins one read of a backlog at a time, of ``most()`` bytes (None:
-    as many as the log sends): the next one once it is answered, or after the time in
-    which the log sends what all have asked for. Pauses grow while such reads fail, for
-    all partitions until one is answered, and for each by itself: one that alone is
-    silent holds no other one up. The lists come first: once a read was not answered,
-    backlogs wait until the lists are. These are asked for again after ``pause``
-    seconds.
+    """Schedules the reads that the tails of one instance send to the log.
+
+    Load pattern: many instances start to read megabytes at the same time. Reads time out
+    before their answers arrive and are retried, while the log still sends the answers
+    that nobody waits for: the overload outlives its cause.
+
+    So an instance starts one backlog read at a time, of ``max_bytes()`` bytes (None: the
+    log decides). The next one starts when it is answered, or after ``BACKLOG_INTERVAL``.
+    Failures increase a backoff common to all partitions, until a read is answered, and
+    one of the partition, so that a single failing partition does not delay the others.
+    Lists have priority: after a failed read, backlog reads wait for the lists to be
+    answered, ``MAX_READ_SLACK`` at most. Lists are retried after ``retry_delay``.
     """
 
     __slots__ = (
@@ -107,26 +101,26 @@
 
     @property
     def retry_delay(self):
-        """Seconds before a read that failed is made again."""
+        """Seconds before the retry of a failed read, with jitter."""
         return self._list_pause() * random.uniform(1.0, 1.3)
 
     def record_read_failure(self, list_topic=None):
-        """Some read was not answered, that of a list if it is named."""
+        """Record that a read was not answered; ``list_topic`` names a list that failed."""
         self._lists_answered.clear()
         if list_topic:
             self._failing_lists.add(list_topic)
 
     def record_list_answer(self, topic):
-        """A list's read was answered."""
+        """Record that the read of a list was answered."""
         self._failing_lists.discard(topic)
         if not self._failing_lists:
             self._lists_answered.set()
 
     async def read_backlog(self, part, read):
-        """Return when a read of a partition's backlog was sent, and its result.
+        """Schedule a backlog read of a partition; return when it was sent and its result.
 
-        ``read(most, failed)`` reads so many bytes; so many such reads of the partition
-        have failed in a row.
+        Awaits ``read(max_bytes, failures)``; ``failures`` counts the consecutive failed
+        backlog reads of the partition.
         """
         partition_backoff = self._partition_backoffs.setdefault(part, _Backoff())
         await partition_backoff.wait()
@@ -154,7 +148,7 @@
 
 
 class _Backoff:
-    """The pause before the next of some reads, of which ``failed`` failed in a row."""
+    """Exponential backoff with jitter after ``failure_count`` consecutive failures."""
 
     __slots__ = ("_deadline", "failure_count")
 
@@ -163,11 +157,11 @@
         self.failure_count = 0
 
     async def wait(self):
-        """Wait until it is over."""
+        """Wait until the next read may start."""
         await asyncio.sleep(remaining(self._deadline))
 
     def record(self, answered):
-        """Take the end of a read."""
+        """Record whether a read was answered."""
         if answered:
             self.failure_count = 0
             self._deadline = LONG_AGO
--- a/sassafrasdoor/log/tail.py
+++ b/sassafrasdoor/log/tail.py
@@ -1,8 +1,8 @@
-"""Following one partition of a partitioned log, or the newest values of its keys.
+"""Readers that follow one partition of a partitioned log, or the values of its keys.
 
-Load pattern: the log falls silent while its readers wait, and never answers what was
-sent meanwhile. So reads are given up soon, and a failing log is asked again beside
-them.
+Load pattern: during an outage the log accepts reads and never answers them, not even
+after it has recovered. So reads time out early, and while the log fails further reads
+are sent without waiting for the pending ones.
 """
 
 import asyncio
@@ -17,40 +17,41 @@
 from sassafrasdoor.metrics import counter
 from sassafrasdoor.outcomes import Expired, Unavailable
 
+# Seconds that a read waits for new records. With READ_SLACK, a read that is never
+# answered times out well within 2 s, the time in which a change that is acknowledged
+# right after an outage must be in force.
 LONG_POLL_TIMEOUT = 1.0
-"""Seconds that a read waits. A read that was sent while the log was silent is never
-answered; with the slack it ends well within the two seconds in which a change that
-is acknowledged right after the log's return must be in force."""
+# Seconds allowed beyond that wait: the log answers in 4 ms, in 240 ms where it is slow.
 READ_SLACK = 0.5
-"""Seconds beyond the wait while the log answers: that takes 4 ms, or 240 ms where the
-log is slow."""
+# Seconds without an answer before another read is sent beside the pending ones.
 HEDGE_INTERVAL = 0.5
-"""Seconds without an answer after which a failing log is asked once more, beside the
-reads that are still waited for: a read that was sent while it was silent is never
-answered."""
-PROBE_BYTES = 1024
-"""Bytes that such reads ask for: they tell that the log answers, the rest follows."""
+PROBE_BYTES = (
+    1024  # of a read that tests whether the log answers; the rest is read later
+)
+# Seconds allowed for successive attempts of an initial read. A second attempt of 3 s
+# would delay a start by that long after an outage; the third allows for a slow log.
 INITIAL_READ_SLACKS = (1.5, 1.5, 3.0)
-"""Seconds for the tries in a row of a partition that was not read to its end yet: a
-second one of three would hold a start in silence for that long after the log's return;
-the third is for a log that is slower than the others allow."""
-CONFIRM_RETRY_INTERVAL = 0.05
-"""Seconds between the reads of a caller who waits for a confirmation."""
+CONFIRM_RETRY_INTERVAL = 0.05  # seconds
 
-EXPIRED_READS = counter("log_tail_restarts_total", "Reads that met expired records.")
+EXPIRED_READS = counter(
+    "log_tail_restarts_total", "Reads from an offset whose records had expired."
+)
 
 
 def all_caught_up(tails):
-    """Say whether partitions were read to their ends, as far as the log answers."""
+    """Return whether all partitions that the log answers for were read to their ends.
+
+    False if it answers for none.
+    """
     answering = [tail for tail in tails if tail.failing_since is None]
     return bool(answering) and all(tail.has_caught_up for tail in answering)
 
 
 class Outage:
-    """A time without an answer of the log, as one reader has seen it.
+    """A period without answers from the log, as observed by one reader.
 
-    The log may have been away from ``since``, its last answer before (monotonic,
-    ``LONG_AGO`` where there was none), to ``until``, its first one after.
+    ``since`` is the time of the last answer before it (``LONG_AGO`` if there was none),
+    ``until`` that of the first answer after it. Times are monotonic.
     """
 
     __slots__ = ("since", "until")
@@ -61,18 +62,24 @@
 
 
 class Tail:
-    """Hands each record of a partition to ``fold(offset, record)``, in order.
-
-    ``pause()`` (seconds) after each read bounds the reads of a busy partition, unless
-    somebody ``attends``; the partition is followed while the event ``wanted`` is set.
-    ``way`` is what the instance's tails share; without it this one asks for itself.
-    ``end`` is the partition's end as it was last told, None before; ``skipped`` counts
-    the records that were gone before they were read. ``confirmed_at`` is the monotonic
-    time at which a read was sent that found nothing newer, ``ended_at`` that of its
-    answer, ``LONG_AGO`` before the first; ``failing_since`` is None while reads
-    succeed; ``restored_at`` is
-    when they last began to succeed again; ``silence`` is the last ``Silence`` that has
-    ended, None before the first.
+    """Follows a partition: passes each record to ``fold(offset, record)``, in order.
+
+    ``pause()`` returns the seconds to sleep after a read, which limits the reads of a
+    busy partition; there is no pause inside ``without_pauses()``. The partition is
+    followed while the event ``wanted`` is set. ``read_coordinator`` is shared by the
+    tails of an instance; without one this tail schedules its reads alone.
+
+    Attributes, with monotonic times:
+
+    - ``offset``: the next offset to read.
+    - ``end``: the partition's end in the last answer, None before the first.
+    - ``skipped``: number of records that expired before they were read.
+    - ``confirmed_at``: when the last read that reached the end was sent; None if there
+      was none since the partition is followed.
+    - ``ended_at``: when that read was answered, ``LONG_AGO`` before the first.
+    - ``failing_since``: when reads began to fail, None while they succeed.
+    - ``restored_at``: when reads last began to succeed again, None before.
+    - ``last_outage``: the last ``Outage`` that has ended, None before.
     """
 
     def __init__(
@@ -128,7 +135,7 @@
 
     @contextlib.contextmanager
     def without_pauses(self):
-        """Read without pauses while somebody waits for new records."""
+        """Return a context in which reads follow one another without a pause."""
         self._waiting_readers += 1
         self._reader_arrived.set()
         try:
@@ -144,18 +151,18 @@
 
     @property
     def has_caught_up(self):
-        """Whether the end was read since the partition is followed."""
+        """Whether the end was reached since the partition is followed."""
         return self.confirmed_at is not None
 
     @property
     def is_starting(self):
-        """Whether what the partition keeps is still being read, or waits to be."""
+        """Whether the tail runs and has not yet reached the end."""
         return self._running and self.confirmed_at is None
 
     def progress(self):
-        """Return how far the partition was read, as fields of a log line.
+        """Return the read progress as fields of a log line.
 
-        Seconds are ages; None stands for never.
+        Seconds count from the event to now; None if it has not occurred.
         """
         return {
             "part": self._part,
@@ -170,7 +177,7 @@
         }
 
     async def poll(self, wait):
-        """Read once; say whether the log answered."""
+        """Read once; return whether the log answered."""
         sent_at = now()
         if self._needs_initial_read or (self._has_backlog and self._shares_reads):
             sent_at, result = await self._read_coordinator.read_backlog(
@@ -214,12 +221,12 @@
 
     @property
     def _is_behind_or_failing(self):
-        """Whether what was acknowledged is still to be read, or read again."""
+        """Whether records are known to be unread, or the last read failed."""
         return self._has_backlog or self.failing_since is not None
 
     @property
     def _needs_initial_read(self):
-        """Whether all that the partition holds is still to be read."""
+        """Whether the end was not reached yet since the partition is followed."""
         return self.confirmed_at is None
 
     async def _read(self, wait, slack, max_bytes=None):
@@ -228,13 +235,13 @@
         )
 
     async def _read_initial(self, max_bytes, failures):
-        # Megabytes to read: asked for twice, they would take twice as long.
+        # Not hedged: the answer may be megabytes, and two would take twice as long.
         slack = INITIAL_READ_SLACKS[failures % len(INITIAL_READ_SLACKS)]
         with call_purpose(START):
             return await self._read(0, slack, max_bytes)
 
     async def _retry_read(self, max_bytes, failures):
-        # What has come meanwhile may be megabytes too.
+        # Not hedged either: megabytes may have been appended during the outage.
         slack = INITIAL_READ_SLACKS[failures % len(INITIAL_READ_SLACKS)]
         with call_purpose(RETRY):
             return await self._read(0, slack, max_bytes)
@@ -243,11 +250,13 @@
         return await self._read(0, slack, PROBE_BYTES)
 
     async def _hedge(self, call):
-        """Return when the first call that was answered was sent, and its result.
+        """Return when the first answered call was sent, and its result.
 
-        ``call(seconds)`` asks the log once, for that long at most. A single call that
-        was sent just before the log's return would hold its reader for seconds more:
-        claims lapse, a change is in force late, a server that left gets work.
+        Starts ``call(timeout)``, and another after each ``HEDGE_INTERVAL`` without an
+        answer, until one is answered or all pending ones have failed. No call lasts
+        beyond ``MAX_READ_SLACK`` seconds from the first. A single call that was sent
+        just before the log recovers would block its reader for seconds: claims lapse,
+        changes take effect late, and backend servers that left still get work.
         """
         deadline = deadline_in(MAX_READ_SLACK)
         sent_at, pending = {}, set()
@@ -268,9 +277,9 @@
                 task.cancel()
 
     async def confirm(self, deadline):
-        """Read until all that was acknowledged before this call is folded in.
+        """Read until all records acknowledged before this call are folded in.
 
-        Return True, or False after ``deadline``.
+        Returns False if that is not reached by ``deadline``.
         """
         called_at = now()
         while not passed(deadline) and self.wanted.is_set():
@@ -281,11 +290,11 @@
         return self.confirmed_at is not None and self.confirmed_at >= called_at
 
     async def _confirm_once(self):
-        """Read once, together with all others who ask; say whether the log answered.
+        """Read once for all concurrent callers; return whether the log answered.
 
-        While a start still reads what the log holds, a second read would bring the
-        same megabytes again: instances that start together share what the log sends.
-        And one that failed is made again already.
+        Sends nothing while ``run`` still reads a backlog, which a second read would
+        transfer again (megabytes, at a rate that all instances share), or already
+        retries a failed read.
         """
         if self.is_starting or (self._running and self._is_behind_or_failing):
             return False
@@ -296,11 +305,12 @@
 
     def _confirm_done(self, task):
         self._confirm_task = None
-        # Everybody who asked may have left; a failed read is noted where it failed.
+        # Retrieves the exception, as every caller may have been cancelled meanwhile; a
+        # failed read is logged where it failed.
         task.cancelled() or task.exception()
 
     async def ensure_fresh(self, max_age, deadline):
-        """Say whether the end was read within so many seconds, or now."""
+        """Return whether the end was read in the last ``max_age`` seconds; read if not."""
         if self.confirmed_at is not None and now() - self.confirmed_at <= max_age:
             return True
         return await self.confirm(deadline)
@@ -314,7 +324,7 @@
         self._bytes_read += sum(map(len, batch.records))
         offset = batch.first
         for record in batch.records:
-            # Two reads may overlap, a long one and one that confirms.
+            # A long poll and a confirming read may overlap.
             if offset >= self.offset:
                 self._fold(offset, record)
                 self.offset = offset + 1
@@ -343,7 +353,7 @@
         self._read_coordinator.record_read_failure()
 
     def _report_answer(self):
-        """Say so to the other tails; only what a list says counts for them."""
+        """Report an answer to the coordinator, which only needs those of lists."""
 
     def _record_answer(self):
         previous_answer_at, self._last_answer_at = self._last_answer_at, now()
@@ -368,16 +378,16 @@
 
 
 def _was_answered(task):
-    """Say whether a call that has ended was answered by the log."""
+    """Return whether a finished call was answered by the log."""
     return not isinstance(task.result(), Unavailable)
 
 
 class KeyedTail(Tail):
-    """Keeps the newest value of each key of a keyed topic's only partition.
+    """Keeps the newest value of each key of a keyed topic (one partition).
 
-    ``on_value(key, value)`` is called for each change, with an empty value where
-    the key was dropped. ``elsewhere(topic)`` returns the ``NewestKeys`` that another
-    reader knows, or None: where the log is away at the start they are the next best.
+    Calls ``on_value(key, value)`` for each change, with an empty value for a dropped
+    key. ``newest_from_peer(topic)`` returns the ``NewestKeys`` of another instance, or
+    None; it is used if the log does not answer at the start.
     """
 
     def __init__(
@@ -403,11 +413,11 @@
 
     @property
     def newest(self):
-        """The ``NewestKeys`` as far as they were read; None before the first load."""
+        """The ``NewestKeys`` read so far, None before the first load."""
         return NewestKeys(dict(self._values), self.offset) if self.loaded else None
 
     async def poll(self, wait):
-        """Load the newest values, or read on; say whether the log answered."""
+        """Load the newest values, or read new records; return whether the log answered."""
         if self.loaded:
             return await super().poll(wait)
         return await self._load()
@@ -419,13 +429,13 @@
         self._read_coordinator.record_list_answer(self._topic)
 
     def _handle_expired(self, expired):
-        # Records that were never read are gone; only the newest values, read anew,
-        # tell what changed and which keys were dropped meanwhile.
+        # Unread records are gone: only a new load of all values shows what changed and
+        # which keys were dropped.
         self.loaded = False
 
     @property
     def _needs_initial_read(self):
-        # What was loaded, here or elsewhere, lacks a few records only.
+        # Only a few records follow what was loaded, from the log or from a peer.
         return False
 
     async def _load(self):
@@ -436,7 +446,9 @@
             else:
                 sent_at, newest = await self._hedge(self._load_newest)
         if not isinstance(newest, Unavailable) and newest.end < self.offset:
-            newest = Unavailable("older than what was read")
+            newest = Unavailable(
+                "newest values are older than the records already read"
+            )
         if isinstance(newest, Unavailable):
             self._record_failure(newest)
             await self._load_from_peer()
@@ -454,10 +466,10 @@
             return Unavailable("timeout")
 
     async def _load_from_peer(self):
-        """Begin with what another reader knows.
+        """Start from the values of another instance.
 
-        Only at the start: what was read from the log once is never replaced by what
-        somebody else remembers.
+        Only before the first load: values read from the log are never replaced by those
+        of a peer.
         """
         if self._newest_from_peer is None or self.offset:
             return
--- a/sassafrasdoor/log/turns.py
+++ b/sassafrasdoor/log/turns.py
@@ -1,31 +1,29 @@
-"""In which order instances that start together read what the log keeps.
+"""The order in which instances that start together read the records of the steps.
 
-Load pattern: all instances lose power and come back within half a second, or many are
-restarted in turn, and each of those that follow the steps reads tens of megabytes, which
-the log sends to all of them at one rate. Where many read at once the first is done only
-shortly before the last, and no step is read or run until then.
+Load pattern: all instances lose power and restart within half a second, or many are
+restarted in turn. Each that follows the steps reads tens of megabytes, and all share the
+log's bandwidth. If many read concurrently the first finishes only shortly before the
+last, and no step is read or run until then.
 
-So a few read at once, in order of rank, and the next one begins as one of them is done.
-The others hand their callers on to those that have read.
+So a few read concurrently, in order of rank, and the next one starts when one of them
+finishes. The others forward their callers to instances that have finished.
 """
 
-MAX_CONCURRENT_READERS = 4
-"""Instances that read side by side: by itself one takes a third of what the log sends."""
-MAX_WAIT = 8.0
-"""Seconds after which an instance reads in any case."""
+MAX_CONCURRENT_READERS = 4  # a single one uses a third of the log's bandwidth
+MAX_WAIT = 8.0  # seconds after which an instance reads in any case
 
 
 def may_read(ahead, waiting_since, at):
-    """Say whether an instance may begin to read what the log keeps at a ``at``.
+    """Return whether an instance may start to read at the time ``at``.
 
-    ``ahead`` is how many instances that come before it may still have to read;
-    ``waiting_since`` is when it began to wait. Times are monotonic.
+    ``ahead`` is the number of instances of higher rank that may not have finished;
+    ``waiting_since`` is when it started to wait. Times are monotonic.
     """
     return ahead < MAX_CONCURRENT_READERS or at >= waiting_since + MAX_WAIT
 
 
 class ReadSlot:
-    """One instance's turn to read: ``has_come`` until it steps back."""
+    """An instance's permission to read; ``has_come`` is whether it was granted."""
 
     __slots__ = ("_waiting_since", "has_come")
 
@@ -33,12 +31,12 @@
         self.reset()
 
     def reset(self):
-        """Wait anew from the next look on: it need not read for now."""
+        """Give the permission up; a new wait starts with the next ``try_acquire()``."""
         self._waiting_since = None
         self.has_come = False
 
     def try_acquire(self, ahead, at):
-        """Return the seconds that it waited if its turn comes now, else None."""
+        """Return the seconds waited if permission is granted by this call, else None."""
         if self.has_come:
             return None
         if self._waiting_since is None:
