--- a/sassafrasdoor/log/tests/test_contract.py
+++ b/sassafrasdoor/log/tests/test_contract.py
@@ -1,4 +1,4 @@
-"""One contract for every log adapter: each fault and the outcome that it must give."""
+"""The contract of all log adapters: each fault and its required outcome."""
 
 import asyncio
 import os
@@ -26,7 +26,7 @@
 
 
 class MemoryFixture:
-    """The log in memory; faults are its switches."""
+    """The in-memory log, with its own fault injection."""
 
     async def start(self):
         self.log = MemoryLog(stride=3)
@@ -46,7 +46,7 @@
 
 
 class HttpFixture:
-    """The HTTP adapter against the stand-in, over real sockets."""
+    """The HTTP adapter with the stand-in platform, over real sockets."""
 
     async def start(self):
         self.server, self.url, self.platform = platform.start()
@@ -65,7 +65,7 @@
 
 
 class ContractTests:
-    """Run by each adapter's own case below."""
+    """Tests that every adapter's test case below inherits."""
 
     fixture_class = None
 
@@ -136,11 +136,11 @@
     fixture_class = MemoryFixture
 
     async def test_a_read_cancelled_as_its_record_comes_is_cancelled(self):
-        """
-        Symptom: now and then a stop hangs for ever (seen once in a test's stop).
-        Sequence: a reader is cancelled in the same turn as a record is appended.
-        Cause: asyncio.wait_for, until 3.12, returns the result and forgets the
-        cancellation; the reader's loop goes on.
+        """Guards against a stop that occasionally hangs.
+
+        A reader is cancelled in the same iteration of the event loop as a record is
+        appended. Until Python 3.12 asyncio.wait_for returns the result and drops the
+        cancellation, and the reader's loop continues.
         """
         reading = asyncio.create_task(self.log.read(STREAM, 1, 5, 20))
         for _ in range(5):
@@ -164,10 +164,10 @@
         self.assertIsInstance(await self.log.append(STREAM, {}), ReplyLost)
 
     async def test_a_slow_log_is_still_read(self):
-        """
-        Symptom: while the log is slow, no accepted table comes into force.
-        Sequence: each answer takes longer than the timeout, for an hour.
-        Cause: giving up each read at the same point.
+        """Guards against accepted tables that do not take effect while the log is slow.
+
+        Each answer takes longer than the timeout, for an hour, and every read had the
+        same timeout.
         """
         offset = await self.log.append(STREAM, {})
         self.fixture.fault(slow_ms=1200)
@@ -191,10 +191,10 @@
             self.assertTrue(await self.log.read(STREAM, 0, 5, 0))
 
     async def test_closing_while_a_poll_is_under_way_is_silent(self):
-        """
-        Symptom: each planned stop prints a traceback.
-        Sequence: the log's client is closed while a poll waits.
-        Cause: a timer that libcurl sets on closing fires on the closed handle.
+        """Guards against a traceback on each planned stop.
+
+        The client is closed during a long poll, and a timer that libcurl sets on closing
+        fires on the closed handle.
         """
         errors = []
         loop = asyncio.get_running_loop()
@@ -204,7 +204,7 @@
             await until(lambda: self.fixture.platform.calls, what="poll")
             reading.cancel()
             self.log.close()
-            # Timers that are due run within a few turns of the loop.
+            # Due timers run within a few iterations of the event loop.
             for _ in range(3):
                 await asyncio.to_thread(lambda: None)
         self.assertEqual(errors, [])
@@ -217,7 +217,7 @@
 
 
 class SecondRequestDropper(TCPServer):
-    """Answers the first request of a connection, reads the next and hangs up."""
+    """Answers a connection's first request, reads the second and closes it."""
 
     appends = 0
 
@@ -239,12 +239,11 @@
 
 class SingleAppendTest(unittest.IsolatedAsyncioTestCase):
     async def test_an_append_is_sent_once_although_its_connection_breaks(self):
-        """
-        Symptom: one published table stands in the log twice.
-        Sequence: a read leaves a connection in the pool; an append takes it; the
-        log reads the append and hangs up; libcurl sends it again by itself.
-        Cause: libcurl holds a reused connection that closes without a reply byte
-        for one that had timed out, whatever the method.
+        """Guards against a published table that is stored twice.
+
+        An append reuses the connection of a read; the log reads the append and closes
+        the connection. libcurl takes a reused connection that closes without a byte of
+        reply for one that had timed out, and repeats the request, whatever its method.
         """
         server = SecondRequestDropper()
         server.listen(0, "127.0.0.1")
--- a/sassafrasdoor/log/tests/test_demand.py
+++ b/sassafrasdoor/log/tests/test_demand.py
@@ -1,4 +1,4 @@
-"""What is asked of the log is told apart by what it is asked for."""
+"""Calls to the log are counted by purpose."""
 
 import asyncio
 import unittest
@@ -18,11 +18,11 @@
         self.counter = module.CallCounter()
 
     async def read(self, *arguments):
-        """Read on, counted."""
+        """Read, and count the call."""
         return await self._counted("read", super().read(*arguments))
 
     async def newest(self, topic):
-        """Return the newest values, counted."""
+        """Return the newest values, and count the call."""
         return await self._counted("newest", super().newest(topic))
 
     async def _counted(self, name, call):
--- a/sassafrasdoor/log/tests/test_follower.py
+++ b/sassafrasdoor/log/tests/test_follower.py
@@ -1,4 +1,4 @@
-"""The follower: forward only, the same state for every reader, checkpoints."""
+"""The follower: monotonic state, the same for every reader, and checkpoints."""
 
 import asyncio
 import contextlib
@@ -18,7 +18,7 @@
 
 
 def settings_with(**platform):
-    """Return settings with quick polls."""
+    """Return settings with a short poll interval."""
     return settings.from_document({"platform": {"poll_interval": 0.01, **platform}})
 
 
@@ -64,12 +64,11 @@
         self.assertEqual(agreed.Agreed.from_document(document).as_document(), document)
 
     async def test_a_delayed_checkpoint_reverts_no_reader(self):
-        """
-        Symptom: a starting instance puts a table in force that was replaced.
-        Sequence: an instance is paused between making a checkpoint and appending
-        it; meanwhile tables are accepted and another checkpoint is written; the
-        instance wakes, its old checkpoint becomes the last one; old records expire.
-        Cause: taking the last checkpoint in the log for the newest.
+        """Guards against a starting instance that uses a replaced table.
+
+        An instance is paused between creating and appending a checkpoint. Meanwhile a
+        table is accepted and another checkpoint written; then the old checkpoint is
+        appended, and old records expire. The last checkpoint was taken for the newest.
         """
         first = await self.propose("a", 0)
         paused = await self.caught_up()
@@ -91,10 +90,10 @@
             self.log.expire(STREAM, before=newest)
 
     async def test_a_checkpoint_followed_by_a_gap_is_not_used(self):
-        """
-        Symptom: one instance disagrees with all others for good.
-        Sequence: a checkpoint is appended late; records between its as-of and
-        itself have expired. Cause: continuing from it skips those records.
+        """Guards against an instance whose state differs from all others permanently.
+
+        A checkpoint is appended late, and records between its ``as_of`` and its offset
+        have expired. A start from it skipped those records.
         """
         first = await self.propose("a", 0)
         paused = await self.caught_up()
@@ -124,11 +123,10 @@
                 self.assertIsNone(checkpoints.decode(record, agreed.Agreed))
 
     async def test_empty_polls_are_paced(self):
-        """
-        Symptom: while the log is down or holds no poll open, each instance sends
-        it thousands of reads a second.
-        Sequence: a poll ends at once with nothing; the next one follows.
-        Cause: leaving the pace to the other side.
+        """Guards against thousands of reads a second from each instance.
+
+        If the log is down or does not support long polls, each poll ends at once
+        without records, and the next one followed immediately.
         """
         follower = self.follower(settings_with(poll_interval=1000))
         reads = 0
@@ -146,10 +144,10 @@
         running.cancel()
 
     async def test_an_unconfirmed_checkpoint_is_not_written_again(self):
-        """
-        Symptom: a slow log is filled with copies of one checkpoint.
-        Sequence: a checkpoint is appended; its record is not readable yet.
-        Cause: judging by the newest checkpoint read alone.
+        """Guards against a slow log that is filled with copies of one checkpoint.
+
+        An appended checkpoint cannot be read yet, and only checkpoints that had been
+        read were considered.
         """
         await self.append(kind="weights", model="m", version=1)
         eager_settings = settings_with(checkpoint_every=1)
@@ -161,10 +159,10 @@
         self.assertEqual(len(self.log._records[STREAM]), 2)
 
     async def test_records_that_expire_under_a_slow_reader_are_not_skipped(self):
-        """
-        Symptom: a slow instance keeps a table that others have replaced.
-        Sequence: it reads up to one table; the next two records expire before it
-        reads on. Cause: reading on from the first offset still kept.
+        """Guards against a slow instance that keeps a replaced table.
+
+        The two records after the one it has read expire, and it continued from the first
+        kept offset.
         """
         first = await self.propose("a", 0)
         slow = await self.caught_up()
@@ -178,10 +176,9 @@
         self.assertEqual(slow.state.weights, {"m": 1})
 
     async def test_a_start_publishes_no_old_revision(self):
-        """
-        Symptom: just after a start decisions name a table replaced long ago.
-        Sequence: the reader folds its first batch of several. Cause: telling each
-        state on the way as if it were in force.
+        """Guards against use of a table replaced long ago just after a start.
+
+        The initial read takes several batches, and the state after each was published.
         """
         base = 0
         for number in range(1, 700):
@@ -211,10 +208,10 @@
         self.assertEqual(behind.state.revision, third)
 
     async def test_a_peers_newer_state_outlives_a_start_from_a_checkpoint(self):
-        """
-        Symptom: a starting instance falls back to an earlier table for a moment.
-        Sequence: it learns the state from a peer first; then the log answers and
-        its newest checkpoint is older. Cause: recovery that always moves.
+        """Guards against a starting instance that briefly returns to an earlier table.
+
+        It adopts the state of a peer first; then the log answers, and its newest
+        checkpoint is older. Recovery always replaced the state.
         """
         first = await self.propose("a", 0)
         await self.checkpoint(await self.caught_up())
@@ -227,10 +224,10 @@
         self.assertIs(starting.state, peer.state)
 
     async def test_a_batch_older_than_an_adopted_state_is_not_folded(self):
-        """
-        Symptom: an instance reads the same records for ever, or twice.
-        Sequence: a read is under way; a peer's state, further on, is adopted; the
-        read's answer comes. Cause: taking the batch for what follows the state.
+        """Guards against records that are read twice or for ever.
+
+        A newer state of a peer is adopted while a read is pending. Its batch was taken
+        to follow the new state.
         """
         first = await self.propose("a", 0)
         reader = await self.caught_up()
@@ -286,10 +283,10 @@
                 self.assertEqual(reader.is_checkpoint_due, due)
 
     async def test_a_checkpoint_that_expires_in_an_idle_log_is_renewed(self):
-        """
-        Symptom: after a quiet night every instance that starts knows no table.
-        Sequence: nothing is appended for longer than the log keeps records.
-        Cause: counting only records that came since the newest checkpoint.
+        """Guards against instances that start without a table after an idle period.
+
+        Nothing is appended for longer than the log keeps records, and checkpoints became
+        due only by the number of records since the last one.
         """
         await self.propose("a", 0)
         writer = await self.caught_up(self.follower(may_checkpoint=lambda: True))
@@ -304,11 +301,10 @@
         self.assertFalse(writer.is_checkpoint_due)
 
     async def test_state_outlives_every_record_of_it(self):
-        """
-        Symptom: all instances forget the table although none was withdrawn.
-        Sequence: a busy stream of announcements pushes the table's record, and
-        every checkpoint but the newest, out of the log again and again.
-        Cause: checkpoints written too rarely for what the log keeps.
+        """Guards against the loss of a table that was not withdrawn.
+
+        Many announcements expire the table's record and all checkpoints but the newest.
+        Checkpoints were too rare for the retention of the log.
         """
         revision = await self.propose("a", 0)
         writer = self.follower(may_checkpoint=lambda: True)
--- a/sassafrasdoor/log/tests/test_machine.py
+++ b/sassafrasdoor/log/tests/test_machine.py
@@ -1,4 +1,4 @@
-"""Any interleaving of appends, faults, expiries, restarts and late checkpoints."""
+"""Random interleavings of appends, faults, expiry, restarts and late checkpoints."""
 
 import asyncio
 from bisect import bisect_left
@@ -29,7 +29,7 @@
 
 
 class RecordingLog(MemoryLog):
-    """Keeps every record ever and the state after it, to judge the readers by."""
+    """Keeps all records ever appended and the expected state after each."""
 
     def __init__(self):
         super().__init__(stride=2)
@@ -45,14 +45,14 @@
         return offset
 
     def expected_state(self, below):
-        """Return the fold of every record ever appended below an offset."""
+        """Return the fold of all records ever appended below an offset."""
         return self.expected_states[
             bisect_left([record.offset for record in self.all_records], below)
         ]
 
 
 class Reader:
-    """A follower, every revision that it ever published, the state last judged."""
+    """A follower, all revisions it has published, and the state last checked."""
 
     def __init__(self, log):
         self.published = []
@@ -182,7 +182,7 @@
                 self.assert_no_usable_checkpoint(reader.follower.as_of)
 
     def assert_no_usable_checkpoint(self, as_of):
-        """Only a reader whose records are gone, with no checkpoint, may be stuck."""
+        """Assert that a reader is stuck only if unread records expired uncheckpointed."""
         first = self.log._first[STREAM]
         assert as_of < first
         kept = [record for record in self.log.all_records if record.offset >= first]
--- a/sassafrasdoor/log/tests/test_relay.py
+++ b/sassafrasdoor/log/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""A log that one instance alone cannot reach."""
+"""Relays for an instance that alone cannot reach the log."""
 
 import asyncio
 import unittest
@@ -14,9 +14,9 @@
 
 
 class CuttableLog:
-    """The way of one instance to a log; ``cut`` leaves every call without a reply.
+    """An instance's path to a log; ``cut`` leaves every call without a reply.
 
-    With ``held_fail`` the reads that wait fail; ``short_reads`` counts the others.
+    With ``long_polls_fail`` the reads that wait fail; ``short_reads`` counts the others.
     """
 
     def __init__(self, log):
@@ -74,10 +74,10 @@
         self.assertEqual(self.peer.calls, 0)
 
     async def test_unresponsive_direct_path_is_relayed_before_the_deadline(self):
-        """Symptom: an instance that alone is cut off loses its shards.
+        """Guards against the loss of shards by an instance that alone is cut off.
 
-        Sequence: its connection to the log goes silent while it runs steps; its claim
-        lapses before an append has failed. Cause: nobody else was asked to append.
+        The log stops answering while the instance runs steps. Without a relay its claim
+        lapses before an append has failed.
         """
         self.direct.cut = True
         deadline = deadline_in(30.0)
@@ -88,7 +88,7 @@
         self.assertTrue(self.relayed.is_cut_off)
 
     async def test_expired_list_is_loaded_through_a_relay(self):
-        """Guards against a list that stays as it was for as long as a cut lasts."""
+        """Guards against a list that is stale for as long as a cut lasts."""
         await self.log.append("keyed.t", 0, [keyed_record("a", b"1")], deadline_in(1))
         self.direct.cut = True
         await self.append(seconds=30.0)
@@ -103,10 +103,9 @@
         return Unavailable("store answered 503")
 
     async def test_long_polls_are_relayed_once_an_append_detects_the_cut(self):
-        """Symptom: the instance renews its claim and does not see it.
+        """Guards against an instance that renews its claim but does not read that.
 
-        Sequence: as above, with a read that waits for new records. Cause: that read
-        held on to the silent way until its own time was over.
+        The pending long poll used the cut path until its own timeout.
         """
         self.direct.cut = True
         reading = asyncio.ensure_future(self.relayed.read("t", 0, 0, 500.0, 500.0))
@@ -124,11 +123,11 @@
         self.assertIsInstance(await self.relayed.read("t", 0, 0, 0, 1.0), RawBatch)
 
     async def test_instance_returns_to_the_direct_path_once_it_answers(self):
-        """Symptom: no caller is sent to an instance any more after a short cut.
+        """Guards against an instance that gets no callers any more after a short cut.
 
-        Sequence: one of its calls goes unanswered, a relay answers, the direct way
-        comes back; reads wait at the relays one behind another. Cause: each relayed
-        read was taken for a further sign that the direct way is cut.
+        A call is not answered, a relay answers it, and the direct path recovers while
+        long polls wait at relays. Each relayed read was taken as a sign that the direct
+        path was still cut.
         """
         self.direct.cut = True
         await self.append(seconds=30.0)
@@ -142,10 +141,10 @@
         self.assertEqual(self.peer.calls, calls)
 
     async def test_call_lost_at_recovery_does_not_divert_callers(self):
-        """Symptom: after an outage for all every instance names only others.
+        """Guards against instances that all send their callers away after an outage.
 
-        Sequence: each has a call under way that was sent in silence, a relay answers
-        first. Cause: the direct way was asked again only a second later.
+        Each has a pending call that was sent during the outage, and a relay answers
+        first. The direct path was probed only a second later.
         """
         interval, module.PROBE_INTERVAL = module.PROBE_INTERVAL, 1000.0
         self.addCleanup(setattr, module, "PROBE_INTERVAL", interval)
@@ -156,7 +155,7 @@
         self.assertFalse(self.relayed.is_cut_off)
 
     async def test_probe_of_a_cut_path_delays_no_read(self):
-        """Each look at the direct way runs beside the reads, which relays answer."""
+        """Probes of the direct path run beside the reads, which relays answer."""
         self.direct.cut = True
         await self.append(seconds=30.0)
         asked, limit = self.direct.calls, deadline_in(30.0)
@@ -168,7 +167,7 @@
         self.assertTrue(self.relayed.is_cut_off)
 
     async def test_recovery_of_the_direct_path_ends_the_wait_for_a_relay(self):
-        """Guards against lists that stay as they are while a dead relay is waited for."""
+        """Guards against stale lists while a read waits for a relay that is down."""
         self.direct.cut = True
         await self.append(seconds=30.0)
         self.peer.cut = True
@@ -193,7 +192,7 @@
         self.assertEqual(self.direct.short_reads, 1)
 
     async def test_slow_log_is_not_sent_every_call_twice(self):
-        """Guards against a log that relays keep slow after its cause has gone."""
+        """Guards against relayed calls that keep a log slow after the cause has gone."""
         self.direct.answer = self.peer.answer = Unavailable("store answered 503")
         for _ in range(100):
             await self.append(seconds=0.1)
@@ -201,12 +200,11 @@
         self.assertLess(self.peer.calls, 20)
 
     async def test_failed_relays_do_not_end_other_reads(self):
-        """Symptom: while the log is away for all, every instance takes several times
-        the processor and asks it again and again.
+        """Guards against high processor load and repeated reads while the log is down.
 
-        Sequence: an instance reads through others; one relay does not reach the log
-        either, the direct way is taken, fails, a relay answers. Cause: each such turn
-        ended all reads that wait at relays, and they began anew.
+        An instance reads through relays, one relay does not reach the log either, the
+        direct path is tried and fails, and a relay answers. Each such switch ended and
+        restarted all long polls at relays.
         """
         self.direct.cut = True
         await self.append(seconds=30.0)
@@ -224,10 +222,10 @@
         self.assertEqual(self.peer.calls + self.direct.calls, calls)
 
     async def test_append_that_may_have_landed_is_reported_as_reply_lost(self):
-        """Symptom: a step is refused as not kept, and runs.
+        """Guards against a step that is refused as not stored, and runs.
 
-        Sequence: the direct append loses its reply, the relay refuses. Cause: the
-        last answer was taken for the outcome.
+        The direct append loses its reply and the relay refuses. The last outcome was
+        returned.
         """
         self.direct.answer = ReplyLost("reset")
         self.peer.answer = Unavailable("down")
@@ -238,10 +236,10 @@
         self.assertIsInstance(await self.append(), Unavailable)
 
     async def test_unknown_outcome_of_a_relayed_append_is_kept(self):
-        """Symptom: as above, at an instance that was cut off before.
+        """Guards against the same at an instance that already uses relays.
 
-        Sequence: the relay loses its reply, then refuses, the direct way refuses too.
-        Cause: what became of the first relayed append was dropped.
+        The relay loses its reply, then refuses, as does the direct path. The outcome of
+        the first relayed append was dropped.
         """
         self.direct.answer = Unavailable("store answered 429")
         await self.append()
--- a/sassafrasdoor/log/tests/test_retention_cluster.py
+++ b/sassafrasdoor/log/tests/test_retention_cluster.py
@@ -1,4 +1,4 @@
-"""A whole cluster over a log that keeps few records: the table outlives them all."""
+"""A cluster on a log with short retention: the table outlives its record."""
 
 import unittest
 
@@ -11,14 +11,14 @@
 
 class RetentionClusterTest(unittest.IsolatedAsyncioTestCase):
     async def revisions(self, cluster):
-        """Return the revision that each instance uses."""
+        """Return the revision in use by each instance."""
         return [
             (await cluster.get(instance.address, "/v1/status"))[1]["revision"]
             for instance in cluster.instances
         ]
 
     async def has_outlived_record(self, cluster, revision):
-        """Say whether the table's record is long gone and a checkpoint is recent."""
+        """Return whether the table's record expired long ago and a checkpoint is recent."""
         address = cluster.platform_url.removeprefix("http://")
         _, truth = await cluster.get(address, "/standin/truth")
         kept = truth["streams"]["agreed"][-RETAINED_RECORDS:]
@@ -30,11 +30,10 @@
     async def test_table_survives_a_restart_of_all_instances_after_its_record_expired(
         self,
     ):
-        """
-        Symptom: after a power cut no instance knows a table, and none is withdrawn.
-        Sequence: renewals of leases push the table's record out of the log; then
-        every instance is killed at once and new ones start.
-        Cause: no checkpoint among what the log still keeps, or an unusable one.
+        """Guards against instances without a table after a power cut.
+
+        Renewals of leases expire the table's record; then all instances are killed at
+        once and new ones start. The log kept no checkpoint, or only an unusable one.
         """
         async with Cluster(FREQUENT_RENEWALS) as cluster:
             cluster.start_platform()
--- a/sassafrasdoor/log/tests/test_samples.py
+++ b/sassafrasdoor/log/tests/test_samples.py
@@ -1,4 +1,4 @@
-"""The library samples run as they stand, with no daemon and no settings file."""
+"""The library samples run unchanged, without a daemon or a settings file."""
 
 import subprocess
 import sys
--- a/sassafrasdoor/log/tests/test_sharing.py
+++ b/sassafrasdoor/log/tests/test_sharing.py
@@ -1,4 +1,4 @@
-"""How the log's rate is shared, and the pauses of those who read it."""
+"""Shares of the log's bandwidth, and pauses between reads."""
 
 import asyncio
 import unittest
@@ -11,7 +11,7 @@
 
 
 class CountingLog(SilentLog):
-    """Notes the reads under way, by partition, and how many there were of each."""
+    """Records the requests, and how many are concurrently in flight."""
 
     def __init__(self):
         super().__init__()
@@ -37,12 +37,12 @@
 
 class FollowerPauseTest(unittest.IsolatedAsyncioTestCase):
     async def test_many_followers_stay_within_their_read_share(self):
-        """Symptom: with 300 instances a configuration is in force seconds late.
+        """Guards against a configuration that takes effect seconds late.
 
-        Sequence: sixty instances follow busy partitions, each append wakes them all.
-        Cause: their reads exceed what the log gives to all, and it refuses others'.
+        Of 300 instances 60 follow busy partitions, and each append ends all their long
+        polls. Their reads exceeded the log's limit, and it refused others.
         """
-        # followers, partitions, reads a second -> at most so many reads a second
+        # followers, partitions, the log's reads a second, maximum reads a second
         cases = [(60, 5, 6000, 2400), (80, 5, 6000, 2400), (300, 7, 2000, 800)]
         for followers, partitions, limit, max_reads in cases:
             pause = module.follower_pause(followers, partitions, limit)
@@ -52,7 +52,7 @@
 
 
 class ReadCoordinatorTest(unittest.IsolatedAsyncioTestCase):
-    """Tails of one instance do not ask for more than it has to ask for."""
+    """The tails of one instance coordinate their reads."""
 
     def setUp(self):
         self.log = CountingLog()
@@ -78,12 +78,12 @@
                 await asyncio.sleep(0.01)
 
     async def test_one_backlog_is_read_at_a_time(self):
-        """Guards against a start that asks for the megabytes of all partitions."""
+        """Guards against a start that requests the backlogs of all partitions at once."""
         await asyncio.gather(*(tail.poll(0) for tail in self.tails))
         self.assertEqual(self.log.max_concurrent_reads, 1)
 
     async def test_unresponsive_partition_delays_no_other(self):
-        """Guards against a shard that nobody reads since another one is silent."""
+        """Guards against a shard that is not read because another does not answer."""
         for part in range(1, 5):
             await self.log.append("t", part, [b"x"] * 30, deadline_in(1))
         self.log.silent_part = ("t", 0)
@@ -98,12 +98,12 @@
             self.follow(tail)
         started_at = now()
         await self.until(lambda: all(tail.has_caught_up for tail in self.tails[1:]))
-        # Thirty answers of each of the four, and a few tries at the silent one.
+        # Thirty answers from each of four partitions, and a few failed reads of the first.
         self.assertLess(now() - started_at, 10 * module.BACKLOG_INTERVAL)
         self.assertFalse(self.tails[0].has_caught_up)
 
     async def test_partitions_wait_until_a_list_is_answered(self):
-        """Guards against reads of megabytes that a silent log is asked for."""
+        """Guards against requests for megabytes during an outage."""
         for tail in self.tails:
             await tail.poll(0)
         self.log.silent = True
@@ -124,7 +124,7 @@
         self.assertEqual(self.log.max_concurrent_reads, 5)
 
     async def test_start_during_an_outage_resumes_once_a_list_is_answered(self):
-        """Guards against shards that are read late since each one waits its time."""
+        """Guards against shards that are read late because each waits in turn."""
         self.log.silent = True
         self.assertFalse(await self.tails[0].poll(0))
         polls = [asyncio.ensure_future(tail.poll(0)) for tail in self.tails]
@@ -148,7 +148,7 @@
             backoff._deadline = LONG_AGO
 
     async def test_backoff_grows_while_reads_fail(self):
-        """Guards against a log that is asked at the same rate however slow it is."""
+        """Guards against a constant rate of reads from a failing log."""
         pauses = []
 
         async def read(max_bytes, failures):
@@ -167,7 +167,7 @@
         self.assertLessEqual(max(pauses), module.MAX_RETRY_PAUSE)
 
     async def test_backoff_applies_to_all_partitions(self):
-        """Guards against partitions that take turns at asking a slow log."""
+        """Guards against partitions that each read from a failing log."""
         self.log.down = True
         for tail in self.tails:
             self.read_coordinator.record_list_answer("keyed.t")
@@ -181,24 +181,24 @@
         self.assertEqual(self.read_coordinator._backoff.failure_count, 0)
 
     def test_retries_of_refused_lists_stay_within_their_read_share(self):
-        """Guards against refused reads of all that exceed what the log takes."""
+        """Guards against retries of all instances that exceed the log's limit."""
         for instances, limit in ((78, 6000), (300, 2000), (400, 6000)):
             pause = module.list_retry_pause(instances, limit)
             self.assertLessEqual(module.LIST_COUNT * instances / pause, limit / 2)
         self.assertEqual(module.list_retry_pause(10, 2000), module.RETRY_PAUSE)
 
     def test_backlog_shares_of_all_readers_fit_the_interval(self):
-        """Guards against lists that are read late behind many backlogs."""
+        """Guards against lists that arrive late behind many backlogs."""
         rate, record = 80e6, 262_144
         for readers in (1, 16, 48, 100):
             share = module.backlog_share(readers, rate, record)
             self.assertLessEqual(readers * share, module.BACKLOG_INTERVAL * rate / 2)
             self.assertGreater(share, record)
-        # A record is read though it exceeds the share.
+        # A record larger than the share can still be read.
         self.assertGreater(module.backlog_share(1000, rate, record), record)
 
     async def test_confirmation_waits_for_the_retry_of_a_failed_read(self):
-        """Guards against looks that are made beside a read that failed."""
+        """Guards against confirming reads beside the retries of a failed read."""
         tail = self.tails[0]
         await tail.poll(0)
         self.follow(tail)
@@ -213,7 +213,7 @@
         self.assertTrue(await tail.confirm(deadline_in(20)))
 
     async def test_partitions_wait_for_each_list(self):
-        """Guards against steps that are read while the operator's table is late."""
+        """Guards against steps that are read before the operator's table."""
         self.read_coordinator.record_read_failure("keyed.a")
         self.read_coordinator.record_read_failure("keyed.b")
         poll = asyncio.ensure_future(self.tails[0].poll(0))
@@ -224,7 +224,7 @@
         self.assertTrue(await poll)
 
     async def test_failing_list_is_probed_with_small_reads(self):
-        """Guards against lists whose repeats grow with what they are behind."""
+        """Guards against hedged reads that each transfer the backlog of a list."""
         requested = []
 
         async def read(topic, part, offset, wait, slack, max_bytes=None):
@@ -244,7 +244,7 @@
         self.assertEqual(requested[1:], [PROBE_BYTES] * len(requested[1:]))
 
     async def test_rest_after_a_short_answer_is_read_without_pause(self):
-        """Guards against a list that is read in small parts with pauses between."""
+        """Guards against a list that is read in small parts with pauses between them."""
         keyed_tail = KeyedTail(self.log, "keyed.t", lambda key, value: None, 30.0)
         await keyed_tail.poll(0)
         records = [keyed_record(f"k{at}", bytes(900)) for at in range(5)]
@@ -254,7 +254,7 @@
         await self.until(lambda: keyed_tail.offset == 5)
 
     async def test_partition_is_read_although_lists_fail(self):
-        """Guards against steps that stand still where the lists alone fail."""
+        """Guards against steps that stop because only the lists fail."""
         tail = self.tails[0]
         await tail.poll(0)
         self.log.down = True
--- a/sassafrasdoor/log/tests/test_standstill.py
+++ b/sassafrasdoor/log/tests/test_standstill.py
@@ -1,4 +1,4 @@
-"""Readers that ask again do not hold a log at a standstill when its cause has gone."""
+"""Retries of readers do not sustain an overload of the log after its cause has gone."""
 
 import asyncio
 import math
@@ -10,21 +10,18 @@
 from sassafrasdoor.log.tail import KeyedTail, Tail
 from sassafrasdoor.log.tests.virtual import MEGABYTE, BoundedLog, run
 
-BYTES_PER_SECOND = 40 * MEGABYTE
-"""Half of what the log is said to send."""
-CALLS_PER_SECOND = 1000
-"""Reads a second, above what the instances make in calm."""
+BYTES_PER_SECOND = 40 * MEGABYTE  # half of the bandwidth that the readers assume
+CALLS_PER_SECOND = 1000  # more than the instances make in normal operation
 SHARDS = 5
 RECORD_BYTES = 50_000
-RECORDS_PER_SHARD = 48
-"""Records of each shard that a new reader has to read, 2.4 MB."""
+RECORDS_PER_SHARD = 48  # 2.4 MB, read by each newcomer
 FOLLOWERS, NEWCOMERS = 24, 24
 SERVERS, SERVER_BYTES = 90, 300
 STEP_INTERVAL, HEARTBEAT_INTERVAL, TABLE_INTERVAL = 0.5, 0.2, 2.0
 
 
 class Instance:
-    """What one instance follows."""
+    """The tails of one instance."""
 
     def __init__(self, log, readers):
         reader = log.reader()
@@ -62,18 +59,18 @@
             self.table_delay = now() - float(written_at)
 
     def follow_lists(self):
-        """Return the tasks that follow the lists."""
+        """Start to follow the lists; return the tasks."""
         return [
             asyncio.ensure_future(tail.run()) for tail in (self.table, self.servers)
         ]
 
     def follow_steps(self):
-        """Return the tasks that follow the steps."""
+        """Start to follow the steps; return the tasks."""
         return [asyncio.ensure_future(tail.run()) for tail in self.steps]
 
     @property
     def is_caught_up(self):
-        """Whether it has read everything that the log keeps, but the latest."""
+        """Whether at most two records of each shard are unread."""
         storage = self._log.storage
         return all(
             storage.partition("steps", shard).end - tail.offset <= 2
@@ -82,7 +79,7 @@
 
 
 class Fleet:
-    """Instances at one log with its writers; ``disturbance()`` is over when it returns."""
+    """Instances that share one log, and the writers of its records."""
 
     def __init__(self, followers, newcomers, calls_per_second):
         self.log = BoundedLog(BYTES_PER_SECOND, calls_per_second)
@@ -96,7 +93,7 @@
         self._version = 0
 
     async def begin(self):
-        """Let the followers read to the end, one by one."""
+        """Start the writers; let the followers catch up, one after another."""
         self._tasks = [
             asyncio.ensure_future(self._write_periodically(interval, write))
             for interval, write in (
@@ -115,25 +112,25 @@
         await asyncio.sleep(2.0)
 
     async def newcomers_read(self):
-        """All newcomers begin to read the steps at the same moment."""
+        """Let all newcomers start to read the steps at the same time."""
         self.step_followers = self.all
         for instance in self.newcomers:
             self._tasks += instance.follow_steps()
 
     async def silence(self, seconds):
-        """Nothing that is asked is answered, for that long."""
+        """Leave all calls unanswered for a time."""
         self.log.silent = True
         await asyncio.sleep(seconds)
         self.log.silent = False
 
     async def refusal(self, seconds):
-        """Everything that is asked is refused at once, for that long."""
+        """Refuse all calls for a time."""
         self.log.refuses_calls = True
         await asyncio.sleep(seconds)
         self.log.refuses_calls = False
 
     def end(self):
-        """End all."""
+        """Cancel all tasks."""
         for task in self._tasks:
             task.cancel()
 
@@ -164,10 +161,10 @@
 
 
 class OverloadRecoveryTest(unittest.TestCase):
-    """Each sum of bytes fits the log's rate well, once the cause has gone."""
+    """Once the cause has gone, the load is well within the log's limits."""
 
     def run_fleet(self, newcomers, disturbance, settle_time, calls_per_second=math.inf):
-        """Check the fleet ``rest`` seconds after the cause has gone."""
+        """Check the fleet ``settle_time`` seconds after ``disturbance()`` has returned."""
 
         async def main(loop):
             fleet = Fleet(FOLLOWERS, newcomers, calls_per_second)
@@ -184,22 +181,22 @@
         run(main)
 
     def check(self, fleet):
-        """The log's answers come soon, and all know what it keeps."""
+        """Assert that the log answers promptly and all readers have caught up."""
         self.assertLess(fleet.log.backlog, 0.5)
         behind = sum(not instance.is_caught_up for instance in fleet.step_followers)
         self.assertEqual(behind, 0)
         self.assertLess(max(instance.table_delay for instance in fleet.all), 2.0)
 
     def test_newcomers_that_start_together_catch_up(self):
-        """Guards against reads that are given up and made again for good."""
+        """Guards against reads that time out and are retried for ever."""
         self.run_fleet(NEWCOMERS, Fleet.newcomers_read, 30.0)
 
     def test_newcomers_of_a_larger_fleet_catch_up(self):
-        """Guards against a bound that holds for one size of the fleet only."""
+        """Guards against limits that suit only one size of the fleet."""
         self.run_fleet(4 * NEWCOMERS, Fleet.newcomers_read, 60.0)
 
     def test_fleet_recovers_from_refused_reads(self):
-        """Guards against refused reads that are repeated faster than they are taken."""
+        """Guards against retries of refused reads that exceed the log's limit."""
         self.run_fleet(
             4 * NEWCOMERS,
             lambda fleet: fleet.refusal(3.0),
@@ -208,7 +205,7 @@
         )
 
     def test_fleet_recovers_from_unanswered_reads(self):
-        """Guards against a fleet whose repeats outlive the log's silence."""
+        """Guards against an overload by retries that outlasts the outage."""
         self.run_fleet(0, lambda fleet: fleet.silence(6.0), 10.0)
 
 
--- a/sassafrasdoor/log/tests/test_tail.py
+++ b/sassafrasdoor/log/tests/test_tail.py
@@ -1,4 +1,4 @@
-"""Following a partition and a keyed topic through the log's troubles."""
+"""Reading a partition and a keyed topic during and after faults of the log."""
 
 import asyncio
 import unittest
@@ -10,12 +10,11 @@
 from sassafrasdoor.log.sharing import RETRY_PAUSE
 from sassafrasdoor.log.tail import KeyedTail, Tail
 
-CALL_TIMEOUT = 2.0
-"""How long a call that names no time is waited for."""
+CALL_TIMEOUT = 2.0  # seconds, of calls that have no timeout of their own
 
 
 class SilentFirstReadLog(MemoryPartitionedLog):
-    """Never answers the first read: it was sent while the log was cut off."""
+    """Never answers the first read, as if it had been sent during an outage."""
 
     def __init__(self):
         super().__init__()
@@ -30,7 +29,7 @@
 
 
 class SilentLog(MemoryPartitionedLog):
-    """Never answers a read that was sent while it was ``silent``."""
+    """Never answers calls that were sent while it was ``silent``."""
 
     def __init__(self):
         super().__init__()
@@ -90,10 +89,9 @@
         self.assertFalse(await self.tail.ensure_fresh(0, deadline_in(0)))
 
     async def test_concurrent_confirmations_share_one_read(self):
-        """Symptom: after a start of all instances the log is read for seconds.
+        """Guards against repeated reads of a shard's backlog during a start.
 
-        Sequence: readers ask for steps while the shards are read. Cause: each of
-        them read the shard's megabytes again.
+        Each confirmation read the megabytes again, which overloaded the log for seconds.
         """
         await self.append(b"a")
         limit = deadline_in(5)
@@ -101,7 +99,7 @@
         self.assertLessEqual(self.log.calls.count(("read", "t", 0)), 2)
 
     async def test_unwanted_partition_is_not_read(self):
-        """Guards against many instances that exceed what a log can send to readers."""
+        """Guards against instances that together exceed the log's bandwidth."""
         self.tail.wanted.clear()
         task = asyncio.ensure_future(self.tail.run())
         self.addCleanup(task.cancel)
@@ -114,7 +112,7 @@
                 await asyncio.sleep(0.01)
 
     async def test_waiting_reader_ends_the_pause(self):
-        """Guards against samples that come a pause late to the trainer who waits."""
+        """Guards against samples that reach a waiting trainer late by a pause."""
         self.tail._pause = lambda: 1000.0
         task = asyncio.ensure_future(self.tail.run())
         self.addCleanup(task.cancel)
@@ -137,7 +135,7 @@
         self.assertLessEqual(self.tail.restored_at, now())
 
     async def test_outage_starts_at_the_last_answer_before_it(self):
-        """A read that waits is given up long after the log went away."""
+        """A long poll times out long after the start of an outage."""
         self.assertIsNone(self.tail.last_outage)
         await self.tail.poll(0)
         answered = now()
@@ -160,10 +158,9 @@
         self.assertEqual(self.tail.last_outage.since, LONG_AGO)
 
     async def test_unanswered_read_times_out_soon(self):
-        """Symptom: a change is in force 2.2 s after the log's return.
+        """Guards against a change that takes effect 2.2 s after an outage.
 
-        Sequence: a read is sent while the log is silent, which then comes back and
-        acknowledges a change. Cause: the read was waited for five seconds.
+        A read sent during the outage is never answered, and its timeout was 5 s.
         """
         self.assertLess(module.LONG_POLL_TIMEOUT + module.READ_SLACK + RETRY_PAUSE, 1.8)
         log = SilentFirstReadLog()
@@ -176,11 +173,10 @@
             await seen.wait()
 
     async def test_recovery_is_detected_by_a_read_sent_after_it(self):
-        """Symptom: an instance goes on 2.5 s after the log has come back.
+        """Guards against an instance that resumes 2.5 s after an outage.
 
-        Sequence: the log is silent for all for seconds, its readers have given up some
-        reads and wait for one more, it comes back. Cause: the read that was sent last
-        was waited for, in vain, before another was sent.
+        The log recovers while a read sent during the outage is pending. No other read
+        was sent until that one, which is never answered, had timed out.
         """
         log = SilentLog()
         folded = asyncio.Event()
@@ -200,10 +196,10 @@
         self.assertEqual(log.given_up, given_up)
 
     async def test_second_read_of_a_start_during_an_outage_is_short(self):
-        """Symptom: steps stand still for three seconds after the log's return.
+        """Guards against steps that stop for 3 s after an outage.
 
-        Sequence: an instance starts while the log is silent, its first read is given
-        up. Cause: the second was waited for three seconds, with a wait for new records.
+        An instance starts during the outage and its first read times out. The second was
+        a long poll with a timeout of 3 s.
         """
         asked = []
 
@@ -217,7 +213,7 @@
         self.assertLessEqual(
             max(asked[:2]), module.LONG_POLL_TIMEOUT + module.READ_SLACK
         )
-        # A log that is slower than that is read all the same.
+        # A later attempt allows for a log that is slower than that.
         self.assertGreater(max(asked), 2 * asked[0] - 0.1)
 
     async def test_pause_batches_records(self):
@@ -250,7 +246,7 @@
 
 
 class KeyedTailRecoveryTest(unittest.IsolatedAsyncioTestCase):
-    """A list is read on soon after the log's return, in whatever state it was."""
+    """A list is read again soon after an outage, whatever its state was."""
 
     async def asyncSetUp(self):
         self.log = SilentLog()
@@ -282,9 +278,9 @@
                 await asyncio.sleep(0.01)
 
     async def check_return(self):
-        """Let the log return when a call has just begun; that one is never answered."""
+        """End the outage just after a call was sent, which is never answered."""
         given_up = self.log.given_up
-        # Calls of one try end together; the next try's first one is what is wanted.
+        # The calls of an attempt end together; wait for the first call of the next one.
         await self.until(lambda: self.log.given_up > given_up and not self.log.waiting)
         await self.until(lambda: self.log.waiting == 1)
         given_up = self.log.given_up
@@ -294,11 +290,11 @@
         self.assertEqual(self.log.given_up, given_up)
 
     async def test_list_from_a_peer_is_read_on_after_an_outage(self):
-        """Symptom: a server that leaves after an outage is used three seconds more.
+        """Guards against use of a backend server 3 s after it left.
 
-        Sequence: an instance starts while the log is silent, goes by another's list,
-        the log returns, a key is dropped. Cause: the reads of a start were waited for
-        one by one, up to three seconds each, although the list had been loaded.
+        An instance starts during an outage with the list of a peer; after the outage a
+        key is dropped. The initial reads were sent one after another, with timeouts of
+        up to 3 s, although the list had been loaded.
         """
         self.log.silent = True
         self.follow(self.newest_from_peer)
@@ -306,11 +302,10 @@
         await self.check_return()
 
     async def test_list_expired_during_an_outage_is_reloaded_after_it(self):
-        """Symptom: as above, where the log also forgets its history meanwhile.
+        """Guards against late detection of a dropped key if its record has expired.
 
-        Sequence: a list is followed, the log goes silent and forgets, a key is
-        dropped, it returns and is silent once more while the list is loaded anew.
-        Cause: loading a list was waited for two seconds, with no call beside it.
+        The log stops answering and records expire; it recovers and fails once more
+        while the list is reloaded. The load had a timeout of 2 s and was not hedged.
         """
         tail = self.follow()
         await self.until(lambda: tail.loaded)
@@ -349,10 +344,10 @@
         self.assertEqual(self.values[-1], ("a", b""))
 
     async def test_key_dropped_in_expired_records_is_reported(self):
-        """Symptom: a replica that left long ago still gets work.
+        """Guards against work for a replica that left long ago.
 
-        Sequence: an instance is cut off; meanwhile a key is dropped and the log
-        forgets that record. Cause: what had expired was skipped.
+        While an instance is cut off a key is dropped and that record expires. Expired
+        records were skipped without a reload.
         """
         await self.put("a", b"1")
         await self.put("b", b"1")
@@ -366,7 +361,7 @@
         self.assertIn(("c", b"1"), self.values)
 
     async def test_load_older_than_the_read_offset_is_rejected(self):
-        """Guards against a list that another reader, who is behind, takes back."""
+        """Guards against a list that is reverted by a reader that lags behind."""
         await self.put("a", b"1")
         await self.tail.poll(0)
         await self.put("a")
@@ -394,7 +389,7 @@
 
 class AllCaughtUpTest(unittest.TestCase):
     def tails(self, *states):
-        """Return tails that have caught up, are behind, or fail."""
+        """Return tails that are caught up (read), behind, or failing (fails)."""
         found = []
         for state in states:
             tail = Tail(MemoryPartitionedLog(), "t", 0, lambda at, data: None)
@@ -404,7 +399,7 @@
         return found
 
     def test_failing_partitions_are_ignored(self):
-        """Guards against instances that never say what they have read."""
+        """Guards against instances that never report that they have caught up."""
         cases = {
             ("read", "read"): True,
             ("read", "behind"): False,
--- a/sassafrasdoor/log/tests/test_turns.py
+++ b/sassafrasdoor/log/tests/test_turns.py
@@ -1,21 +1,20 @@
-"""Who reads first after all instances started together."""
+"""Which instances read first if all start together."""
 
 import unittest
 
 from sassafrasdoor.log.turns import MAX_CONCURRENT_READERS, MAX_WAIT, ReadSlot, may_read
 
-BACKLOG_MB = 9.0
-"""MB of steps that each reader needs."""
-PROPAGATION_DELAY = 0.8
-"""Seconds until the others know that an instance has read."""
+BACKLOG_MB = 9.0  # read by each reader
+PROPAGATION_DELAY = 0.8  # seconds until the others know that a reader has finished
 READERS = 20
 STEP = 0.01
 
 
 class ReadSimulation:
-    """Readers of a log that sends ``rate`` MB a second to all of them together.
+    """Readers that share a log's bandwidth of ``rate`` MB a second.
 
-    ``done`` is when each was done, ``most`` how many read at once at most.
+    ``done`` maps readers to the times at which they finished; ``max_concurrent`` is the
+    largest number of concurrent ones.
     """
 
     def __init__(self, rate, limited=True):
@@ -54,7 +53,7 @@
 
 class ReadSlotTest(unittest.TestCase):
     def test_first_readers_finish_before_the_others_start(self):
-        """Guards against a runner that is done only when all readers are."""
+        """Guards against a runner that finishes only when all readers do."""
         for rate in (10.0, 40.0):
             at_once = ReadSimulation(rate, limited=False)
             self.assertGreater(at_once.done[0], (READERS - 1) * BACKLOG_MB / rate)
@@ -65,11 +64,11 @@
                 )
 
     def test_concurrent_readers_are_limited(self):
-        """Guards against answers that come later than readers wait for them."""
+        """Guards against answers that arrive after the reads have timed out."""
         self.assertEqual(ReadSimulation(40.0).max_concurrent, MAX_CONCURRENT_READERS)
 
     def test_limit_adds_little_to_the_total_time(self):
-        """Guards against a fleet whose last instances hand calls on for long."""
+        """Guards against instances that forward their callers for long."""
         for rate in (10.0, 40.0):
             rounds = READERS / MAX_CONCURRENT_READERS
             last = max(ReadSimulation(rate).done.values())
@@ -78,7 +77,7 @@
             )
 
     def test_wait_is_bounded(self):
-        """Guards against a turn that never comes while others come and go."""
+        """Guards against an endless wait while other instances join and leave."""
         self.assertFalse(may_read(MAX_CONCURRENT_READERS, 7.0, 7.0 + MAX_WAIT / 2))
         self.assertTrue(may_read(100, 7.0, 7.0 + MAX_WAIT))
 
@@ -87,7 +86,7 @@
             self.assertTrue(may_read(ahead, 7.0, 7.0))
 
     def test_slot_is_acquired_once_and_again_after_a_reset(self):
-        """Guards against an instance in reserve that reads all as soon as it is called."""
+        """Guards against a reserve instance that reads at once when it is needed."""
         slot = ReadSlot()
         self.assertIsNone(slot.try_acquire(MAX_CONCURRENT_READERS, 10.0))
         self.assertEqual(slot.try_acquire(0, 11.5), 1.5)
--- a/sassafrasdoor/log/tests/virtual.py
+++ b/sassafrasdoor/log/tests/virtual.py
@@ -1,4 +1,4 @@
-"""Virtual time, and a log that sends its readers a bounded number of bytes."""
+"""Virtual time, and a log with limited bandwidth and rate of calls."""
 
 import asyncio
 import math
@@ -11,15 +11,16 @@
 from sassafrasdoor.log.partitioned import PartitionedLog
 from sassafrasdoor.outcomes import Unavailable
 
-LOAD_TIMEOUT = 2.0
-"""Seconds for a load of the newest values, as of the platform's store."""
-ANSWER_DELAY = 0.004
+LOAD_TIMEOUT = (
+    2.0  # seconds for a load of the newest values, as in the platform's store
+)
+ANSWER_DELAY = 0.004  # seconds
 MEGABYTE = 1_000_000
 HEADER_BYTES = 200
 
 
 class _VirtualSelector(selectors.SelectSelector):
-    """Sleeps by moving the time on."""
+    """Advances the virtual time instead of sleeping."""
 
     def __init__(self):
         super().__init__()
@@ -31,14 +32,14 @@
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """An event loop whose time passes in its waits alone."""
+    """An event loop whose time advances only while it waits."""
 
     def __init__(self):
         self._selector = _VirtualSelector()
         super().__init__(self._selector)
 
     def time(self):
-        """Return the virtual seconds since the begin."""
+        """Return the virtual seconds since the start."""
         return self._selector.time
 
 
@@ -55,11 +56,11 @@
 
 
 class BoundedLog:
-    """The log for all readers: ``rate`` bytes a second, one answer after another.
+    """A log that sends ``rate`` bytes a second, one answer after another.
 
-    What was asked for is sent, also to readers who have given it up: nothing takes a
-    call back. ``silent`` leaves what is asked meanwhile unanswered, and unsent. Of
-    more than ``calls`` a second it refuses all at once; refused ones count too.
+    Answers are sent even if the reader has timed out. Calls made while it is ``silent``
+    are never answered. Above ``calls_per_second`` it refuses calls, and the refused ones
+    count towards that limit.
     """
 
     def __init__(self, rate, calls_per_second=math.inf):
@@ -75,22 +76,22 @@
 
     @property
     def backlog(self):
-        """Seconds for which a small answer would wait now."""
+        """Seconds that a small answer would be queued now."""
         return max(0.0, self._free_at - clock.now())
 
     def accepts_call(self):
-        """Count a call; say whether it is not refused."""
+        """Count a call; return whether it is accepted."""
         leaked = (clock.now() - self._leaked_at) * min(self.calls_per_second, 1e9)
         self._leaked_at = clock.now()
         self._bucket_level = max(0.0, self._bucket_level - leaked) + 1
         return self._bucket_level <= self.calls_per_second and not self.refuses_calls
 
     def reader(self):
-        """Return the way of one instance to it."""
+        """Return the client of one instance."""
         return _Reader(self)
 
     async def answer(self, size):
-        """Return once so many bytes are sent behind all that was asked before."""
+        """Wait until ``size`` bytes are sent after all earlier answers."""
         self.sent += size
         self._free_at = max(self._free_at, clock.now()) + size / self.rate
         await asyncio.sleep(self._free_at + ANSWER_DELAY - clock.now())
