--- a/sassafrasdoor/log/relay.py
+++ b/sassafrasdoor/log/relay.py
@@ -77,7 +77,7 @@
             result = await self._append_relayed(topic, part, records, deadline)
             if _was_answered(result):
                 return result
-            return _less_certain(
+            return _combined_outcome(
                 await self._direct.append(topic, part, records, deadline), result
             )
         return await self._hedged(
@@ -156,7 +156,7 @@
                     direct.result().reason if direct.done() else "silent"
                 )
                 return relayed.result()
-            return _less_certain(await direct, relayed.result())
+            return _combined_outcome(await direct, relayed.result())
         finally:
             for task in (direct, relayed, cut_off):
                 if task is not None:
@@ -189,7 +189,7 @@
             _count_relayed("append", reply)
             if _was_answered(reply):
                 return reply
-            result = _less_certain(result, reply)
+            result = _combined_outcome(result, reply)
             if passed(deadline):
                 break
         return result
@@ -237,7 +237,7 @@
     return not isinstance(result, (Unavailable, ReplyLost))
 
 
-def _less_certain(first, second):
+def _combined_outcome(first, second):
     """Return the outcome of two finished calls.
 
     That is ``first`` if it was answered, else ``ReplyLost`` if either is: the append may
--- a/sassafrasdoor/log/tail.py
+++ b/sassafrasdoor/log/tail.py
@@ -92,9 +92,9 @@
         wanted=None,
         read_coordinator=None,
     ):
-        self.wanted = wanted or _set_event()
+        self.wanted = wanted or _make_set_event()
         self._read_coordinator = read_coordinator or ReadCoordinator()
-        self._shares_reads = read_coordinator is not None
+        self._has_shared_coordinator = read_coordinator is not None
         self._log = log
         self._topic = topic
         self._part = part
@@ -179,7 +179,9 @@
     async def poll(self, wait):
         """Read once; return whether the log answered."""
         sent_at = now()
-        if self._needs_initial_read or (self._has_backlog and self._shares_reads):
+        if self._needs_initial_read or (
+            self._has_backlog and self._has_shared_coordinator
+        ):
             sent_at, result = await self._read_coordinator.read_backlog(
                 self._part, self._read_initial
             )
@@ -188,7 +190,7 @@
                 result = await self._read(
                     wait, READ_SLACK, self._read_coordinator.max_bytes()
                 )
-        elif self._shares_reads:
+        elif self._has_shared_coordinator:
             sent_at, result = await self._read_coordinator.read_backlog(
                 self._part, self._retry_read
             )
@@ -344,20 +346,20 @@
             )
 
     def _record_failure(self, result):
-        self._report_failure()
+        self._report_failure_to_coordinator()
         if self.failing_since is None:
             self.failing_since = now()
             note("log.lost", topic=self._topic, part=self._part, reason=result.reason)
 
-    def _report_failure(self):
+    def _report_failure_to_coordinator(self):
         self._read_coordinator.record_read_failure()
 
-    def _report_answer(self):
+    def _report_answer_to_coordinator(self):
         """Report an answer to the coordinator, which only needs those of lists."""
 
     def _record_answer(self):
         previous_answer_at, self._last_answer_at = self._last_answer_at, now()
-        self._report_answer()
+        self._report_answer_to_coordinator()
         if self.failing_since is None:
             return
         seconds = round(now() - self.failing_since, 3)
@@ -371,7 +373,7 @@
     return None if moment is None else round(now() - moment, 3)
 
 
-def _set_event():
+def _make_set_event():
     wanted = asyncio.Event()
     wanted.set()
     return wanted
@@ -422,10 +424,10 @@
             return await super().poll(wait)
         return await self._load()
 
-    def _report_failure(self):
+    def _report_failure_to_coordinator(self):
         self._read_coordinator.record_read_failure(self._topic)
 
-    def _report_answer(self):
+    def _report_answer_to_coordinator(self):
         self._read_coordinator.record_list_answer(self._topic)
 
     def _handle_expired(self, expired):
