--- a/sassafrasdoor/log/checkpoints.py
+++ b/sassafrasdoor/log/checkpoints.py
@@ -3,7 +3,7 @@
 from sassafrasdoor.outcomes import Expired
 
 KIND = "checkpoint"
-BATCH_SIZE = 500
+BATCH_SIZE = 500  # records of one read
 
 
 class Checkpoint:
--- a/sassafrasdoor/log/follower.py
+++ b/sassafrasdoor/log/follower.py
@@ -10,12 +10,11 @@
 from sassafrasdoor.metrics import counter, gauge
 from sassafrasdoor.outcomes import Expired, Unavailable
 
-BATCH_SIZE = 500
+BATCH_SIZE = 500  # records of one read
 # Seconds; a connection that stopped answering is detected after this and call_timeout.
 LONG_POLL_TIMEOUT = 2.0
-SCAN_WINDOW_FACTOR = (
-    2  # offsets searched for a checkpoint, in units of checkpoint_every
-)
+# Offsets searched first for a checkpoint, in units of checkpoint_every.
+SCAN_WINDOW_FACTOR = 2
 FIRST_OFFSET = 1
 
 RECORDS_FOLDED = counter(
--- a/sassafrasdoor/log/relay.py
+++ b/sassafrasdoor/log/relay.py
@@ -2,8 +2,8 @@
 
 Load pattern: for five to nine seconds the log refuses single instances, or cannot be
 reached by them, and serves all others. Without relays the instance that runs the steps
-or orders the loads loses its leases, and its steps stop for two to four seconds. They
-must complete in seven and a half, of which the longest sample takes six.
+or orders the loads loses its leases, and its steps stop for two to four seconds. A step
+must complete in seven and a half seconds, of which the longest sample takes six.
 
 A call may be sent twice, directly and through a relay: the records that instances
 append are idempotent or name what they replace.
@@ -23,7 +23,7 @@
 # than usual still answers within 0.25 s.
 HEDGE_DELAY = 0.35
 # Seconds between probes of the direct path (short reads); callers are sent to other
-# instances until one is answered.
+# instances until a probe is answered.
 PROBE_INTERVAL = 1.0
 # Seconds allowed for a relayed read after the direct one has failed. A relay that reaches
 # the log answers within 0.25 s even if the log is slow; a relay that is cut off itself may
@@ -68,7 +68,7 @@
 
     @property
     def is_cut_off(self):
-        """Whether calls go through relays since the direct path has failed."""
+        """Whether calls go through relays because the direct path has failed."""
         return self._cut_off.is_set()
 
     async def append(self, topic, part, records, deadline):
@@ -200,8 +200,8 @@
         note("log.relayed", reason=reason)
         # The unanswered call may have been sent just before the log recovered, so the next
         # read probes the direct path at once, unless that was probed less than
-        # PROBE_INTERVAL ago: an intermittent path would otherwise be switched to and from
-        # at the speed of the network.
+        # PROBE_INTERVAL ago: on an intermittent path calls would otherwise be switched
+        # back and forth at the speed of the network.
         self._direct_restored.clear()
         self._cut_off.set()
 
--- a/sassafrasdoor/log/sharing.py
+++ b/sassafrasdoor/log/sharing.py
@@ -117,10 +117,10 @@
             self._lists_answered.set()
 
     async def read_backlog(self, part, read):
-        """Schedule a backlog read of a partition; return when it was sent and its result.
+        """Schedule a backlog read; return the time at which it was sent and its result.
 
         Awaits ``read(max_bytes, failures)``; ``failures`` counts the consecutive failed
-        backlog reads of the partition.
+        backlog reads of the partition ``part``.
         """
         partition_backoff = self._partition_backoffs.setdefault(part, _Backoff())
         await partition_backoff.wait()
--- a/sassafrasdoor/log/tail.py
+++ b/sassafrasdoor/log/tail.py
@@ -1,7 +1,7 @@
 """Readers that follow one partition of a partitioned log, or the values of its keys.
 
 Load pattern: during an outage the log accepts reads and never answers them, not even
-after it has recovered. So reads time out early, and while the log fails further reads
+after it has recovered. So reads time out early, and while the log fails, further reads
 are sent without waiting for the pending ones.
 """
 
@@ -25,9 +25,8 @@
 READ_SLACK = 0.5
 # Seconds without an answer before another read is sent beside the pending ones.
 HEDGE_INTERVAL = 0.5
-PROBE_BYTES = (
-    1024  # of a read that tests whether the log answers; the rest is read later
-)
+# Size of a read that tests whether the log answers; the rest is read afterwards.
+PROBE_BYTES = 1024
 # Seconds allowed for successive attempts of an initial read. A second attempt of 3 s
 # would delay a start by that long after an outage; the third allows for a slow log.
 INITIAL_READ_SLACKS = (1.5, 1.5, 3.0)
@@ -156,7 +155,7 @@
 
     @property
     def is_starting(self):
-        """Whether the tail runs and has not yet reached the end."""
+        """Whether the tail runs and has not caught up yet."""
         return self._running and self.confirmed_at is None
 
     def progress(self):
@@ -252,7 +251,7 @@
         return await self._read(0, slack, PROBE_BYTES)
 
     async def _hedge(self, call):
-        """Return when the first answered call was sent, and its result.
+        """Return the time at which the first answered call was sent, and its result.
 
         Starts ``call(timeout)``, and another after each ``HEDGE_INTERVAL`` without an
         answer, until one is answered or all pending ones have failed. No call lasts
@@ -281,7 +280,7 @@
     async def confirm(self, deadline):
         """Read until all records acknowledged before this call are folded in.
 
-        Returns False if that is not reached by ``deadline``.
+        Returns False after ``deadline``, or if the partition is no longer followed.
         """
         called_at = now()
         while not passed(deadline) and self.wanted.is_set():
@@ -312,7 +311,7 @@
         task.cancelled() or task.exception()
 
     async def ensure_fresh(self, max_age, deadline):
-        """Return whether the end was read in the last ``max_age`` seconds; read if not."""
+        """Confirm as ``confirm()`` does, unless done in the last ``max_age`` seconds."""
         if self.confirmed_at is not None and now() - self.confirmed_at <= max_age:
             return True
         return await self.confirm(deadline)
--- a/sassafrasdoor/log/tests/test_relay.py
+++ b/sassafrasdoor/log/tests/test_relay.py
@@ -236,7 +236,7 @@
         self.assertIsInstance(await self.append(), Unavailable)
 
     async def test_unknown_outcome_of_a_relayed_append_is_kept(self):
-        """Guards against the same at an instance that already uses relays.
+        """Guards against a step refused as not stored while its instance uses relays.
 
         The relay loses its reply, then refuses, as does the direct path. The outcome of
         the first relayed append was dropped.
