--- a/sassafrasdoor/log/follower.py
+++ b/sassafrasdoor/log/follower.py
@@ -45,7 +45,7 @@
         "_confirmed_at",
         "_first_offset",
         "_fold",
-        "_folded_since",
+        "_folded_since_checkpoint",
         "_log",
         "_notified",
         "_checkpoint_not_before",
@@ -81,9 +81,9 @@
         self._started = False
         self._is_reachable = True
         self._first_offset = 0
-        self._folded_since = 0
+        self._folded_since_checkpoint = 0
         self._checkpoint = None
-        self._checkpoint_deadline = self._next_checkpoint()
+        self._checkpoint_deadline = self._next_checkpoint_deadline()
         self._checkpoint_not_before = now()
         self.may_checkpoint = may_checkpoint
         self.may_poll = may_poll
@@ -152,10 +152,10 @@
 
     async def catch_up(self, deadline):
         """Poll until the state is confirmed; return it, or ``Unavailable`` at ``deadline``."""
-        asked_at = now()
+        called_at = now()
         while True:
             progress = await self.poll(0)
-            if self._confirmed_at is not None and self._confirmed_at >= asked_at:
+            if self._confirmed_at is not None and self._confirmed_at >= called_at:
                 return self._state
             if passed(deadline):
                 return Unavailable(f"log did not confirm the state: {self._last_error}")
@@ -227,7 +227,7 @@
             self._record_checkpoint(checkpoints.decode(record, type(self._state)))
         else:
             self._state = self._fold(self._state, record)
-            self._folded_since += 1
+            self._folded_since_checkpoint += 1
         self._as_of = record.offset + 1
         RECORDS_FOLDED.inc({})
 
@@ -264,11 +264,11 @@
         self._checkpoint = checkpoints.Checkpoint(
             checkpoint.offset, checkpoint.as_of, None
         )
-        self._folded_since = 0
-        self._checkpoint_deadline = self._next_checkpoint()
+        self._folded_since_checkpoint = 0
+        self._checkpoint_deadline = self._next_checkpoint_deadline()
         self._checkpoint_not_before = now()
 
-    def _next_checkpoint(self):
+    def _next_checkpoint_deadline(self):
         return deadline_in(self._settings.checkpoint_interval)
 
     @property
@@ -281,7 +281,7 @@
         ):
             return False
         return (
-            self._folded_since >= self._settings.checkpoint_every
+            self._folded_since_checkpoint >= self._settings.checkpoint_every
             or passed(self._checkpoint_deadline)
             or self._checkpoint_near_expiry
         )
@@ -296,7 +296,9 @@
         if newest < self._first_offset:
             return True
         kept = self._as_of - self._first_offset
-        return self._folded_since > 0 and newest - self._first_offset < kept / 2
+        return (
+            self._folded_since_checkpoint > 0 and newest - self._first_offset < kept / 2
+        )
 
     async def _write_checkpoint_if_due(self):
         if not self.is_checkpoint_due or not self.may_checkpoint():
