--- a/sassafrasdoor/log/memory_partitioned.py
+++ b/sassafrasdoor/log/memory_partitioned.py
@@ -102,11 +102,11 @@
     async def read(self, topic, part, offset, wait, slack, max_bytes=None):
         """Return a ``RawBatch``, ``Expired`` or ``Unavailable``."""
         self.calls.append(("read", topic, part))
-        limit = deadline_in(wait)
+        deadline = deadline_in(wait)
         partition = self.partition(topic, part)
-        while not self.down and partition.end <= offset and not passed(limit):
+        while not self.down and partition.end <= offset and not passed(deadline):
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout_at(limit):
+                async with asyncio.timeout_at(deadline):
                     await partition.changed.wait()
         await asyncio.sleep(0)
         if self.down:
--- a/sassafrasdoor/log/tests/test_contract.py
+++ b/sassafrasdoor/log/tests/test_contract.py
@@ -172,11 +172,11 @@
         offset = await self.log.append(STREAM, {})
         self.fixture.fault(slow_ms=1200)
 
-        async def found():
+        async def is_read():
             batch = await self.log.read(STREAM, 1, 5, 0)
             return batch and batch.records[0].offset == offset
 
-        await until(found, what="an answer")
+        await until(is_read, what="an answer")
 
     async def test_a_log_without_an_end_offset_returns_its_first_offset(self):
         await self.fill(5)
--- a/sassafrasdoor/log/tests/test_follower.py
+++ b/sassafrasdoor/log/tests/test_follower.py
@@ -83,10 +83,10 @@
                 reader = await self.caught_up()
                 self.assertEqual(reader.state.revision, second)
                 self.assertEqual(up_to_date.state.revision, second)
-                found = await checkpoints.newest_usable(
+                checkpoint = await checkpoints.newest_usable(
                     self.log, STREAM, agreed.Agreed, 1
                 )
-                self.assertEqual(found.as_of, newest)
+                self.assertEqual(checkpoint.as_of, newest)
             self.log.expire(STREAM, before=newest)
 
     async def test_a_checkpoint_followed_by_a_gap_is_not_used(self):
--- a/sassafrasdoor/log/tests/test_relay.py
+++ b/sassafrasdoor/log/tests/test_relay.py
@@ -10,7 +10,7 @@
 from sassafrasdoor.log.relay import RelayedLog
 from sassafrasdoor.outcomes import ReplyLost, Unavailable
 
-SILENCE = 30.0
+UNANSWERED_SECONDS = 30.0
 
 
 class CuttableLog:
@@ -51,7 +51,7 @@
     async def newest(self, topic):
         self.calls += 1
         if self.cut:
-            await asyncio.sleep(SILENCE)
+            await asyncio.sleep(UNANSWERED_SECONDS)
             return Unavailable("timeout")
         return await self.log.newest(topic)
 
@@ -132,9 +132,9 @@
         self.direct.cut = True
         await self.append(seconds=30.0)
         self.direct.cut = False
-        limit = deadline_in(30.0)
+        deadline = deadline_in(30.0)
         while self.relayed.is_cut_off:
-            self.assertFalse(passed(limit), "still relayed")
+            self.assertFalse(passed(deadline), "still relayed")
             await self.relayed.read("t", 0, 1, 0.05, 1.0)
         calls = self.peer.calls
         self.assertIsInstance(await self.append(), Appended)
@@ -158,11 +158,11 @@
         """Probes of the direct path run beside the reads, which relays answer."""
         self.direct.cut = True
         await self.append(seconds=30.0)
-        asked, limit = self.direct.calls, deadline_in(30.0)
-        while self.direct.calls < asked + 2:
-            self.assertFalse(passed(limit), "never looked again")
-            found = await self.relayed.read("t", 0, 0, 300.0, 300.0)
-            self.assertEqual(found.records, [b"x"])
+        calls_before, deadline = self.direct.calls, deadline_in(30.0)
+        while self.direct.calls < calls_before + 2:
+            self.assertFalse(passed(deadline), "the direct path was not probed again")
+            batch = await self.relayed.read("t", 0, 0, 300.0, 300.0)
+            self.assertEqual(batch.records, [b"x"])
             await asyncio.sleep(0.02)
         self.assertTrue(self.relayed.is_cut_off)
 
@@ -171,16 +171,16 @@
         self.direct.cut = True
         await self.append(seconds=30.0)
         self.peer.cut = True
-        held = asyncio.ensure_future(self.relayed.read("t", 0, 0, 300.0, 300.0))
-        self.addCleanup(held.cancel)
+        pending_read = asyncio.ensure_future(self.relayed.read("t", 0, 0, 300.0, 300.0))
+        self.addCleanup(pending_read.cancel)
         await asyncio.sleep(0)
         self.direct.cut = False
-        limit = deadline_in(30.0)
+        deadline = deadline_in(30.0)
         while self.relayed.is_cut_off:
-            self.assertFalse(passed(limit), "still relayed")
+            self.assertFalse(passed(deadline), "still relayed")
             await self.relayed.read("t", 0, 1, 0.05, 0.05)
         async with asyncio.timeout(20):
-            self.assertEqual((await held).records, [b"x"])
+            self.assertEqual((await pending_read).records, [b"x"])
 
     async def test_intermittent_direct_path_is_probed_once_per_interval(self):
         """Guards against reads that end each other at the speed of the network."""
@@ -208,17 +208,17 @@
         """
         self.direct.cut = True
         await self.append(seconds=30.0)
-        held = asyncio.ensure_future(self.relayed.read("t", 0, 1, 300.0, 300.0))
-        self.addCleanup(held.cancel)
+        pending_read = asyncio.ensure_future(self.relayed.read("t", 0, 1, 300.0, 300.0))
+        self.addCleanup(pending_read.cancel)
         await asyncio.sleep(0.05)
         self.peer.answer = Unavailable("down")
-        found = await self.relayed.read("t", 0, 1, 0.05, 0.05)
-        self.assertIsInstance(found, Unavailable)
+        result = await self.relayed.read("t", 0, 1, 0.05, 0.05)
+        self.assertIsInstance(result, Unavailable)
         self.assertFalse(self.relayed.is_cut_off)
         self.peer.answer = None
         calls = self.peer.calls + self.direct.calls
         await asyncio.sleep(0.05)
-        self.assertFalse(held.done())
+        self.assertFalse(pending_read.done())
         self.assertEqual(self.peer.calls + self.direct.calls, calls)
 
     async def test_append_that_may_have_landed_is_reported_as_reply_lost(self):
@@ -253,6 +253,6 @@
 
     async def test_unreachable_log_is_unavailable(self):
         self.direct.answer = self.peer.answer = Unavailable("down")
-        found = await self.relayed.read("t", 0, 0, 0, 1.0)
-        self.assertIsInstance(found, Unavailable)
+        result = await self.relayed.read("t", 0, 0, 0, 1.0)
+        self.assertIsInstance(result, Unavailable)
         self.assertFalse(self.relayed.is_cut_off)
--- a/sassafrasdoor/log/tests/test_tail.py
+++ b/sassafrasdoor/log/tests/test_tail.py
@@ -94,8 +94,8 @@
         Each confirmation read the megabytes again, which overloaded the log for seconds.
         """
         await self.append(b"a")
-        limit = deadline_in(5)
-        await asyncio.gather(*(self.tail.confirm(limit) for _ in range(20)))
+        deadline = deadline_in(5)
+        await asyncio.gather(*(self.tail.confirm(deadline) for _ in range(20)))
         self.assertLessEqual(self.log.calls.count(("read", "t", 0)), 2)
 
     async def test_unwanted_partition_is_not_read(self):
@@ -201,20 +201,20 @@
         An instance starts during the outage and its first read times out. The second was
         a long poll with a timeout of 3 s.
         """
-        asked = []
+        timeouts = []
 
         async def read(topic, part, offset, wait, slack, max_bytes=None):
-            asked.append(wait + slack)
+            timeouts.append(wait + slack)
             return module.Unavailable("timeout")
 
         self.log.read = read
         for _ in range(4):
             await self.tail.poll(module.LONG_POLL_TIMEOUT)
         self.assertLessEqual(
-            max(asked[:2]), module.LONG_POLL_TIMEOUT + module.READ_SLACK
+            max(timeouts[:2]), module.LONG_POLL_TIMEOUT + module.READ_SLACK
         )
         # A later attempt allows for a log that is slower than that.
-        self.assertGreater(max(asked), 2 * asked[0] - 0.1)
+        self.assertGreater(max(timeouts), 2 * timeouts[0] - 0.1)
 
     async def test_pause_batches_records(self):
         reads = []
@@ -390,13 +390,13 @@
 class AllCaughtUpTest(unittest.TestCase):
     def tails(self, *states):
         """Return tails that are caught up (read), behind, or failing (fails)."""
-        found = []
+        tails = []
         for state in states:
             tail = Tail(MemoryPartitionedLog(), "t", 0, lambda at, data: None)
             tail.confirmed_at = now() if state == "read" else None
             tail.failing_since = now() if state == "fails" else None
-            found.append(tail)
-        return found
+            tails.append(tail)
+        return tails
 
     def test_failing_partitions_are_ignored(self):
         """Guards against instances that never report that they have caught up."""
