--- a/sassafrasdoor/log/demand.py
+++ b/sassafrasdoor/log/demand.py
@@ -1,8 +1,8 @@
-"""What one instance asks of the log, by purpose.
+"""Statistics of an instance's calls to the log, by purpose.
 
-Load pattern: readers whose answers come late ask again beside the calls that are still
-under way. The calls a second alone do not tell that from many who follow; what they
-are made for does.
+Load pattern: readers whose answers arrive late send retries beside the pending calls.
+The rate of calls alone does not distinguish these from many followers; their purposes
+do.
 """
 
 import contextlib
@@ -11,7 +11,10 @@
 from sassafrasdoor.decisions import note_routine
 from sassafrasdoor.metrics import counter
 
-START, FOLLOW, AGAIN, CONFIRM, LOAD, RELAY, PROBE = (
+# The first reads of a partition, reads of new records, retries beside unanswered calls,
+# reads that confirm the end, loads of all newest values, calls on behalf of another
+# instance, probes of the direct path. Other calls are counted by the name of the call.
+START, FOLLOW, RETRY, CONFIRM, LOAD, RELAY, PROBE = (
     "start",
     "follow",
     "again",
@@ -20,9 +23,6 @@
     "relay",
     "probe",
 )
-"""A partition's first reads, its next records, a call beside those that were not
-answered, a look at its end, all newest values, a call for another instance, a look
-whether the direct way answers. Other calls go by their own name."""
 
 CALLS = counter("log_demand_calls_total", "Calls to the log, by purpose and result.")
 BYTES = counter("log_demand_bytes_total", "Bytes that the log answered, by purpose.")
@@ -31,8 +31,8 @@
 
 
 @contextlib.contextmanager
-def asked_for(purpose):
-    """Count the calls of this block, and of tasks that it starts, for ``purpose``."""
+def call_purpose(purpose):
+    """Count calls in this block, and in tasks started by it, under ``purpose``."""
     token = _PURPOSE.set(purpose)
     try:
         yield
@@ -40,35 +40,35 @@
         _PURPOSE.reset(token)
 
 
-class Demand:
-    """Counts calls; ``report()`` writes what has come since the last one."""
+class CallCounter:
+    """Counts calls and logs the totals of each period between two reports."""
 
-    __slots__ = ("_open", "_since")
+    __slots__ = ("_open_calls", "_totals")
 
     def __init__(self):
-        self._open = 0
-        self._since = {}
+        self._open_calls = 0
+        self._totals = {}
 
     def begin(self, call):
-        """Count a call that is sent; return its purpose, or its own name."""
-        self._open += 1
+        """Count a sent call; return its purpose, or ``call`` (its name) if none is set."""
+        self._open_calls += 1
         return _PURPOSE.get() or call
 
     def end(self, purpose, answered, size):
-        """Count the end of a call: whether it was answered, and with how many bytes."""
-        self._open -= 1
-        found = self._since.setdefault(purpose, [0, 0, 0])
-        found[0] += 1
-        found[1] += not answered
-        found[2] += size
+        """Count a finished call, with the ``size`` of its answer in bytes."""
+        self._open_calls -= 1
+        totals = self._totals.setdefault(purpose, [0, 0, 0])
+        totals[0] += 1
+        totals[1] += not answered
+        totals[2] += size
         CALLS.inc({"purpose": purpose, "result": "done" if answered else "failed"})
         BYTES.add({"purpose": purpose}, size)
 
     def report(self):
-        """Write one line: for each purpose the calls, the failed ones and kilobytes."""
-        since, self._since = self._since, {}
-        shown = {
+        """Log calls, failed calls and KiB for each purpose since the last report."""
+        totals, self._totals = self._totals, {}
+        fields = {
             purpose: [calls, failed, size // 1024]
-            for purpose, (calls, failed, size) in sorted(since.items())
+            for purpose, (calls, failed, size) in sorted(totals.items())
         }
-        note_routine("store.asked", open=self._open, **shown)
+        note_routine("store.asked", open=self._open_calls, **fields)
--- a/sassafrasdoor/log/http.py
+++ b/sassafrasdoor/log/http.py
@@ -1,4 +1,4 @@
-"""The platform's log over HTTP, by Tornado's curl client."""
+"""Access to the platform's log over HTTP, with Tornado's curl client."""
 
 import json
 
@@ -11,41 +11,41 @@
 from sassafrasdoor.outcomes import Expired, ReplyLost, Unavailable
 
 MAX_CLIENTS = 20
-LONGEST_PATIENCE = 16
-END = -1
-DOWN = 503
+MAX_TIMEOUT_FACTOR = 16
+END_OFFSET = -1  # requests the end of the stream
+SERVICE_UNAVAILABLE = 503
 GONE = 410
 
 CALLS = counter("log_calls_total", "Calls to the platform's log, by kind and result.")
 BYTES = counter("log_bytes_read_total", "Bytes read from the platform's log.")
 
-# Only these prove that no byte of the request reached the log.
-NEVER_SENT = {pycurl.E_COULDNT_CONNECT, pycurl.E_COULDNT_RESOLVE_HOST}
+# Errors that prove that no byte of the request reached the log.
+NOT_SENT_ERRNOS = {pycurl.E_COULDNT_CONNECT, pycurl.E_COULDNT_RESOLVE_HOST}
 
 
 class Client(CurlAsyncHTTPClient):
-    """The curl client, closed without noise, also twice or with a poll under way."""
+    """The curl client; ``close()`` may be called twice or during a long poll."""
 
     def close(self):
-        """Give up all transfers and connections."""
+        """Abort all transfers and close the connections."""
         if self._multi is not None:
             super().close()
 
     def _handle_timeout(self):
-        # libcurl sets a timer while it gives up transfers on closing; Tornado then
-        # calls into the closed handle (a traceback on each planned stop).
+        # libcurl sets a timer when it aborts transfers during close; Tornado would then
+        # use the closed handle and log a traceback on each planned stop.
         if self._multi is not None:
             super()._handle_timeout()
 
 
 class HttpLog(PlatformLog):
-    """Speaks the platform's wire as ``docs/INTERNALS.md`` has it."""
+    """The platform's log; ``docs/INTERNALS.md`` describes the protocol."""
 
-    __slots__ = ("_client", "_patience", "_settings")
+    __slots__ = ("_client", "_timeout_factor", "_settings")
 
     def __init__(self, settings):
         self._settings = settings.platform
-        self._patience = 1
+        self._timeout_factor = 1
         self._client = Client(force_instance=True, max_clients=MAX_CLIENTS)
 
     async def append(self, stream, body):
@@ -61,11 +61,11 @@
         return result
 
     async def end(self, stream):
-        """Return the next offset to be given, or ``Unavailable``."""
-        batch = await self.read(stream, END, 1, 0)
+        """Return the offset of the next append, or ``Unavailable``."""
+        batch = await self.read(stream, END_OFFSET, 1, 0)
         if isinstance(batch, Expired):
-            # A log that does not know "the end" as a place to read from; what it
-            # keeps first is before the end, and readers go on from there.
+            # This log does not support END_OFFSET. Its first kept offset is not after
+            # the end, so readers can start there.
             return batch.first
         return batch.next_offset if batch else Unavailable(batch.reason)
 
@@ -82,7 +82,7 @@
             follow_redirects=False,
             connect_timeout=self._settings.call_timeout,
             request_timeout=self._settings.call_timeout,
-            prepare_curl_callback=_fresh,
+            prepare_curl_callback=_use_fresh_connection,
         )
         try:
             response = await self._client.fetch(request)
@@ -98,19 +98,19 @@
             self._url(stream) + query,
             follow_redirects=False,
             connect_timeout=self._settings.call_timeout,
-            request_timeout=wait + self._patience * self._settings.call_timeout,
-            prepare_curl_callback=_reusable,
+            request_timeout=wait + self._timeout_factor * self._settings.call_timeout,
+            prepare_curl_callback=_allow_connection_reuse,
         )
         try:
             response = await self._client.fetch(request)
-            self._patience = max(1, self._patience // 2)
+            self._timeout_factor = max(1, self._timeout_factor // 2)
             BYTES.add({}, len(response.body))
             return _batch(json.loads(response.body))
         except HTTPError as error:
             if _timed_out(error):
-                # A log that needs longer than the timeout for each answer would
-                # never be read at all, as if it were down. Reading is harmless.
-                self._patience = min(LONGEST_PATIENCE, 2 * self._patience)
+                # With a constant timeout a log that is slower than it could never be
+                # read. Repeated reads are harmless.
+                self._timeout_factor = min(MAX_TIMEOUT_FACTOR, 2 * self._timeout_factor)
             return _read_failed(error)
         except (ValueError, KeyError, TypeError) as error:
             return Unavailable(f"read reply not understood: {error}")
@@ -119,23 +119,22 @@
         return f"{self._settings.log_url}/log/{stream}"
 
 
-def _direct(curl):
-    # A proxy named in the environment would stand between us and the log and
-    # answer in its place (seen as 502s that no log ever sent).
+def _bypass_proxy(curl):
+    # A proxy configured in the environment would answer in place of the log, for example
+    # with 502.
     curl.setopt(pycurl.NOPROXY, "*")
 
 
-def _fresh(curl):
-    # libcurl sends a POST again by itself when a reused connection closes before
-    # the first reply byte: one append, two records. A fresh connection is never
-    # retried.
-    _direct(curl)
+def _use_fresh_connection(curl):
+    # libcurl repeats a POST if a reused connection closes before the first byte of the
+    # reply, so one append could store two records. It never does so on a new connection.
+    _bypass_proxy(curl)
     curl.setopt(pycurl.FRESH_CONNECT, 1)
 
 
-def _reusable(curl):
-    # Handles are pooled with their options; undo what an append has set.
-    _direct(curl)
+def _allow_connection_reuse(curl):
+    # Pooled handles keep their options: reset the one that an append has set.
+    _bypass_proxy(curl)
     curl.setopt(pycurl.FRESH_CONNECT, 0)
 
 
@@ -147,9 +146,9 @@
 
 
 def _append_failed(error):
-    if error.code == DOWN or 400 <= error.code < 500:
+    if error.code == SERVICE_UNAVAILABLE or 400 <= error.code < 500:
         return Unavailable(f"log answered {error.code}")
-    if getattr(error, "errno", None) in NEVER_SENT:
+    if getattr(error, "errno", None) in NOT_SENT_ERRNOS:
         return Unavailable(str(error))
     return ReplyLost(str(error))
 
@@ -164,7 +163,7 @@
     try:
         return Expired("offset no longer kept", int(_document(error)["first"]))
     except (ValueError, KeyError, TypeError):
-        return Unavailable("log said gone without its first offset")
+        return Unavailable("log answered 410 without its first offset")
 
 
 def _document(error):
--- a/sassafrasdoor/log/memory_partitioned.py
+++ b/sassafrasdoor/log/memory_partitioned.py
@@ -1,4 +1,4 @@
-"""A partitioned log in memory, with faults by command: for tests and stand-ins."""
+"""An in-memory partitioned log with fault injection, for tests and stand-ins."""
 
 import asyncio
 import contextlib
@@ -13,11 +13,11 @@
 )
 from sassafrasdoor.outcomes import Expired, ReplyLost, Unavailable
 
-KEYED = "keyed."
+KEYED_PREFIX = "keyed."
 
 
 class Partition:
-    """Records of one partition from offset ``first`` on."""
+    """A partition: its records from the offset ``first`` on."""
 
     __slots__ = ("changed", "first", "newest", "records")
 
@@ -29,7 +29,7 @@
 
     @property
     def end(self):
-        """The next offset to be given."""
+        """The offset of the next append."""
         return self.first + len(self.records)
 
     def add(self, records, keyed):
@@ -47,30 +47,30 @@
         return offset
 
     def expire(self, before):
-        """Forget the records before an offset."""
+        """Drop the records below the offset ``before``."""
         kept = max(self.first, min(before, self.end))
         del self.records[: kept - self.first]
         self.first = kept
 
 
 class MemoryPartitionedLog(PartitionedLog):
-    """The log; set ``down``, ``lose_replies`` or ``land_late`` for faults.
+    """The log; ``down``, ``lose_replies`` and ``land_late`` inject faults.
 
-    ``lose_replies`` counts appends that take effect unanswered; ``land_late``
-    (seconds, or None) delays the effect of such an append.
+    ``lose_replies`` is the number of next appends that take effect but lose their reply;
+    ``land_late`` (seconds, or None) delays the effect of such an append.
     """
 
     def __init__(self, parts=12):
         self._parts = parts
         self._partitions = {}
-        self._late = set()
+        self._late_appends = set()
         self.down = False
         self.lose_replies = 0
         self.land_late = None
         self.calls = []
 
     def partition(self, topic, part):
-        """Return a partition, made on first use."""
+        """Return a partition, created on first use."""
         return self._partitions.setdefault((topic, part), Partition())
 
     async def append(self, topic, part, records, deadline):
@@ -81,40 +81,40 @@
         partition = self.partition(topic, part)
         if self.lose_replies > 0:
             self.lose_replies -= 1
-            self._unanswered(topic, part, records)
+            self._append_unanswered(topic, part, records)
             return ReplyLost("reply lost")
-        first = partition.add(records, topic.startswith(KEYED))
+        first = partition.add(records, topic.startswith(KEYED_PREFIX))
         return Appended(first, partition.end)
 
-    def _unanswered(self, topic, part, records):
+    def _append_unanswered(self, topic, part, records):
         partition = self.partition(topic, part)
         if self.land_late is None:
-            partition.add(records, topic.startswith(KEYED))
+            partition.add(records, topic.startswith(KEYED_PREFIX))
             return
-        task = asyncio.ensure_future(self._land(partition, records, topic))
-        self._late.add(task)
-        task.add_done_callback(self._late.discard)
+        task = asyncio.ensure_future(self._append_late(partition, records, topic))
+        self._late_appends.add(task)
+        task.add_done_callback(self._late_appends.discard)
 
-    async def _land(self, partition, records, topic):
+    async def _append_late(self, partition, records, topic):
         await asyncio.sleep(self.land_late)
-        partition.add(records, topic.startswith(KEYED))
+        partition.add(records, topic.startswith(KEYED_PREFIX))
 
-    async def read(self, topic, part, offset, wait, slack, most=None):
+    async def read(self, topic, part, offset, wait, slack, max_bytes=None):
         """Return a ``RawBatch``, ``Expired`` or ``Unavailable``."""
         self.calls.append(("read", topic, part))
-        limit = deadline_in(wait)
+        deadline = deadline_in(wait)
         partition = self.partition(topic, part)
-        while not self.down and partition.end <= offset and not passed(limit):
+        while not self.down and partition.end <= offset and not passed(deadline):
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout_at(limit):
+                async with asyncio.timeout_at(deadline):
                     await partition.changed.wait()
         await asyncio.sleep(0)
         if self.down:
             return Unavailable("down")
         if offset < partition.first:
             return Expired("offset no longer kept", partition.first)
-        found = partition.records[offset - partition.first :]
-        return RawBatch(_within(found, most), offset, partition.end)
+        records = partition.records[offset - partition.first :]
+        return RawBatch(_limit_bytes(records, max_bytes), offset, partition.end)
 
     async def newest(self, topic):
         """Return the ``NewestKeys`` of a keyed topic."""
@@ -126,14 +126,14 @@
         return NewestKeys(dict(partition.newest), partition.end)
 
 
-def _within(records, most):
-    """Return the first records with so many bytes together, one at least."""
-    if most is None:
+def _limit_bytes(records, max_bytes):
+    """Return the first records up to ``max_bytes`` in total, but at least one."""
+    if max_bytes is None:
         return list(records)
-    found, size = [], 0
+    limited, size = [], 0
     for record in records:
         size += len(record)
-        if found and size > most:
+        if limited and size > max_bytes:
             break
-        found.append(record)
-    return found
+        limited.append(record)
+    return limited
--- a/sassafrasdoor/log/tests/test_contract.py
+++ b/sassafrasdoor/log/tests/test_contract.py
@@ -1,4 +1,4 @@
-"""One contract for every log adapter: each fault and the outcome that it must give."""
+"""The contract of all log adapters: each fault and its required outcome."""
 
 import asyncio
 import os
@@ -26,7 +26,7 @@
 
 
 class MemoryFixture:
-    """The log in memory; faults are its switches."""
+    """The in-memory log, with its own fault injection."""
 
     async def start(self):
         self.log = MemoryLog(stride=3)
@@ -46,7 +46,7 @@
 
 
 class HttpFixture:
-    """The HTTP adapter against the stand-in, over real sockets."""
+    """The HTTP adapter with the stand-in platform, over real sockets."""
 
     async def start(self):
         self.server, self.url, self.platform = platform.start()
@@ -65,7 +65,7 @@
 
 
 class ContractTests:
-    """Run by each adapter's own case below."""
+    """Tests that every adapter's test case below inherits."""
 
     fixture_class = None
 
@@ -112,14 +112,14 @@
         self.assertIsInstance(await self.log.read(STREAM, 0, 5, 0), Unavailable)
         self.assertIsInstance(await self.log.end(STREAM), Unavailable)
 
-    async def test_an_expired_offset_says_what_is_still_kept(self):
+    async def test_an_expired_offset_returns_the_first_kept_one(self):
         offsets = await self.fill(9)
         self.fixture.fault(retain=4)
         expired = await self.log.read(STREAM, offsets[2], 5, 0)
         self.assertIsInstance(expired, Expired)
         self.assertEqual(expired.first, offsets[-4])
         batch = await self.log.read(STREAM, expired.first, 50, 0)
-        self.assertEqual([one.offset for one in batch.records], offsets[-4:])
+        self.assertEqual([record.offset for record in batch.records], offsets[-4:])
         self.assertEqual(batch.first_offset, expired.first)
 
     async def test_a_waiting_read_ends_with_the_first_record(self):
@@ -128,7 +128,7 @@
         reading = asyncio.create_task(self.log.read(STREAM, end, 5, 20))
         offset = await self.log.append(STREAM, {})
         batch = await reading
-        self.assertEqual([one.offset for one in batch.records], [offset])
+        self.assertEqual([record.offset for record in batch.records], [offset])
         self.assertGreater(remaining(deadline), 0)
 
 
@@ -136,11 +136,11 @@
     fixture_class = MemoryFixture
 
     async def test_a_read_cancelled_as_its_record_comes_is_cancelled(self):
-        """
-        Symptom: now and then a stop hangs for ever (seen once in a test's stop).
-        Sequence: a reader is cancelled in the same turn as a record is appended.
-        Cause: asyncio.wait_for, until 3.12, returns the result and forgets the
-        cancellation; the reader's loop goes on.
+        """Guards against a stop that occasionally hangs.
+
+        A reader is cancelled in the same iteration of the event loop as a record is
+        appended. Until Python 3.12 asyncio.wait_for returns the result and drops the
+        cancellation, and the reader's loop continues.
         """
         reading = asyncio.create_task(self.log.read(STREAM, 1, 5, 20))
         for _ in range(5):
@@ -154,7 +154,7 @@
 class HttpContractTest(ContractTests, unittest.IsolatedAsyncioTestCase):
     fixture_class = HttpFixture
 
-    async def test_an_append_that_never_arrived_may_not_be_told_from_a_lost_reply(self):
+    async def test_a_dropped_connection_is_a_lost_reply(self):
         self.fixture.fault(refuse=1)
         self.assertIsInstance(await self.log.append(STREAM, {}), ReplyLost)
         self.assertEqual(len(self.fixture.written()), 0)
@@ -164,21 +164,21 @@
         self.assertIsInstance(await self.log.append(STREAM, {}), ReplyLost)
 
     async def test_a_slow_log_is_still_read(self):
-        """
-        Symptom: while the log is slow, no accepted table comes into force.
-        Sequence: each answer takes longer than the timeout, for an hour.
-        Cause: giving up each read at the same point.
+        """Guards against accepted tables that do not take effect while the log is slow.
+
+        Each answer takes longer than the timeout, for an hour, and every read had the
+        same timeout.
         """
         offset = await self.log.append(STREAM, {})
         self.fixture.fault(slow_ms=1200)
 
-        async def found():
+        async def is_read():
             batch = await self.log.read(STREAM, 1, 5, 0)
             return batch and batch.records[0].offset == offset
 
-        await until(found, what="an answer")
+        await until(is_read, what="an answer")
 
-    async def test_a_log_that_cannot_say_its_end_says_where_it_begins(self):
+    async def test_a_log_without_an_end_offset_returns_its_first_offset(self):
         await self.fill(5)
         self.fixture.fault(retain=2)
         with mock.patch.object(platform, "NEWEST", None):
@@ -191,10 +191,10 @@
             self.assertTrue(await self.log.read(STREAM, 0, 5, 0))
 
     async def test_closing_while_a_poll_is_under_way_is_silent(self):
-        """
-        Symptom: each planned stop prints a traceback.
-        Sequence: the log's client is closed while a poll waits.
-        Cause: a timer that libcurl sets on closing fires on the closed handle.
+        """Guards against a traceback on each planned stop.
+
+        The client is closed during a long poll, and a timer that libcurl sets on closing
+        fires on the closed handle.
         """
         errors = []
         loop = asyncio.get_running_loop()
@@ -204,20 +204,20 @@
             await until(lambda: self.fixture.platform.calls, what="poll")
             reading.cancel()
             self.log.close()
-            # Timers that are due run within a few turns of the loop.
+            # Due timers run within a few iterations of the event loop.
             for _ in range(3):
                 await asyncio.to_thread(lambda: None)
         self.assertEqual(errors, [])
 
-    async def test_nobody_listening_is_unavailable(self):
+    async def test_a_refused_connection_is_unavailable(self):
         self.fixture.server.stop()
         log = HttpLog(settings_at(self.fixture.url))
         self.assertIsInstance(await log.append(STREAM, {}), Unavailable)
         log.close()
 
 
-class HangsUpOnSecond(TCPServer):
-    """Answers the first request of a connection, reads the next and hangs up."""
+class SecondRequestDropper(TCPServer):
+    """Answers a connection's first request, reads the second and closes it."""
 
     appends = 0
 
@@ -237,16 +237,15 @@
             pass
 
 
-class NeverSentTwiceTest(unittest.IsolatedAsyncioTestCase):
+class SingleAppendTest(unittest.IsolatedAsyncioTestCase):
     async def test_an_append_is_sent_once_although_its_connection_breaks(self):
+        """Guards against a published table that is stored twice.
+
+        An append reuses the connection of a read; the log reads the append and closes
+        the connection. libcurl takes a reused connection that closes without a byte of
+        reply for one that had timed out, and repeats the request, whatever its method.
         """
-        Symptom: one published table stands in the log twice.
-        Sequence: a read leaves a connection in the pool; an append takes it; the
-        log reads the append and hangs up; libcurl sends it again by itself.
-        Cause: libcurl holds a reused connection that closes without a reply byte
-        for one that had timed out, whatever the method.
-        """
-        server = HangsUpOnSecond()
+        server = SecondRequestDropper()
         server.listen(0, "127.0.0.1")
         port = next(iter(server._sockets.values())).getsockname()[1]
         log = HttpLog(settings_at(f"http://127.0.0.1:{port}"))
--- a/sassafrasdoor/log/tests/test_relay.py
+++ b/sassafrasdoor/log/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""A log that one instance alone cannot reach."""
+"""Relays for an instance that alone cannot reach the log."""
 
 import asyncio
 import unittest
@@ -10,19 +10,19 @@
 from sassafrasdoor.log.relay import RelayedLog
 from sassafrasdoor.outcomes import ReplyLost, Unavailable
 
-SILENCE = 30.0
+UNANSWERED_SECONDS = 30.0
 
 
-class CutLog:
-    """The way of one instance to a log; ``cut`` leaves every call without a reply.
+class CuttableLog:
+    """An instance's path to a log; ``cut`` leaves every call without a reply.
 
-    With ``held_fail`` the reads that wait fail; ``short_reads`` counts the others.
+    With ``long_polls_fail`` the reads that wait fail; ``short_reads`` counts the others.
     """
 
     def __init__(self, log):
         self.log = log
         self.cut = False
-        self.held_fail = False
+        self.long_polls_fail = False
         self.answer = None
         self.calls = 0
         self.short_reads = 0
@@ -36,10 +36,10 @@
             return self.answer
         return await self.log.append(topic, part, records, deadline)
 
-    async def read(self, topic, part, offset, wait, slack, most=None):
+    async def read(self, topic, part, offset, wait, slack, max_bytes=None):
         self.calls += 1
         self.short_reads += not wait
-        if self.held_fail and wait:
+        if self.long_polls_fail and wait:
             return Unavailable("refused")
         if self.cut:
             await asyncio.sleep(wait + slack)
@@ -51,7 +51,7 @@
     async def newest(self, topic):
         self.calls += 1
         if self.cut:
-            await asyncio.sleep(SILENCE)
+            await asyncio.sleep(UNANSWERED_SECONDS)
             return Unavailable("timeout")
         return await self.log.newest(topic)
 
@@ -59,7 +59,7 @@
 class RelayTest(unittest.IsolatedAsyncioTestCase):
     def setUp(self):
         self.log = MemoryPartitionedLog()
-        self.direct, self.peer = CutLog(self.log), CutLog(self.log)
+        self.direct, self.peer = CuttableLog(self.log), CuttableLog(self.log)
         self.relayed = RelayedLog(self.direct, lambda: [self.peer])
 
     def records(self):
@@ -68,16 +68,16 @@
     async def append(self, data=b"x", seconds=1.0):
         return await self.relayed.append("t", 0, [data], deadline_in(seconds))
 
-    async def test_direct_way_alone_is_used_while_it_answers(self):
+    async def test_only_the_direct_path_is_used_while_it_answers(self):
         self.assertIsInstance(await self.append(), Appended)
         self.assertIsInstance(await self.relayed.read("t", 0, 0, 0, 1.0), RawBatch)
         self.assertEqual(self.peer.calls, 0)
 
-    async def test_silent_way_is_left_before_the_deadline(self):
-        """Symptom: an instance that alone is cut off loses its shards.
+    async def test_unresponsive_direct_path_is_relayed_before_the_deadline(self):
+        """Guards against the loss of shards by an instance that alone is cut off.
 
-        Sequence: its connection to the log goes silent while it runs steps; its claim
-        lapses before an append has failed. Cause: nobody else was asked to append.
+        The log stops answering while the instance runs steps. Without a relay its claim
+        lapses before an append has failed.
         """
         self.direct.cut = True
         deadline = deadline_in(30.0)
@@ -85,10 +85,10 @@
         self.assertIsInstance(result, Appended)
         self.assertFalse(passed(deadline))
         self.assertEqual(self.records(), [b"x"])
-        self.assertTrue(self.relayed.is_away)
+        self.assertTrue(self.relayed.is_cut_off)
 
-    async def test_list_that_expired_is_loaded_through_another(self):
-        """Guards against a list that stays as it was for as long as a cut lasts."""
+    async def test_expired_list_is_loaded_through_a_relay(self):
+        """Guards against a list that is stale for as long as a cut lasts."""
         await self.log.append("keyed.t", 0, [keyed_record("a", b"1")], deadline_in(1))
         self.direct.cut = True
         await self.append(seconds=30.0)
@@ -102,11 +102,10 @@
     async def refused(self, topic):
         return Unavailable("store answered 503")
 
-    async def test_reads_that_wait_learn_of_the_cut_from_appends(self):
-        """Symptom: the instance renews its claim and does not see it.
+    async def test_long_polls_are_relayed_once_an_append_detects_the_cut(self):
+        """Guards against an instance that renews its claim but does not read that.
 
-        Sequence: as above, with a read that waits for new records. Cause: that read
-        held on to the silent way until its own time was over.
+        The pending long poll used the cut path until its own timeout.
         """
         self.direct.cut = True
         reading = asyncio.ensure_future(self.relayed.read("t", 0, 0, 500.0, 500.0))
@@ -115,7 +114,7 @@
         async with asyncio.timeout(20):
             self.assertEqual((await reading).records, [b"x"])
 
-    async def test_refused_instance_goes_through_another_at_once(self):
+    async def test_refused_call_is_relayed_at_once(self):
         self.direct.answer = Unavailable("store answered 429")
         self.assertIsInstance(await self.append(), Appended)
         calls = self.direct.calls
@@ -123,111 +122,110 @@
         self.assertEqual(self.direct.calls, calls)
         self.assertIsInstance(await self.relayed.read("t", 0, 0, 0, 1.0), RawBatch)
 
-    async def test_instance_goes_back_once_the_direct_way_answers(self):
-        """Symptom: no caller is sent to an instance any more after a short cut.
+    async def test_instance_returns_to_the_direct_path_once_it_answers(self):
+        """Guards against an instance that gets no callers any more after a short cut.
 
-        Sequence: one of its calls goes unanswered, a relay answers, the direct way
-        comes back; reads wait at the relays one behind another. Cause: each relayed
-        read was taken for a further sign that the direct way is cut.
+        A call is not answered, a relay answers it, and the direct path recovers while
+        long polls wait at relays. Each relayed read was taken as a sign that the direct
+        path was still cut.
         """
         self.direct.cut = True
         await self.append(seconds=30.0)
         self.direct.cut = False
-        limit = deadline_in(30.0)
-        while self.relayed.is_away:
-            self.assertFalse(passed(limit), "still relayed")
+        deadline = deadline_in(30.0)
+        while self.relayed.is_cut_off:
+            self.assertFalse(passed(deadline), "still relayed")
             await self.relayed.read("t", 0, 1, 0.05, 1.0)
         calls = self.peer.calls
         self.assertIsInstance(await self.append(), Appended)
         self.assertEqual(self.peer.calls, calls)
 
-    async def test_call_lost_at_the_logs_return_sends_nobody_elsewhere(self):
-        """Symptom: after an outage for all every instance names only others.
+    async def test_call_lost_at_recovery_does_not_divert_callers(self):
+        """Guards against instances that all send their callers away after an outage.
 
-        Sequence: each has a call under way that was sent in silence, a relay answers
-        first. Cause: the direct way was asked again only a second later.
+        Each has a pending call that was sent during the outage, and a relay answers
+        first. The direct path was probed only a second later.
         """
-        every, module.PROBE_EVERY = module.PROBE_EVERY, 1000.0
-        self.addCleanup(setattr, module, "PROBE_EVERY", every)
+        interval, module.PROBE_INTERVAL = module.PROBE_INTERVAL, 1000.0
+        self.addCleanup(setattr, module, "PROBE_INTERVAL", interval)
         self.direct.cut = True
         await self.append(seconds=30.0)
         self.direct.cut = False
         await self.relayed.read("t", 0, 1, 0.05, 1.0)
-        self.assertFalse(self.relayed.is_away)
+        self.assertFalse(self.relayed.is_cut_off)
 
-    async def test_way_that_stays_cut_holds_no_read(self):
-        """Each look at the direct way runs beside the reads, which relays answer."""
+    async def test_probe_of_a_cut_path_delays_no_read(self):
+        """Probes of the direct path run beside the reads, which relays answer."""
         self.direct.cut = True
         await self.append(seconds=30.0)
-        asked, limit = self.direct.calls, deadline_in(30.0)
-        while self.direct.calls < asked + 2:
-            self.assertFalse(passed(limit), "never looked again")
-            found = await self.relayed.read("t", 0, 0, 300.0, 300.0)
-            self.assertEqual(found.records, [b"x"])
+        calls_before, deadline = self.direct.calls, deadline_in(30.0)
+        while self.direct.calls < calls_before + 2:
+            self.assertFalse(passed(deadline), "the direct path was not probed again")
+            batch = await self.relayed.read("t", 0, 0, 300.0, 300.0)
+            self.assertEqual(batch.records, [b"x"])
             await asyncio.sleep(0.02)
-        self.assertTrue(self.relayed.is_away)
+        self.assertTrue(self.relayed.is_cut_off)
 
-    async def test_return_of_the_direct_way_ends_the_wait_for_a_relay(self):
-        """Guards against lists that stay as they are while a dead relay is waited for."""
+    async def test_recovery_of_the_direct_path_ends_the_wait_for_a_relay(self):
+        """Guards against stale lists while a read waits for a relay that is down."""
         self.direct.cut = True
         await self.append(seconds=30.0)
         self.peer.cut = True
-        held = asyncio.ensure_future(self.relayed.read("t", 0, 0, 300.0, 300.0))
-        self.addCleanup(held.cancel)
+        pending_read = asyncio.ensure_future(self.relayed.read("t", 0, 0, 300.0, 300.0))
+        self.addCleanup(pending_read.cancel)
         await asyncio.sleep(0)
         self.direct.cut = False
-        limit = deadline_in(30.0)
-        while self.relayed.is_away:
-            self.assertFalse(passed(limit), "still relayed")
+        deadline = deadline_in(30.0)
+        while self.relayed.is_cut_off:
+            self.assertFalse(passed(deadline), "still relayed")
             await self.relayed.read("t", 0, 1, 0.05, 0.05)
         async with asyncio.timeout(20):
-            self.assertEqual((await held).records, [b"x"])
+            self.assertEqual((await pending_read).records, [b"x"])
 
-    async def test_way_that_answers_by_turns_is_probed_once_in_a_while(self):
+    async def test_intermittent_direct_path_is_probed_once_per_interval(self):
         """Guards against reads that end each other at the speed of the network."""
-        every, module.PROBE_EVERY = module.PROBE_EVERY, 1000.0
-        self.addCleanup(setattr, module, "PROBE_EVERY", every)
-        self.direct.held_fail = True
+        interval, module.PROBE_INTERVAL = module.PROBE_INTERVAL, 1000.0
+        self.addCleanup(setattr, module, "PROBE_INTERVAL", interval)
+        self.direct.long_polls_fail = True
         for _ in range(10):
             await self.relayed.read("t", 0, 1, 0.02, 0.02)
         self.assertEqual(self.direct.short_reads, 1)
 
-    async def test_slow_log_is_not_asked_twice_for_each_call(self):
-        """Guards against a log that relays keep slow after its cause has gone."""
+    async def test_slow_log_is_not_sent_every_call_twice(self):
+        """Guards against relayed calls that keep a log slow after the cause has gone."""
         self.direct.answer = self.peer.answer = Unavailable("store answered 503")
         for _ in range(100):
             await self.append(seconds=0.1)
         self.assertEqual(self.direct.calls, 100)
         self.assertLess(self.peer.calls, 20)
 
-    async def test_relays_that_reach_nothing_end_no_other_read(self):
-        """Symptom: while the log is away for all, every instance takes several times
-        the processor and asks it again and again.
+    async def test_failed_relays_do_not_end_other_reads(self):
+        """Guards against high processor load and repeated reads while the log is down.
 
-        Sequence: an instance reads through others; one relay does not reach the log
-        either, the direct way is taken, fails, a relay answers. Cause: each such turn
-        ended all reads that wait at relays, and they began anew.
+        An instance reads through relays, one relay does not reach the log either, the
+        direct path is tried and fails, and a relay answers. Each such switch ended and
+        restarted all long polls at relays.
         """
         self.direct.cut = True
         await self.append(seconds=30.0)
-        held = asyncio.ensure_future(self.relayed.read("t", 0, 1, 300.0, 300.0))
-        self.addCleanup(held.cancel)
+        pending_read = asyncio.ensure_future(self.relayed.read("t", 0, 1, 300.0, 300.0))
+        self.addCleanup(pending_read.cancel)
         await asyncio.sleep(0.05)
         self.peer.answer = Unavailable("down")
-        found = await self.relayed.read("t", 0, 1, 0.05, 0.05)
-        self.assertIsInstance(found, Unavailable)
-        self.assertFalse(self.relayed.is_away)
+        result = await self.relayed.read("t", 0, 1, 0.05, 0.05)
+        self.assertIsInstance(result, Unavailable)
+        self.assertFalse(self.relayed.is_cut_off)
         self.peer.answer = None
         calls = self.peer.calls + self.direct.calls
         await asyncio.sleep(0.05)
-        self.assertFalse(held.done())
+        self.assertFalse(pending_read.done())
         self.assertEqual(self.peer.calls + self.direct.calls, calls)
 
-    async def test_append_that_may_have_landed_is_not_called_without_effect(self):
-        """Symptom: a step is refused as not kept, and runs.
+    async def test_append_that_may_have_landed_is_reported_as_reply_lost(self):
+        """Guards against a step that is refused as not stored, and runs.
 
-        Sequence: the direct append loses its reply, the relay refuses. Cause: the
-        last answer was taken for the outcome.
+        The direct append loses its reply and the relay refuses. The last outcome was
+        returned.
         """
         self.direct.answer = ReplyLost("reset")
         self.peer.answer = Unavailable("down")
@@ -237,11 +235,11 @@
         self.direct.answer = self.peer.answer = Unavailable("down")
         self.assertIsInstance(await self.append(), Unavailable)
 
-    async def test_relayed_append_of_unknown_fate_is_not_forgotten(self):
-        """Symptom: as above, at an instance that was cut off before.
+    async def test_unknown_outcome_of_a_relayed_append_is_kept(self):
+        """Guards against a step refused as not stored while its instance uses relays.
 
-        Sequence: the relay loses its reply, then refuses, the direct way refuses too.
-        Cause: what became of the first relayed append was dropped.
+        The relay loses its reply, then refuses, as does the direct path. The outcome of
+        the first relayed append was dropped.
         """
         self.direct.answer = Unavailable("store answered 429")
         await self.append()
@@ -253,8 +251,8 @@
         self.peer.append = append
         self.assertIsInstance(await self.append(), ReplyLost)
 
-    async def test_nobody_reaches_it(self):
+    async def test_unreachable_log_is_unavailable(self):
         self.direct.answer = self.peer.answer = Unavailable("down")
-        found = await self.relayed.read("t", 0, 0, 0, 1.0)
-        self.assertIsInstance(found, Unavailable)
-        self.assertFalse(self.relayed.is_away)
+        result = await self.relayed.read("t", 0, 0, 0, 1.0)
+        self.assertIsInstance(result, Unavailable)
+        self.assertFalse(self.relayed.is_cut_off)
--- a/sassafrasdoor/routing/instances.py
+++ b/sassafrasdoor/routing/instances.py
@@ -343,7 +343,7 @@
         """
         failing_since = self.tail.failing_since
         if failing_since is None:
-            return self._log.is_away
+            return self._log.is_cut_off
         return passed(failing_since + READ_FAILURE_TIMEOUT)
 
     def has_ended(self, address, process, since):
@@ -407,7 +407,7 @@
         """
         if self.tail.ended_at - record.renewed_at < record.lapse_timeout:
             return True
-        silence = self.tail.silence
+        silence = self.tail.last_outage
         if silence is None or passed(silence.until + record.lapse_timeout):
             return False
         return silence.since - record.renewed_at < record.lapse_timeout
--- a/sassafrasdoor/routing/replicas.py
+++ b/sassafrasdoor/routing/replicas.py
@@ -261,7 +261,7 @@
         Counted from the removal instead of from the end of the outage, or granted after
         any lost read, it would keep a replica that left unannounced in use until it exits.
         """
-        silence = self.list_tail.silence if self.list_tail is not None else None
+        silence = self.list_tail.last_outage if self.list_tail is not None else None
         if silence is None:
             return LONG_AGO
         if silence.until - silence.since < MIN_MISSED_HEARTBEATS * self._heartbeat:
@@ -294,7 +294,7 @@
     def _outage_fields(self, until):
         """Return log fields with what determined the grace period of a lapsed entry."""
         fields = {"tried_seconds": round(remaining(until), 3)}
-        silence = self.list_tail.silence
+        silence = self.list_tail.last_outage
         if silence is None:
             return fields
         if silence.since != LONG_AGO:
--- a/sassafrasdoor/routing/tests/test_instances.py
+++ b/sassafrasdoor/routing/tests/test_instances.py
@@ -9,7 +9,7 @@
 from sassafrasdoor.clock import LONG_AGO, deadline_in, now
 from sassafrasdoor.log.memory_partitioned import MemoryPartitionedLog
 from sassafrasdoor.log.partitioned import keyed_record, split_keyed
-from sassafrasdoor.log.tail import Silence
+from sassafrasdoor.log.tail import Outage
 from sassafrasdoor.routing import instance_view, instances as module
 from sassafrasdoor.routing.instances import Instances
 
@@ -63,7 +63,7 @@
         others = {"i1:80", "i2:80", "i3:80", "i4:80"}
         self.assertLessEqual(others, set(self.instances[0].addresses("c")))
         tail.failing_since = None
-        tail.silence = Silence(now() - 1.2, now())
+        tail.last_outage = Outage(now() - 1.2, now())
         self.assertEqual(len(self.instances[0].addresses("c")), 5)
 
     async def test_no_record_lapses_before_an_outage_is_detected(self):
@@ -90,7 +90,7 @@
         await asyncio.sleep(0.2)
         tail.failing_since = now()
         await tail.poll(0)
-        tail.silence = None
+        tail.last_outage = None
         self.instances[0]._view = None
         self.assertLessEqual(peers, set(self.instances[0].addresses("c")))
 
@@ -103,8 +103,8 @@
         tail = self.instances[0].tail
         self.instances[0]._records["i1:80"].renewed_at = now() - 60.0
         self.assertNotIn("i1:80", self.instances[0].addresses("c"))
-        tail.silence = Silence(now() - 2.0, now())
-        tail.restored_at = tail.silence.until
+        tail.last_outage = Outage(now() - 2.0, now())
+        tail.restored_at = tail.last_outage.until
         self.instances[0]._view = None
         self.assertNotIn("i1:80", self.instances[0].addresses("c"))
 
--- a/sassafrasdoor/steps/durable/runner.py
+++ b/sassafrasdoor/steps/durable/runner.py
@@ -484,8 +484,8 @@
         SAMPLES.inc({"result": state})
         if state == COMPLETED:
             SECONDS.observe({}, now() - job.step.seen_at)
-        write_line = note_routine if state == COMPLETED else note
-        write_line(
+        write = note_routine if state == COMPLETED else note
+        write(
             "item.made",
             step=job.step.spec.step_id,
             item=job.item.item_id,
--- a/sassafrasdoor/steps/durable/service.py
+++ b/sassafrasdoor/steps/durable/service.py
@@ -140,9 +140,9 @@
         tail = self._tails[step.shard]
         if tail.is_starting and len(step.listed) <= first and not step.is_done:
             return self._refuse_page(step, first)
-        with tail.attended():
+        with tail.without_pauses():
             if not step.is_done:
-                await tail.fresh(PAGE_MAX_AGE, deadline_in(REFRESH_TIMEOUT))
+                await tail.ensure_fresh(PAGE_MAX_AGE, deadline_in(REFRESH_TIMEOUT))
             while len(step.listed) <= first and not step.is_done:
                 if passed(wait_deadline):
                     break
@@ -150,7 +150,7 @@
         # Another instance may have shown more already, while this one still reads the
         # log after a start or a disconnection.
         has_answer = len(step.listed) > first or step.is_done
-        if not has_answer and not await tail.fresh(
+        if not has_answer and not await tail.ensure_fresh(
             EMPTY_PAGE_MAX_AGE, deadline_in(CONFIRM_TIMEOUT)
         ):
             return self._refuse_page(step, first)
