--- a/samples/measure_steps.py
+++ b/samples/measure_steps.py
@@ -35,9 +35,9 @@
 from sassafrasdoor.standin.batch import Batch
 from sassafrasdoor.standin.engine import EngineOptions
 from sassafrasdoor.steps import owner as owner_module
-from sassafrasdoor.steps.adoption import streams_held
+from sassafrasdoor.steps.adoption import find_streams
 from sassafrasdoor.steps.client import Trainer
-from sassafrasdoor.steps.dispatch import Pending
+from sassafrasdoor.steps.dispatch import PendingQueue
 from sassafrasdoor.steps.registry import StepsService
 from sassafrasdoor.steps.spec import FetchSpec, StepSpec
 from sassafrasdoor.steps.token import DeliveryToken
@@ -198,7 +198,7 @@
         return super().choose(view, service, model, "", exclude)
 
 
-class LongestGroupFirst(Pending):
+class LongestGroupFirst(PendingQueue):
     """An idea on trial: one sample of each group first, then by its length."""
 
     __slots__ = ("_groups", "_owner", "_probes", "_rest")
@@ -363,7 +363,7 @@
 
 async def regenerate(resources, owner):
     """Stand in for adoption: cancel what an earlier owner left."""
-    found = await streams_held(resources, owner.row.service, owner.identity)
+    found = await find_streams(resources, owner.row.service, owner.identity)
     for held in (one for streams in found.values() for one in streams):
         await resources.engine.cancel(held.backend, held.stream)
 
@@ -451,7 +451,7 @@
     results = {}
     for share in (0.0, 0.1, 0.25, 0.5):
         shares = {Preference.STALENESS: share, Preference.IDLE: 0.0}
-        with patched(owner_module, "RESTART_SHARE", shares):
+        with patched(owner_module, "RESTART_THRESHOLDS", shares):
             name = f"restart below {share} of a sample"
             variants = {name: {"mode": "move"}}
             results |= await gather(repeats, variants, arrange=even, swap=SWAP_EVERY)
@@ -463,7 +463,7 @@
     common = {"mode": "move", "arrange": even, "swap": TIGHT_SWAP, "bound": TIGHT_BOUND}
     common["prefers"] = "idle"
     cut = await gather(repeats, {"cut early (new)": {}}, **common)
-    with patched(owner_module.StepOwner, "worth_restarting", lambda *_: False):
+    with patched(owner_module.StepOwner, "should_restart", lambda *_: False):
         late = await gather(repeats, {"drop when done (old)": {}}, **common)
     show(f"Bound {TIGHT_BOUND}, weights every {TIGHT_SWAP} s", {**late, **cut})
 
--- a/sassafrasdoor/steps/client.py
+++ b/sassafrasdoor/steps/client.py
@@ -29,9 +29,9 @@
 
 CONNECT_TIMEOUT = 2.0
 CALL_TIMEOUT = 5.0
-WAIT = 2.0
-PAUSE = 0.1
-LONGEST_PAUSE = 1.0
+FETCH_WAIT = 2.0
+RETRY_DELAY = 0.1
+MAX_RETRY_DELAY = 1.0
 NO_REPLY = 599
 MAX_CLIENTS = 64
 
@@ -40,7 +40,7 @@
     """One row's trainer. ``newest_version`` is what it last published itself.
 
     A fetch waits up to ``wait`` seconds for samples; an instance that is
-    ``patience`` seconds later than that is taken for gone. With ``ca_file`` (PEM)
+    ``reply_timeout`` seconds later than that is taken for gone. With ``ca_file`` (PEM)
     the instances are called over TLS.
     """
 
@@ -48,13 +48,13 @@
         "_ca_file",
         "_http",
         "_key",
-        "_known",
+        "_discovered",
         "_seeds",
         "_zone",
         "newest_version",
         "row",
     )
-    __slots__ += ("patience", "valid_until", "wait")
+    __slots__ += ("reply_timeout", "valid_until", "wait")
 
     def __init__(
         self,
@@ -63,19 +63,19 @@
         key,
         zone="",
         newest_version=0,
-        wait=WAIT,
-        patience=CALL_TIMEOUT,
+        wait=FETCH_WAIT,
+        reply_timeout=CALL_TIMEOUT,
         ca_file="",
     ):
         self._seeds = list(addresses)
-        self._known = []
+        self._discovered = []
         self._key = key
         self._zone = zone
         self._ca_file = ca_file
         self.row = row
         self.newest_version = newest_version
         self.wait = wait
-        self.patience = patience
+        self.reply_timeout = reply_timeout
         self.valid_until = math.inf
         self._http = CurlAsyncHTTPClient(force_instance=True, max_clients=MAX_CLIENTS)
 
@@ -93,14 +93,14 @@
         Those of the last answer are asked too: the seeds may all be replaced.
         """
         query = urlencode({"row": self.row, "zone": self._zone})
-        asked = list(dict.fromkeys([*self._known, *self._seeds]))
-        for address in random.sample(asked, len(asked)):
+        candidates = list(dict.fromkeys([*self._discovered, *self._seeds]))
+        for address in random.sample(candidates, len(candidates)):
             status, answer = await self.call("GET", address, f"/v1/addresses?{query}")
             if status == 200 and answer.get("addresses"):
                 self.valid_until = deadline_in(answer["valid_for_ms"] / 1000)
-                self._known = [one["address"] for one in answer["addresses"]]
-                return list(self._known)
-        return asked
+                self._discovered = [entry["address"] for entry in answer["addresses"]]
+                return list(self._discovered)
+        return candidates
 
     async def call(self, method, address, path, document=None, wait=0.0):
         """Call one instance once; return ``(status, document)``, 599 for no reply."""
@@ -112,7 +112,7 @@
             headers={"Authorization": f"Bearer {self._key}"},
             body=None if document is None else json.dumps(document),
             connect_timeout=CONNECT_TIMEOUT,
-            request_timeout=wait + self.patience,
+            request_timeout=wait + self.reply_timeout,
             follow_redirects=False,
             allow_nonstandard_methods=True,
         )
@@ -133,11 +133,11 @@
     __slots__ = (
         "_address",
         "_addresses",
-        "_arrived",
+        "_received",
         "_attach",
         "_deadline",
         "_document",
-        "_left",
+        "_left_address",
         "_trainer",
         "_yielded",
         "failure",
@@ -151,13 +151,13 @@
         self._trainer = trainer
         self._document = document
         self._attach = state["attach"]
-        self._address = self._left = None
+        self._address = self._left_address = None
         self._addresses = []
         self._deadline = deadline_in(
             document.get("deadline_ms", DEFAULT_DEADLINE_MS) / 1000
         )
         self.token = DeliveryToken.parse(state["token"], size)
-        self._arrived = deque()
+        self._received = deque()
         self._yielded = self.token.union([])
         self.failure = None
         self.report = Report()
@@ -177,17 +177,17 @@
 
     async def samples(self):
         """Yield each sample once, as it arrives."""
-        started = now()
-        while self._arrived or not (self.complete or self.failure is not None):
-            asked = now()
-            if not self._arrived:
-                self._arrived += await self._more()
-            self.report.idle += now() - asked
-            while self._arrived:
-                sample = self._arrived.popleft()
+        started_at = now()
+        while self._received or not (self.complete or self.failure is not None):
+            requested_at = now()
+            if not self._received:
+                self._received += await self._fetch_samples()
+            self.report.idle += now() - requested_at
+            while self._received:
+                sample = self._received.popleft()
                 self._yielded.add(self._position(sample))
                 yield sample
-        self.report.duration = now() - started
+        self.report.duration = now() - started_at
         if self.complete and self._address:
             await self._fetch(wait=0.0)  # lets the instance forget the step
 
@@ -198,21 +198,21 @@
         if self._address:
             await self._trainer.call("DELETE", self._address, path)
 
-    async def _more(self):
+    async def _fetch_samples(self):
         if passed(self._deadline):
             self.failure = Unavailable("the step's deadline has passed")
             return []
-        if self._address is None and not await self._attached():
+        if self._address is None and not await self._attach_to_next():
             return []
         status, reply = await self._fetch(
             min(self._trainer.wait, remaining(self._deadline))
         )
         if status != 200:
-            self._move(status, reply)
+            self._leave_instance(status, reply)
             return []
         if reply["moved"]:
-            self._left, self._address = self._address, None
-        return self._accepted(reply)
+            self._left_address, self._address = self._address, None
+        return self._accept(reply)
 
     async def _fetch(self, wait):
         path = f"/v1/steps/{self._trainer.row}/{self._document['step']}/fetch"
@@ -224,12 +224,14 @@
         }
         return await self._trainer.call("POST", self._address, path, fetch, wait)
 
-    async def _attached(self):
+    async def _attach_to_next(self):
         """Attach at the next instance; return whether one took the step."""
         if not self._addresses or passed(self._trainer.valid_until):
             # The instance just left may still be named first; the others before it.
-            found = await self._trainer.addresses()
-            self._addresses = sorted(found, key=lambda one: one == self._left)
+            addresses = await self._trainer.addresses()
+            self._addresses = sorted(
+                addresses, key=lambda address: address == self._left_address
+            )
         address = self._addresses.pop(0)
         self._attach += 1
         document = {
@@ -244,20 +246,20 @@
         if status == 202:
             self.report.attachments += 1
             return True
-        self._move(status, reply)
-        await asyncio.sleep(PAUSE * random.uniform(0.5, 1.0))
+        self._leave_instance(status, reply)
+        await asyncio.sleep(RETRY_DELAY * random.uniform(0.5, 1.0))
         return False
 
-    def _move(self, status, reply):
+    def _leave_instance(self, status, reply):
         """Leave this instance after a refusal or no reply, or end the run."""
-        self._left, self._address = self._address, None
+        self._left_address, self._address = self._address, None
         if reply.get("attach"):
             self._attach = max(self._attach, reply["attach"])
         elif status in (400, 401, 409, 413):
-            findings = [Finding(**one) for one in reply.get("findings", [])]
+            findings = [Finding(**finding) for finding in reply.get("findings", [])]
             self.failure = Rejected(reply.get("reason", f"status {status}"), findings)
 
-    def _accepted(self, reply):
+    def _accept(self, reply):
         """Return the samples that are new and fresh, and note that we have them.
 
         A reply may have been on its way while the trainer published newer
--- a/sassafrasdoor/steps/dispatch.py
+++ b/sassafrasdoor/steps/dispatch.py
@@ -7,10 +7,10 @@
 from sassafrasdoor.outcomes import Outcome
 from sassafrasdoor.steps.sample import SampleState
 
-ADMISSIONS_AHEAD = 32
+MAX_PENDING_ADMISSIONS = 32
 
 
-class Pending:
+class PendingQueue:
     """Samples that wait to be started; the first to start is popped first.
 
     Streams found on an engine come first: they hold its memory already. Then
@@ -18,18 +18,18 @@
     is still cached.
     """
 
-    __slots__ = ("_heap", "_tie")
+    __slots__ = ("_heap", "_tie_breaker")
 
     def __init__(self):
         self._heap = []
-        self._tie = count()
+        self._tie_breaker = count()
 
     def __len__(self):
         return len(self._heap)
 
     def add(self, sample, group):
         """Add a sample of ``group``."""
-        rank = (sample.adopted is None, group, next(self._tie))
+        rank = (sample.adopted is None, group, next(self._tie_breaker))
         heappush(self._heap, (rank, sample))
 
     def pop(self):
@@ -44,30 +44,30 @@
 class Dispatcher:
     """Keeps admissions waiting while its step has samples to start."""
 
-    __slots__ = ("_owner", "_resources", "_waiting", "pending")
+    __slots__ = ("_owner", "_resources", "_pending_admissions", "pending")
 
     def __init__(self, resources, owner):
         self._resources = resources
         self._owner = owner
-        self._waiting = 0
-        self.pending = Pending()
+        self._pending_admissions = 0
+        self.pending = PendingQueue()
 
     @property
-    def idle(self):
+    def is_idle(self):
         """Whether no admission is waited for."""
-        return not self._waiting
+        return not self._pending_admissions
 
     def add(self, sample):
-        """Start a sample as soon as there is a permit; ``fill`` asks for one."""
+        """Start a sample as soon as there is a permit; ``request_permits`` asks for one."""
         sample.state = SampleState.PENDING
         self.pending.add(sample, self._owner.identity.place(sample.position)[0])
 
-    def fill(self):
+    def request_permits(self):
         """Ask for as many permits as there is work for, up to a bound."""
-        while self._waiting < min(ADMISSIONS_AHEAD, len(self.pending)):
-            if not self._owner.dispatching:
+        while self._pending_admissions < min(MAX_PENDING_ADMISSIONS, len(self.pending)):
+            if not self._owner.is_dispatching:
                 return
-            self._waiting += 1
+            self._pending_admissions += 1
             self._owner.spawn(self._admit())
 
     async def _admit(self):
@@ -79,16 +79,16 @@
             if isinstance(permit, Outcome):
                 await asyncio.sleep(permit.retry_after)
         finally:
-            self._waiting -= 1
+            self._pending_admissions -= 1
         if not isinstance(permit, Outcome):
             self._start(permit)
-        self.fill()
+        self.request_permits()
 
     def _start(self, permit):
-        sample = self.pending.pop() if self._owner.dispatching else None
+        sample = self.pending.pop() if self._owner.is_dispatching else None
         if sample is None:
             permit.release()
             return
         attempt, sample.adopted = sample.adopted, None
         sample.state = SampleState.RUNNING
-        self._owner.make(sample, attempt, permit)
+        self._owner.start_sample(sample, attempt, permit)
--- a/sassafrasdoor/steps/handlers.py
+++ b/sassafrasdoor/steps/handlers.py
@@ -11,20 +11,20 @@
     StepsService,
     no_such_step,
 )
-from sassafrasdoor.steps.spec import FetchSpec, StepSpec, checked
+from sassafrasdoor.steps.spec import FetchSpec, StepSpec, parse_input
 
 __all__ = ["StepsService", "handlers"]
 
-NAME = r"([A-Za-z0-9_.-]{1,64})"
+NAME_PATTERN = r"([A-Za-z0-9_.-]{1,64})"
 
 
 def handlers(steps_service):
     """Return the handlers of steps for the application."""
-    mine = {"steps": steps_service}
+    arguments = {"steps": steps_service}
     return [
-        (f"/v1/steps/{NAME}", SubmitHandler, mine),
-        (f"/v1/steps/{NAME}/{NAME}/fetch", FetchHandler, mine),
-        (f"/v1/steps/{NAME}/{NAME}", StepHandler, mine),
+        (f"/v1/steps/{NAME_PATTERN}", SubmitHandler, arguments),
+        (f"/v1/steps/{NAME_PATTERN}/{NAME_PATTERN}/fetch", FetchHandler, arguments),
+        (f"/v1/steps/{NAME_PATTERN}/{NAME_PATTERN}", StepHandler, arguments),
     ]
 
 
@@ -34,7 +34,7 @@
     def initialize(self, steps):
         self._steps = steps
 
-    def authorized(self, row_name):
+    def authorized_row(self, row_name):
         """Return the caller's row, or None once the refusal is written."""
         return self.application.settings["authorize"](self, row_name)
 
@@ -45,7 +45,7 @@
         self.set_header("X-Outcome", kind)
         if isinstance(outcome, NotRun):
             self.set_header("Retry-After", str(max(1, round(outcome.retry_after))))
-        findings = [one.as_dict() for one in getattr(outcome, "findings", ())]
+        findings = [finding.as_dict() for finding in getattr(outcome, "findings", ())]
         document = {"outcome": kind, "reason": outcome.reason, "findings": findings}
         if isinstance(outcome, Conflict):
             document["attach"] = outcome.attach
@@ -62,10 +62,10 @@
 
     def post(self, row_name):
         """Own the step here, or attach to it."""
-        row = self.authorized(row_name)
+        row = self.authorized_row(row_name)
         if row is None:
             return
-        spec = checked(StepSpec, self.request.body)
+        spec = parse_input(StepSpec, self.request.body)
         result = self._steps.submit(row, spec) if spec else spec
         if not result:
             self.refuse(result)
@@ -79,21 +79,21 @@
 
     def on_connection_close(self):
         """Tell the step's owner that its trainer hung up."""
-        self._steps.hung_up(*self.path_args)
+        self._steps.handle_disconnect(*self.path_args)
 
     async def post(self, row_name, step):
         """Answer with samples that the trainer lacks."""
-        row = self.authorized(row_name)
+        row = self.authorized_row(row_name)
         if row is None:
             return
-        fetch = checked(FetchSpec, self.request.body)
+        fetch = parse_input(FetchSpec, self.request.body)
         result = await self._steps.fetch(row, step, fetch) if fetch else fetch
         # Nothing may be awaited here: staleness was judged a moment ago.
         if not result:
             self.refuse(result)
             return
         await self.finish(result)
-        self._steps.replied(row, step)
+        self._steps.handle_reply_sent(row, step)
 
 
 class StepHandler(StepsHandler):
@@ -101,7 +101,7 @@
 
     async def delete(self, row_name, step):
         """Cancel the step."""
-        row = self.authorized(row_name)
+        row = self.authorized_row(row_name)
         if row is None:
             return
         if await self._steps.cancel(row, step):
--- a/sassafrasdoor/steps/labels.py
+++ b/sassafrasdoor/steps/labels.py
@@ -14,7 +14,7 @@
     merged = []
     by_version = sorted(spans, key=lambda span: (span.version, span.first))
     for _, group in groupby(by_version, key=lambda span: span.version):
-        merged += _joined(list(group))
+        merged += _merge_overlapping(list(group))
     return sorted(merged, key=lambda span: (span.first, span.version))
 
 
@@ -31,7 +31,7 @@
     return min((span.version for span in spans), default=None)
 
 
-def _joined(spans):
+def _merge_overlapping(spans):
     joined = []
     for span in spans:
         if joined and span.first <= joined[-1].last:
--- a/sassafrasdoor/steps/owner.py
+++ b/sassafrasdoor/steps/owner.py
@@ -14,17 +14,17 @@
 from sassafrasdoor.steps.adoption import adopt
 from sassafrasdoor.steps.dispatch import Dispatcher
 from sassafrasdoor.steps.reader import Reader
-from sassafrasdoor.steps.resources import EVENTS_TOTAL, WASTED, Counts, Signal
+from sassafrasdoor.steps.resources import SAMPLE_EVENTS, WASTED_TOKENS, Counts, Signal
 from sassafrasdoor.steps.sample import Sample, SampleState
 from sassafrasdoor.steps.spec import Identity
-from sassafrasdoor.steps.stragglers import Lengths, Stragglers
+from sassafrasdoor.steps.stragglers import LengthEstimator, StragglerMonitor
 from sassafrasdoor.steps.token import DeliveryToken
 from sassafrasdoor.table.rows import Preference
 
-PAUSE_AFTER_FAULT = 1.0
+FAULT_RETRY_DELAY = 1.0
 # Rows differ in this one number: a running stream that crosses a swap is made
 # again if it has less than this share of an expected sample.
-RESTART_SHARE = {Preference.STALENESS: 0.25, Preference.IDLE: 0.0}
+RESTART_THRESHOLDS = {Preference.STALENESS: 0.25, Preference.IDLE: 0.0}
 
 
 class StepOwner:
@@ -43,16 +43,16 @@
         "counts",
         "deadline",
         "dispatcher",
-        "heard",
+        "is_trainer_connected",
         "identity",
         "lengths",
         "ready",
         "row",
         "samples",
         "spec",
-        "stated",
+        "trainer_version",
         "stopping",
-        "taken",
+        "acknowledged",
     )
 
     def __init__(self, resources, row, spec, token):
@@ -60,7 +60,7 @@
         self._reader = Reader(resources, self)
         self._affinities = {}
         self._tasks = set()
-        self._stragglers = Stragglers(resources, self)
+        self._stragglers = StragglerMonitor(resources, self)
         self.dispatcher = Dispatcher(resources, self)
         self.row = row
         self.spec = spec
@@ -69,28 +69,30 @@
         self.attach = spec.attach
         self.counts = Counts()
         self.changes = Signal()
-        self.lengths = Lengths(spec.max_tokens)
+        self.lengths = LengthEstimator(spec.max_tokens)
         self.ready = {}
         self.samples = [Sample(position) for position in range(spec.sample_count)]
-        self.stated = 0
-        self.taken = DeliveryToken(spec.sample_count)
+        self.trainer_version = 0
+        self.acknowledged = DeliveryToken(spec.sample_count)
         self.stopping = False
         self.closed = False
-        self.touch()
+        self.record_trainer_activity()
         self.acknowledge(token)
 
     @property
-    def dispatching(self):
+    def is_dispatching(self):
         """Whether streams may be started now."""
-        return self.heard and not (self.stopping or self.closed or self.over)
+        return self.is_trainer_connected and not (
+            self.stopping or self.closed or self.is_expired
+        )
 
     @property
-    def over(self):
+    def is_expired(self):
         """Whether the step's deadline has passed."""
         return passed(self.deadline)
 
     @property
-    def abandoned(self):
+    def is_abandoned(self):
         """Whether its trainer has not been heard for too long."""
         return passed(self.attach_deadline)
 
@@ -108,30 +110,30 @@
 
     def newest(self):
         """Return the newest version known, also from the trainer itself."""
-        return max(self.stated, self._resources.newest_of(self.row.model))
+        return max(self.trainer_version, self._resources.newest_of(self.row.model))
 
     def oldest_allowed(self):
         """Return the oldest version that may be delivered now."""
         return self.newest() - self.row.staleness_bound
 
-    def touch(self):
+    def record_trainer_activity(self):
         """Note that the trainer was heard."""
         idle = self._resources.settings.steps.attach_idle
         self.attach_deadline = deadline_in(idle)
-        self.heard = True
-        self.dispatcher.fill()
+        self.is_trainer_connected = True
+        self.dispatcher.request_permits()
 
     def start(self):
         """Begin to make what the trainer lacks."""
         self.event("step-started")
-        self.spawn(self._begin())
+        self.spawn(self._start_samples())
 
     def event(self, kind, **fields):
         """Put an event of this step on the time line."""
-        named = {"row": self.row.name, "step": self.spec.step, "attach": self.attach}
-        EVENTS.add(kind, **named, **fields)
+        common = {"row": self.row.name, "step": self.spec.step, "attach": self.attach}
+        EVENTS.add(kind, **common, **fields)
 
-    def attached(self, attach, token):
+    def reattach(self, attach, token):
         """Take over for a newer attachment of the trainer.
 
         A trainer that restarted may have lost samples that it had taken; its
@@ -140,36 +142,36 @@
         """
         self.attach = attach
         self.event("step-attached")
-        for position in self.taken.beyond(token):
+        for position in self.acknowledged.difference(token):
             sample = self.samples[position]
             sample.generation += 1
             self.counts.regenerated += 1
             self.dispatcher.add(sample)
-        self.taken = DeliveryToken(self.spec.sample_count)
+        self.acknowledged = DeliveryToken(self.spec.sample_count)
         self.acknowledge(token)
-        self.dispatcher.fill()
+        self.dispatcher.request_permits()
         self.changes.changed()
 
     def acknowledge(self, token):
         """Forget what the trainer has."""
-        for position in token.beyond(self.taken):
+        for position in token.difference(self.acknowledged):
             sample = self.samples[position]
-            self._stop(sample)
+            self._stop_attempts(sample)
             self._cancel_streams(sample)
             self.ready.pop(position, None)
             sample.attempt = sample.adopted = None
             sample.state = SampleState.TAKEN
-            self.taken.add(position)
+            self.acknowledged.add(position)
 
-    def drop_too_old(self):
+    def drop_stale_samples(self):
         """Make those ready samples again that may no longer be delivered."""
         allowed = self.oldest_allowed()
         for sample in list(self.ready.values()):
             if sample.attempt.oldest < allowed:
-                self._drop(sample)
-        self.dispatcher.fill()
+                self._regenerate_stale(sample)
+        self.dispatcher.request_permits()
 
-    def worth_restarting(self, attempt, version):
+    def should_restart(self, attempt, version):
         """Say whether a stream that now got tokens of ``version`` starts over.
 
         It must if it holds tokens too old to be delivered. It may, the sooner
@@ -178,23 +180,23 @@
         """
         if attempt.oldest < self.oldest_allowed():
             return True
-        little = RESTART_SHARE[self.row.prefers] * self.lengths.expected()
-        return attempt.oldest < version == self.newest() and attempt.offset < little
+        threshold = RESTART_THRESHOLDS[self.row.prefers] * self.lengths.expected()
+        return attempt.oldest < version == self.newest() and attempt.offset < threshold
 
-    def look_for_stragglers(self):
+    def check_stragglers(self):
         """Start second attempts at the last few samples where they pay."""
-        if self.dispatching:
-            self._stragglers.look()
+        if self.is_dispatching:
+            self._stragglers.check()
 
-    def make(self, sample, attempt, permit, once=False):
+    def start_sample(self, sample, attempt, permit, single_attempt=False):
         """Make a sample, from ``attempt`` if given; the task owns the permit."""
-        task = self.spawn(self._make(sample, attempt, permit, once))
+        task = self.spawn(self._run_sample(sample, attempt, permit, single_attempt))
         sample.tasks.add(task)
         task.add_done_callback(sample.tasks.discard)
 
-    def spawn(self, job):
+    def spawn(self, coroutine):
         """Run a task of the step; closing the step cancels it."""
-        task = asyncio.ensure_future(job)
+        task = asyncio.ensure_future(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return task
@@ -217,11 +219,11 @@
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
-        held = [stream for sample in self.samples for stream in sample.visited]
+        streams = [stream for sample in self.samples for stream in sample.open_streams]
         if cancel:
-            self._resources.cleaner.cancel(held)
-        elif held:
-            self._resources.cleaner.cancel_at(held, self.deadline)
+            self._resources.cleaner.cancel(streams)
+        elif streams:
+            self._resources.cleaner.cancel_at(streams, self.deadline)
 
     def status(self):
         """Return what an operator sees of the step."""
@@ -234,34 +236,34 @@
             "counts": self.counts.as_dict(),
         }
 
-    async def _begin(self):
+    async def _start_samples(self):
         if self.spec.attach > 1:
             await adopt(self._resources, self)
         for sample in self.samples:
             if sample.state is SampleState.PENDING:
                 self.dispatcher.add(sample)
-        self.dispatcher.fill()
+        self.dispatcher.request_permits()
 
-    async def _make(self, sample, attempt, permit, once):
+    async def _run_sample(self, sample, attempt, permit, single_attempt):
         try:
-            whole = await self._reader.read(sample, attempt, once)
+            completed = await self._reader.read(sample, attempt, single_attempt)
             # The engine's place is free from here on, whatever the score takes.
             permit.release()
             permit = None
-            if whole is not None:
-                score = await self._score(sample, whole)
-                self._finished(sample, whole, score)
+            if completed is not None:
+                score = await self._score(sample, completed)
+                self._complete_sample(sample, completed, score)
         except Exception as error:
             # A fault of ours must neither lose the sample nor spin: it would
             # show as a step that never completes, or as a busy process.
             logs.changed("steps:fault", error=repr(error), stream=sample.position)
-            await asyncio.sleep(PAUSE_AFTER_FAULT)
+            await asyncio.sleep(FAULT_RETRY_DELAY)
             if sample.state is SampleState.RUNNING:
                 self.dispatcher.add(sample)
         finally:
             if permit is not None:
                 permit.release()
-            self.dispatcher.fill()
+            self.dispatcher.request_permits()
 
     async def _score(self, sample, attempt):
         """Return the score of a whole sample, None where it gets none."""
@@ -269,7 +271,7 @@
         reward = self.spec.groups[group].reward
         if reward is None:
             return None
-        self.dispatcher.fill()
+        self.dispatcher.request_permits()
         call_id = f"{attempt.stream}.reward"
         score = await self._resources.scorer.score(reward, call_id, self.deadline)
         if isinstance(score, Outcome):
@@ -277,45 +279,45 @@
             return None
         return score
 
-    def _finished(self, sample, attempt, score):
+    def _complete_sample(self, sample, attempt, score):
         # Another attempt may have been scored first; its text bears its own score.
         if sample.state is not SampleState.RUNNING:
             return
         sample.score = score
-        winner = attempt.held
-        self._stop(sample, attempt.base)
+        winner = attempt.location
+        self._stop_attempts(sample, attempt.imported_tokens)
         self._cancel_streams(sample, keep=winner)
         self.lengths.add(attempt.offset)
-        self._stragglers.finished(attempt)
+        self._stragglers.record_finished(attempt)
         sample.attempt = attempt
         sample.state = SampleState.READY
         self.ready[sample.position] = sample
         self.changes.changed()
 
-    def _drop(self, sample):
+    def _regenerate_stale(self, sample):
         self.counts.stale_dropped += 1
         self.counts.regenerated += 1
         self.counts.tokens_wasted += sample.attempt.offset
-        WASTED.add({"row": self.row.name}, sample.attempt.offset)
-        EVENTS_TOTAL.inc({"kind": "stale-dropped", "row": self.row.name})
+        WASTED_TOKENS.add({"row": self.row.name}, sample.attempt.offset)
+        SAMPLE_EVENTS.inc({"kind": "stale-dropped", "row": self.row.name})
         del self.ready[sample.position]
         sample.attempt = None
         sample.generation += 1
         self._cancel_streams(sample)
         self.dispatcher.add(sample)
 
-    def _stop(self, sample, kept=0):
-        """End the other attempts at a sample; all but ``kept`` tokens are wasted."""
+    def _stop_attempts(self, sample, kept_tokens=0):
+        """End the other attempts at a sample; all but ``kept_tokens`` tokens are wasted."""
         current = asyncio.current_task()
         for task in sample.tasks - {current}:
             task.cancel()
         wasted = sum(
-            max(0, attempt.offset - max(kept, attempt.base))
+            max(0, attempt.offset - max(kept_tokens, attempt.imported_tokens))
             for attempt in sample.running
         )
         self.counts.tokens_wasted += wasted
-        WASTED.add({"row": self.row.name}, wasted)
+        WASTED_TOKENS.add({"row": self.row.name}, wasted)
 
     def _cancel_streams(self, sample, keep=None):
-        self._resources.cleaner.cancel(sample.visited - {keep})
-        sample.visited.intersection_update({keep})
+        self._resources.cleaner.cancel(sample.open_streams - {keep})
+        sample.open_streams.intersection_update({keep})
--- a/sassafrasdoor/steps/reader.py
+++ b/sassafrasdoor/steps/reader.py
@@ -13,13 +13,13 @@
 )
 from sassafrasdoor.clock import passed
 from sassafrasdoor.outcomes import NotRun, Outcome, Unavailable
-from sassafrasdoor.steps.resources import EVENTS_TOTAL, WASTED
+from sassafrasdoor.steps.resources import SAMPLE_EVENTS, WASTED_TOKENS
 from sassafrasdoor.steps.sample import Attempt, Spoiled
 
-RESUMES = 3
-UNREACHABLE_COUNTS = 2
-PAUSE = 0.05
-LONGEST_PAUSE = 1.0
+MAX_BREAKS = 3
+UNREACHABLE_PENALTY = 2
+RETRY_DELAY = 0.05
+MAX_RETRY_DELAY = 1.0
 
 
 class TooOld(Outcome):
@@ -37,30 +37,30 @@
         self._resources = resources
         self._step = step
 
-    async def read(self, sample, attempt=None, once=False):
+    async def read(self, sample, attempt=None, single_attempt=False):
         """Return a whole ``Attempt``, or None once the step's deadline passed.
 
         Starts from ``attempt`` where one is given, else at an engine that the
-        chooser names. With ``once``, a lost attempt is given up for good.
+        chooser names. With ``single_attempt``, a lost attempt is given up for good.
         """
         excluded = set()
         while not passed(self._step.deadline):
-            attempt = attempt or await self._placed(sample, excluded)
+            attempt = attempt or await self._place_sample(sample, excluded)
             if attempt is None:
                 continue
-            result = await self._follow(sample, attempt)
+            result = await self._read_attempt(sample, attempt)
             if isinstance(result, Finished):
                 return attempt
-            if once:
-                self._release(sample, attempt)
+            if single_attempt:
+                self._cancel_stream(sample, attempt)
                 return None
             backend = attempt.backend
-            attempt = await self._after(result, sample, attempt)
+            attempt = await self._recover(result, sample, attempt)
             if attempt is None:
                 excluded.add(backend.name)
         return None
 
-    async def _placed(self, sample, excluded):
+    async def _place_sample(self, sample, excluded):
         row, view = self._step.row, self._resources.view()
         affinity = self._step.affinity(sample.position)
         backend = self._resources.chooser.choose(
@@ -69,46 +69,46 @@
         if isinstance(backend, Outcome):
             # Every engine left may be one that failed before: they count again.
             excluded.clear()
-            await _pause(backend.retry_after)
+            await _sleep_with_jitter(backend.retry_after)
             return None
-        return self.attempt(sample, backend)
+        return self.new_attempt(sample, backend)
 
-    def attempt(self, sample, backend):
+    def new_attempt(self, sample, backend):
         """Return a new attempt to make ``sample`` at ``backend``."""
         stream = self._step.identity.stream(sample.position, sample.generation)
         return Attempt(backend, stream, sample.generation)
 
-    async def _follow(self, sample, attempt):
+    async def _read_attempt(self, sample, attempt):
         sample.running.add(attempt)
-        sample.visited.add(attempt.held)
+        sample.open_streams.add(attempt.location)
         self._resources.chooser.started(attempt.backend)
         result = None
         try:
-            result = await self._chunks(attempt)
+            result = await self._read_chunks(attempt)
         finally:
             sample.running.discard(attempt)
             self._resources.chooser.finished(attempt.backend, result)
         return result
 
-    async def _chunks(self, attempt):
+    async def _read_chunks(self, attempt):
         stream = self._resources.engine.stream(attempt.backend, self._order(attempt))
         async with aclosing(stream) as items:
             async for item in items:
                 if not isinstance(item, Chunk):
-                    return attempt.whole(item) if isinstance(item, Finished) else item
-                self._resources.reported(self._step.row.model, item.version)
-                if not attempt.take(item):
+                    return attempt.verify(item) if isinstance(item, Finished) else item
+                self._resources.record_version(self._step.row.model, item.version)
+                if not attempt.add_chunk(item):
                     return Spoiled("chunks out of order")
-                self._note_resumed(attempt)
-                if self._step.worth_restarting(attempt, item.version):
+                self._record_resumption(attempt)
+                if self._step.should_restart(attempt, item.version):
                     return TooOld("tokens older than the bound")
         return Broken("ended without its last line")
 
-    def _note_resumed(self, attempt):
+    def _record_resumption(self, attempt):
         if attempt.breaks:
             attempt.breaks = 0
             self._step.counts.resumed += 1
-            EVENTS_TOTAL.inc({"kind": "resumed", "row": self._step.row.name})
+            SAMPLE_EVENTS.inc({"kind": "resumed", "row": self._step.row.name})
             self._step.event("stream-resumed", backend=attempt.backend.name)
 
     def _order(self, attempt):
@@ -129,75 +129,75 @@
         )
 
     @singledispatchmethod
-    async def _after(self, result, sample, attempt):
+    async def _recover(self, result, sample, attempt):
         """Return the attempt to go on with, or None to start at another engine."""
         raise TypeError(f"no rule for {result!r}")
 
-    @_after.register
+    @_recover.register
     async def _(self, result: NotRun, sample, attempt):
         if not attempt.offset:
-            sample.visited.discard(attempt.held)
-            await _pause(result.retry_after)
+            sample.open_streams.discard(attempt.location)
+            await _sleep_with_jitter(result.retry_after)
             return None
-        return await self._after_break(sample, attempt)
+        return await self._recover_from_break(sample, attempt)
 
-    @_after.register
+    @_recover.register
     async def _(self, result: TooOld, sample, attempt):
         # The rest of the stream could only be dropped at delivery.
         self._step.counts.cut_early += 1
-        self._give_up(sample, attempt, "cut-early")
-        await _pause(PAUSE)
+        self._discard_attempt(sample, attempt, "cut-early")
+        await _sleep_with_jitter(RETRY_DELAY)
 
-    @_after.register
+    @_recover.register
     async def _(self, result: Spoiled, sample, attempt):
-        self._give_up(sample, attempt, "spoiled")
+        self._discard_attempt(sample, attempt, "spoiled")
 
-    @_after.register
+    @_recover.register
     async def _(self, result: Broken, sample, attempt):
-        return await self._after_break(sample, attempt)
+        return await self._recover_from_break(sample, attempt)
 
-    async def _after_break(self, sample, attempt):
+    async def _recover_from_break(self, sample, attempt):
         attempt.breaks += 1
-        await _pause(PAUSE * 2**attempt.breaks)
-        held = await self._resources.engine.streams(attempt.backend, attempt.stream)
-        if isinstance(held, Unavailable):
-            attempt.breaks += UNREACHABLE_COUNTS
-        elif not self._still_held(held, attempt):
+        await _sleep_with_jitter(RETRY_DELAY * 2**attempt.breaks)
+        states = await self._resources.engine.streams(attempt.backend, attempt.stream)
+        if isinstance(states, Unavailable):
+            attempt.breaks += UNREACHABLE_PENALTY
+        elif not self._is_stream_held(states, attempt):
             # The engine restarted and lost the stream. Resuming at an offset
             # would join tokens of two runs; so nothing received is kept.
-            self._give_up(sample, attempt, "regenerated")
+            self._discard_attempt(sample, attempt, "regenerated")
             return None
-        if attempt.breaks > RESUMES:
-            self._give_up(sample, attempt, "regenerated")
+        if attempt.breaks > MAX_BREAKS:
+            self._discard_attempt(sample, attempt, "regenerated")
             return None
         return attempt
 
     @staticmethod
-    def _still_held(held, attempt):
+    def _is_stream_held(states, attempt):
         return any(
             state.stream == attempt.stream and state.offset >= attempt.offset
-            for state in held
+            for state in states
         )
 
-    def _give_up(self, sample, attempt, kind):
+    def _discard_attempt(self, sample, attempt, kind):
         """Make the sample anew under the next generation, anywhere.
 
         Its engine may yet come back with the old stream; under another id
         that can neither be mistaken for the new one nor be joined to it.
         """
         sample.generation = max(sample.generation, attempt.generation + 1)
-        self._release(sample, attempt)
+        self._cancel_stream(sample, attempt)
         counts, row = self._step.counts, self._step.row.name
         counts.regenerated += 1
         counts.tokens_wasted += attempt.offset
-        WASTED.add({"row": row}, attempt.offset)
-        EVENTS_TOTAL.inc({"kind": kind, "row": row})
+        WASTED_TOKENS.add({"row": row}, attempt.offset)
+        SAMPLE_EVENTS.inc({"kind": kind, "row": row})
 
-    def _release(self, sample, attempt):
-        sample.visited.discard(attempt.held)
-        self._resources.cleaner.cancel([attempt.held])
+    def _cancel_stream(self, sample, attempt):
+        sample.open_streams.discard(attempt.location)
+        self._resources.cleaner.cancel([attempt.location])
 
 
-async def _pause(seconds):
+async def _sleep_with_jitter(seconds):
     """Wait up to ``seconds``, spread out so that retries do not come together."""
-    await asyncio.sleep(min(seconds, LONGEST_PAUSE) * random.uniform(0.5, 1.0))
+    await asyncio.sleep(min(seconds, MAX_RETRY_DELAY) * random.uniform(0.5, 1.0))
--- a/sassafrasdoor/steps/registry.py
+++ b/sassafrasdoor/steps/registry.py
@@ -12,7 +12,7 @@
 from sassafrasdoor.steps.resources import Resources, Signal
 from sassafrasdoor.steps.token import DeliveryToken
 
-MAX_STEPS_OF_A_ROW = 64
+MAX_STEPS_PER_ROW = 64
 SWEEP_INTERVAL = 0.1
 BUSY_RETRY_AFTER = 1.0
 
@@ -49,18 +49,25 @@
 class OwnedStep:
     """A step's owner, its delivery and whether its trainer was sent away."""
 
-    __slots__ = ("delivery", "owner", "sent_away")
+    __slots__ = ("delivery", "owner", "is_trainer_redirected")
 
     def __init__(self, settings, owner):
         self.owner = owner
         self.delivery = Delivery(settings, owner)
-        self.sent_away = False
+        self.is_trainer_redirected = False
 
 
 class StepsService:
     """All steps of this instance; needs a running event loop."""
 
-    __slots__ = ("_draining", "_left", "_resources", "_settings", "_steps", "_sweeper")
+    __slots__ = (
+        "_draining",
+        "_drain_progress",
+        "_resources",
+        "_settings",
+        "_steps",
+        "_sweeper",
+    )
 
     def __init__(self, settings, view_getter, admission, chooser, engine, service=None):
         self._settings = settings
@@ -69,7 +76,7 @@
         )
         self._steps = {}
         self._draining = False
-        self._left = Signal()
+        self._drain_progress = Signal()
         self._sweeper = None
 
     def submit(self, row, spec):
@@ -101,20 +108,20 @@
             return no_such_step()
         owner = step.owner
         token = DeliveryToken.parse(fetch.token, owner.spec.sample_count)
-        refusal = self._take_note(owner, row, fetch, token)
+        refusal = self._apply_fetch(owner, row, fetch, token)
         if refusal is not None:
             return refusal
         if token.complete:
-            await self._forget(step, cancel=True)
-            return step.delivery.batch(token, [])
-        await self._something_to_say(step, fetch, token)
+            await self._remove_step(step, cancel=True)
+            return step.delivery.build_reply(token, [])
+        await self._wait_until_reply_due(step, fetch, token)
         if owner.attach != fetch.attach:
             return _superseded(owner)
         if owner.closed:
             return no_such_step()
         return self._reply(step, fetch, token, arrived_at)
 
-    def replied(self, row, name):
+    def handle_reply_sent(self, row, name):
         """Note that a reply to the step's trainer went out whole.
 
         Counting it earlier would let a drain end the process under a reply
@@ -122,10 +129,10 @@
         """
         step = self._steps.get((row.name, name))
         if step is not None and step.owner.stopping:
-            step.sent_away = True
-        self._left.changed()
+            step.is_trainer_redirected = True
+        self._drain_progress.changed()
 
-    def hung_up(self, row_name, name):
+    def handle_disconnect(self, row_name, name):
         """Note that a trainer closed its connection while it waited for samples.
 
         It is probably attaching elsewhere; streams that were started here now
@@ -133,13 +140,13 @@
         """
         step = self._steps.get((row_name, name))
         if step is not None:
-            step.owner.heard = False
+            step.owner.is_trainer_connected = False
 
     async def cancel(self, row, name):
         """Stop a step for good; return whether it was owned here."""
         step = self._steps.get((row.name, name))
         if step is not None:
-            await self._forget(step, cancel=True)
+            await self._remove_step(step, cancel=True)
         return step is not None
 
     def status(self):
@@ -155,9 +162,9 @@
         EVENTS.add("steps-draining", steps=len(self._steps))
         for step in self._steps.values():
             step.owner.stop_dispatch()
-        limit = deadline_in(self._settings.drain.deadline)
-        while self._waiting_for_trainers() and not passed(limit):
-            await self._left.wait(limit)
+        deadline = deadline_in(self._settings.drain.deadline)
+        while self._has_attached_trainers() and not passed(deadline):
+            await self._drain_progress.wait(deadline)
         await self.close()
 
     async def close(self):
@@ -168,7 +175,7 @@
                 await self._sweeper
             self._sweeper = None
         for step in list(self._steps.values()):
-            await self._forget(step, cancel=False)
+            await self._remove_step(step, cancel=False)
         await self._resources.cleaner.close()
 
     def _attach(self, owner, row, spec, token):
@@ -180,72 +187,76 @@
                 [Finding("step", f"{spec.step!r} was submitted with other content")],
             )
         owner.row = row
-        owner.touch()
+        owner.record_trainer_activity()
         if spec.attach > owner.attach:
-            owner.attached(spec.attach, token)
+            owner.reattach(spec.attach, token)
         return Submitted(spec.sample_count, resumed=True)
 
     def _refusal(self, row):
         if self._draining:
             return NotRun("this instance is leaving", BUSY_RETRY_AFTER)
         owned = sum(name == row.name for name, _ in self._steps)
-        if owned >= MAX_STEPS_OF_A_ROW:
+        if owned >= MAX_STEPS_PER_ROW:
             return NotRun(f"row has {owned} steps here already", BUSY_RETRY_AFTER)
         return None
 
-    def _take_note(self, owner, row, fetch, token):
+    def _apply_fetch(self, owner, row, fetch, token):
         if isinstance(token, Rejected):
             return token
         if fetch.attach < owner.attach:
             return _superseded(owner)
         owner.row = row
-        owner.touch()
-        owner.stated = max(owner.stated, fetch.newest_version or 0)
+        owner.record_trainer_activity()
+        owner.trainer_version = max(owner.trainer_version, fetch.newest_version or 0)
         if fetch.attach > owner.attach:
-            owner.attached(fetch.attach, token)
+            owner.reattach(fetch.attach, token)
         else:
             owner.acknowledge(token)
         return None
 
-    async def _something_to_say(self, step, fetch, token):
+    async def _wait_until_reply_due(self, step, fetch, token):
         owner, attach = step.owner, step.owner.attach
-        steps = self._settings.steps
-        deadline = deadline_in(min(fetch.wait_ms / 1000, steps.fetch_wait))
-        heard_again = steps.attach_idle / 2
+        settings = self._settings.steps
+        deadline = deadline_in(min(fetch.wait_ms / 1000, settings.fetch_wait))
+        activity_interval = settings.attach_idle / 2
         while not (
-            self._deliverable(step, fetch, token)
-            or owner.over
+            self._has_deliverable_samples(step, fetch, token)
+            or owner.is_expired
             or owner.stopping
             or owner.closed
             or owner.attach != attach
             or passed(deadline)
         ):
-            await owner.changes.wait(min(deadline, deadline_in(heard_again)))
-            owner.touch()
+            await owner.changes.wait(min(deadline, deadline_in(activity_interval)))
+            owner.record_trainer_activity()
 
-    def _deliverable(self, step, fetch, token):
+    def _has_deliverable_samples(self, step, fetch, token):
         # A trainer that states its version and waited too long is answered at
         # once, so that it states it again; another one can only wait.
-        known = fetch.newest_version is not None
-        known = known or step.delivery.confirmed(self._resources.view(), fetch, now())
-        return known and step.delivery.positions(token)
+        can_deliver = fetch.newest_version is not None
+        can_deliver = can_deliver or step.delivery.is_version_confirmed(
+            self._resources.view(), fetch, now()
+        )
+        return can_deliver and step.delivery.select_positions(token)
 
     def _reply(self, step, fetch, token, arrived_at):
-        confirmed = step.delivery.confirmed(self._resources.view(), fetch, arrived_at)
-        positions = step.delivery.positions(token) if confirmed else []
-        return {**step.delivery.batch(token, positions), "confirmed": confirmed}
+        confirmed = step.delivery.is_version_confirmed(
+            self._resources.view(), fetch, arrived_at
+        )
+        positions = step.delivery.select_positions(token) if confirmed else []
+        return {**step.delivery.build_reply(token, positions), "confirmed": confirmed}
 
-    def _waiting_for_trainers(self):
+    def _has_attached_trainers(self):
         return any(
-            not (step.sent_away or step.owner.abandoned)
+            not (step.is_trainer_redirected or step.owner.is_abandoned)
             for step in self._steps.values()
         )
 
-    async def _forget(self, step, cancel):
+    async def _remove_step(self, step, cancel):
         owner = step.owner
         self._steps.pop((owner.row.name, owner.spec.step), None)
         await owner.close(cancel)
-        self._left.changed()
+        self._drain_progress.changed()
         owner.event("step-forgotten", cancel=int(cancel))
 
     async def _sweep(self):
@@ -254,18 +265,18 @@
             await asyncio.sleep(SWEEP_INTERVAL)
             for step in list(self._steps.values()):
                 try:
-                    await self._look_after(step)
+                    await self._sweep_step(step)
                 except Exception as error:
                     # A fault with one step must not end the care for all: it
                     # would show as abandoned steps that are never forgotten.
                     logs.changed("steps:fault", error=repr(error))
 
-    async def _look_after(self, step):
-        if step.owner.abandoned:
+    async def _sweep_step(self, step):
+        if step.owner.is_abandoned:
             logs.changed("steps:abandoned", row=step.owner.row.name)
-            await self._forget(step, cancel=step.owner.over)
+            await self._remove_step(step, cancel=step.owner.is_expired)
         else:
-            step.owner.look_for_stragglers()
+            step.owner.check_stragglers()
 
 
 def _superseded(owner):
--- a/sassafrasdoor/steps/resources.py
+++ b/sassafrasdoor/steps/resources.py
@@ -9,14 +9,14 @@
 from sassafrasdoor.outcomes import Outcome
 from sassafrasdoor.steps.scoring import Scorer
 
-CANCEL_RETRY = 1.0
-CANCELS_AT_ONCE = 4
-CANCEL_TRIES = 5
+CANCEL_RETRY_DELAY = 1.0
+MAX_CONCURRENT_CANCELS = 4
+MAX_CANCEL_ATTEMPTS = 5
 
-EVENTS_TOTAL = metrics.counter(
+SAMPLE_EVENTS = metrics.counter(
     "sassafrasdoor_samples_total", "What became of samples, by kind and row."
 )
-WASTED = metrics.counter(
+WASTED_TOKENS = metrics.counter(
     "sassafrasdoor_sample_tokens_wasted_total", "Tokens made and thrown away, by row."
 )
 
@@ -45,7 +45,7 @@
         return {name: getattr(self, name) for name in self.__slots__}
 
 
-class StreamAt:
+class StreamLocation:
     """A stream and the engine that may hold it.
 
     Each view brings its own ``Backend`` objects, so engines are told apart by
@@ -97,7 +97,7 @@
         self.scorer = Scorer(view, chooser, service)
         self.cleaner = Cleaner(engine)
 
-    def reported(self, model, version):
+    def record_version(self, model, version):
         """Note a version that an engine reported."""
         if version > self.newest.get(model, 0):
             self.newest[model] = version
@@ -119,17 +119,17 @@
     def __init__(self, engine):
         self._engine = engine
         # For each engine its own: a frozen one must not hold up the others.
-        self._permits = defaultdict(lambda: asyncio.Semaphore(CANCELS_AT_ONCE))
+        self._permits = defaultdict(lambda: asyncio.Semaphore(MAX_CONCURRENT_CANCELS))
         self._tasks = set()
 
     def cancel(self, streams):
-        """Cancel every ``StreamAt`` in the background."""
-        for stream in streams:
-            self._spawn(self._cancel(stream))
+        """Cancel every ``StreamLocation`` in the background."""
+        for location in streams:
+            self._spawn(self._cancel(location))
 
     def cancel_at(self, streams, deadline):
         """Cancel them once ``deadline`` has passed."""
-        self._spawn(self._cancel_late(list(streams), deadline))
+        self._spawn(self._cancel_after(list(streams), deadline))
 
     async def close(self):
         """Give up what is not cancelled yet."""
@@ -138,22 +138,22 @@
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    def _spawn(self, job):
-        task = asyncio.ensure_future(job)
+    def _spawn(self, coroutine):
+        task = asyncio.ensure_future(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _cancel_late(self, streams, deadline):
+    async def _cancel_after(self, streams, deadline):
         await asyncio.sleep(remaining(deadline))
         self.cancel(streams)
 
-    async def _cancel(self, held):
-        for _ in range(CANCEL_TRIES):
-            async with self._permits[held.backend.address]:
-                result = await self._engine.cancel(held.backend, held.stream)
+    async def _cancel(self, location):
+        for _ in range(MAX_CANCEL_ATTEMPTS):
+            async with self._permits[location.backend.address]:
+                result = await self._engine.cancel(location.backend, location.stream)
             if not isinstance(result, Outcome):
                 return
-            await asyncio.sleep(CANCEL_RETRY)
+            await asyncio.sleep(CANCEL_RETRY_DELAY)
 
 
 class Signal:
--- a/sassafrasdoor/steps/sample.py
+++ b/sassafrasdoor/steps/sample.py
@@ -6,9 +6,9 @@
 from sassafrasdoor.clock import now
 from sassafrasdoor.outcomes import Outcome
 from sassafrasdoor.steps import labels
-from sassafrasdoor.steps.resources import StreamAt
+from sassafrasdoor.steps.resources import StreamLocation
 
-SHORTEST = 0.02
+MIN_ELAPSED = 0.02
 
 
 class SampleState(Enum):
@@ -24,8 +24,8 @@
     """One sample; ``attempt`` is its whole attempt once READY.
 
     ``adopted`` is an attempt to start from, found on an engine; ``running``
-    are the attempts in progress, each read by one of ``tasks``; ``visited``
-    are the streams that engines may still hold, as ``StreamAt``. ``score`` is what
+    are the attempts in progress, each read by one of ``tasks``; ``open_streams``
+    are the streams that engines may still hold, as ``StreamLocation``. ``score`` is what
     its reward call was answered with, None without one.
     """
 
@@ -38,7 +38,7 @@
         "score",
         "state",
         "tasks",
-        "visited",
+        "open_streams",
     )
 
     def __init__(self, position):
@@ -50,7 +50,7 @@
         self.attempt = None
         self.running = set()
         self.tasks = set()
-        self.visited = set()
+        self.open_streams = set()
 
     @property
     def tokens(self):
@@ -67,17 +67,17 @@
 class Attempt:
     """What was received of one stream from one engine, and its labels.
 
-    ``base`` counts the tokens that came from another engine, with its KV cache;
-    ``found_at`` those that the engine had made before this attempt began.
+    ``imported_tokens`` counts the tokens that came from another engine, with its KV cache;
+    ``adopted_tokens`` those that the engine had made before this attempt began.
     """
 
     __slots__ = (
         "_spans",
         "_texts",
         "backend",
-        "base",
+        "imported_tokens",
         "breaks",
-        "found_at",
+        "adopted_tokens",
         "generation",
         "offset",
         "oldest",
@@ -85,19 +85,19 @@
         "stream",
     )
 
-    def __init__(self, backend, stream, generation, found_at=0):
+    def __init__(self, backend, stream, generation, adopted_tokens=0):
         self.backend = backend
         self.stream = stream
         self.generation = generation
         self.started_at = now()
         self.breaks = 0
-        self.found_at = found_at
-        self.restart()
+        self.adopted_tokens = adopted_tokens
+        self.reset()
 
     @property
-    def held(self):
+    def location(self):
         """The stream with its engine."""
-        return StreamAt(self.backend, self.stream)
+        return StreamLocation(self.backend, self.stream)
 
     @property
     def text(self):
@@ -112,29 +112,29 @@
     @property
     def progress(self):
         """Tokens made while this attempt lasts; what is replayed is none."""
-        return max(0, self.offset - max(self.base, self.found_at))
+        return max(0, self.offset - max(self.imported_tokens, self.adopted_tokens))
 
     @property
     def rate(self):
         """Tokens a second over its whole life."""
-        return self.progress / max(now() - self.started_at, SHORTEST)
+        return self.progress / max(now() - self.started_at, MIN_ELAPSED)
 
-    def restart(self):
+    def reset(self):
         """Forget what was received: the engine makes the stream anew."""
-        self.base = self.offset = 0
+        self.imported_tokens = self.offset = 0
         self.oldest = None
         self._spans = []
         self._texts = []
 
-    def continued_at(self, backend):
+    def copy_to(self, backend):
         """Return an attempt that goes on at another engine with our KV cache."""
         other = Attempt(backend, self.stream, self.generation)
-        other.base = other.offset = self.offset
+        other.imported_tokens = other.offset = self.offset
         other.oldest = self.oldest
         other._spans, other._texts = list(self._spans), list(self._texts)
         return other
 
-    def take(self, chunk):
+    def add_chunk(self, chunk):
         """Add a chunk; return False if it does not continue what we have.
 
         A restarted engine may begin the stream again under its old id. Its
@@ -142,20 +142,20 @@
         that no weights ever produced. One would notice a chunk at offset 0.
         """
         if chunk.offset == 0 and self.offset:
-            self.restart()
+            self.reset()
         if chunk.offset != self.offset:
             return False
         self._texts.append(chunk.text)
         self.offset += chunk.tokens
-        self.label([Span(chunk.version, chunk.offset, self.offset)])
+        self.add_spans([Span(chunk.version, chunk.offset, self.offset)])
         return True
 
-    def label(self, spans):
+    def add_spans(self, spans):
         """Add spans to the label."""
         self._spans = labels.union([*self._spans, *spans])
         self.oldest = labels.oldest(self._spans)
 
-    def whole(self, finished):
+    def verify(self, finished):
         """Return ``finished`` if every token arrived and is labelled, or why not.
 
         The engine itself must vouch for every token made there. An engine that
@@ -165,7 +165,7 @@
         """
         if finished.length != self.offset:
             return Broken(f"{self.offset} of {finished.length} tokens arrived")
-        if not labels.covers(finished.spans, self.base, finished.length):
+        if not labels.covers(finished.spans, self.imported_tokens, finished.length):
             return Spoiled("the engine does not vouch for every token")
-        self.label(finished.spans)
+        self.add_spans(finished.spans)
         return Finished(finished.length, self.spans)
--- a/sassafrasdoor/steps/spec.py
+++ b/sassafrasdoor/steps/spec.py
@@ -8,14 +8,14 @@
 from sassafrasdoor.steps.token import MAX_SAMPLES
 
 MAX_GROUPS = 4096
-MAX_PROMPT = 65_536
+MAX_PROMPT_LENGTH = 65_536
 MAX_TOKENS = 1_000_000
 MAX_DEADLINE_MS = 24 * 3600 * 1000
 DEFAULT_DEADLINE_MS = 600_000
 MAX_WAIT_MS = 60_000
 MAX_VERSION = 2**53
-MAX_TOKEN_TEXT = 4096
-SAFE_INTEGER = 2**53
+MAX_TOKEN_LENGTH = 4096
+MAX_SAFE_INTEGER = 2**53
 DIGEST_LENGTH = 12
 
 
@@ -30,13 +30,13 @@
 
     service: str = Field(min_length=1, max_length=128)
     path: str = Field(min_length=1, max_length=2048, pattern="^/")
-    body: str = Field(default="", max_length=MAX_PROMPT)
+    body: str = Field(default="", max_length=MAX_PROMPT_LENGTH)
 
 
 class Group(Input):
     """Samples of one group share their prompt, and their reward call if any."""
 
-    prompt: str = Field(min_length=1, max_length=MAX_PROMPT)
+    prompt: str = Field(min_length=1, max_length=MAX_PROMPT_LENGTH)
     reward: Reward | None = None
 
 
@@ -48,13 +48,13 @@
     """
 
     step: str = Field(min_length=1, max_length=64, pattern=r"^[A-Za-z0-9_.-]+$")
-    attach: int = Field(ge=1, le=SAFE_INTEGER)
+    attach: int = Field(ge=1, le=MAX_SAFE_INTEGER)
     groups: list[Group] = Field(min_length=1, max_length=MAX_GROUPS)
     samples_per_group: int = Field(ge=1, le=MAX_SAMPLES)
     max_tokens: int = Field(ge=1, le=MAX_TOKENS)
     deadline_ms: int = Field(default=DEFAULT_DEADLINE_MS, ge=1, le=MAX_DEADLINE_MS)
-    seed: int = Field(default=0, ge=0, le=SAFE_INTEGER)
-    token: str = Field(default="", max_length=MAX_TOKEN_TEXT)
+    seed: int = Field(default=0, ge=0, le=MAX_SAFE_INTEGER)
+    token: str = Field(default="", max_length=MAX_TOKEN_LENGTH)
 
     @model_validator(mode="after")
     def _samples_are_bounded(self):
@@ -70,9 +70,11 @@
     def digest(self):
         """Return what tells apart two steps that carry one name."""
         digest = hashlib.sha256()
-        head = f"{self.samples_per_group} {self.max_tokens} {self.seed}"
-        texts = [head, *(group.prompt for group in self.groups)]
-        texts += [one.reward.model_dump_json() for one in self.groups if one.reward]
+        header = f"{self.samples_per_group} {self.max_tokens} {self.seed}"
+        texts = [header, *(group.prompt for group in self.groups)]
+        texts += [
+            group.reward.model_dump_json() for group in self.groups if group.reward
+        ]
         for text in texts:
             digest.update(f"{len(text)}:{text}".encode())
         return digest.hexdigest()[:DIGEST_LENGTH]
@@ -81,13 +83,13 @@
 class FetchSpec(Input):
     """A trainer's request for the samples that it lacks."""
 
-    attach: int = Field(ge=1, le=SAFE_INTEGER)
-    token: str = Field(default="", max_length=MAX_TOKEN_TEXT)
+    attach: int = Field(ge=1, le=MAX_SAFE_INTEGER)
+    token: str = Field(default="", max_length=MAX_TOKEN_LENGTH)
     newest_version: int | None = Field(default=None, ge=0, le=MAX_VERSION)
     wait_ms: int = Field(default=0, ge=0, le=MAX_WAIT_MS)
 
 
-def checked(model, body):
+def parse_input(model, body):
     """Return ``model`` read from the JSON bytes ``body``, or ``Rejected``."""
     try:
         return model.model_validate_json(body)
--- a/sassafrasdoor/steps/stragglers.py
+++ b/sassafrasdoor/steps/stragglers.py
@@ -12,20 +12,20 @@
 from sassafrasdoor.clock import deadline_in, now
 from sassafrasdoor.outcomes import Outcome
 from sassafrasdoor.settings import Stragglers as Mode
-from sassafrasdoor.steps.resources import EVENTS_TOTAL
+from sassafrasdoor.steps.resources import SAMPLE_EVENTS
 from sassafrasdoor.steps.sample import Attempt, SampleState
 
-LAST_SHARE = 0.15
-LAST_AT_LEAST = 4
-LOOK_INTERVAL = 0.2
-IDLE_LOAD = 0.5
-WORTH = 0.67
-MOVE_SECONDS = 0.1
+TAIL_FRACTION = 0.15
+MIN_TAIL_SAMPLES = 4
+CHECK_INTERVAL = 0.2
+MAX_IDLE_LOAD = 0.5
+MAX_TIME_RATIO = 0.67
+SECOND_ATTEMPT_OVERHEAD = 0.1
 PERMIT_TIMEOUT = 0.05
-SLOWEST = 0.1
+MIN_RATE = 0.1
 
 
-class Lengths:
+class LengthEstimator:
     """Lengths of finished samples: what to expect of an unfinished one."""
 
     __slots__ = ("_lengths", "_limit")
@@ -53,12 +53,12 @@
         return fmean(longer) if longer else max(1.0, (self._limit - offset) / 2)
 
 
-class Stragglers:
+class StragglerMonitor:
     """Looks at running samples and starts second attempts; one for each step."""
 
     __slots__ = (
         "_best_rate",
-        "_looked_at",
+        "_checked_at",
         "_offsets",
         "_owner",
         "_preparing",
@@ -69,11 +69,11 @@
         self._resources = resources
         self._owner = owner
         self._best_rate = 0.0
-        self._looked_at = now()
+        self._checked_at = now()
         self._offsets = {}
         self._preparing = set()
 
-    def finished(self, attempt):
+    def record_finished(self, attempt):
         """Learn from a finished attempt how fast an engine may be.
 
         Rates are taken over whole lives: a burst after a pause, or the replay
@@ -82,66 +82,77 @@
         """
         self._best_rate = max(self._best_rate, attempt.rate)
 
-    def look(self):
+    def check(self):
         """Start second attempts where they pay; call it often."""
-        elapsed = now() - self._looked_at
-        if self._mode is Mode.OFF or elapsed < LOOK_INTERVAL:
+        elapsed = now() - self._checked_at
+        if self._mode is Mode.OFF or elapsed < CHECK_INTERVAL:
             return
         rates = self._rates(elapsed)
-        alone = [
+        candidates = [
             sample
             for sample in self._owner.samples
             if sample.state is SampleState.RUNNING
             and len(sample.tasks) == 1
             and sample.position not in self._preparing
         ]
-        for sample in alone if self._few_left(alone) else []:
+        for sample in candidates if self._is_tail(candidates) else []:
             for attempt in sample.running & rates.keys():
-                self._consider(sample, attempt, rates[attempt])
+                self._evaluate(sample, attempt, rates[attempt])
 
     @property
     def _mode(self):
         return self._resources.settings.steps.stragglers
 
-    def _few_left(self, alone):
+    def _is_tail(self, candidates):
         owner = self._owner
-        few = max(LAST_AT_LEAST, LAST_SHARE * len(owner.samples))
-        return not len(owner.dispatcher.pending) and len(alone) <= few
+        max_tail = max(MIN_TAIL_SAMPLES, TAIL_FRACTION * len(owner.samples))
+        return not len(owner.dispatcher.pending) and len(candidates) <= max_tail
 
     def _rates(self, elapsed):
         """Return tokens a second of each attempt since the last look."""
-        running = {one for sample in self._owner.samples for one in sample.running}
+        running = {
+            attempt for sample in self._owner.samples for attempt in sample.running
+        }
         rates = {
             attempt: max(0, attempt.progress - self._offsets[attempt]) / elapsed
             for attempt in running & self._offsets.keys()
         }
         self._offsets = {attempt: attempt.progress for attempt in running}
-        self._looked_at = now()
-        self._best_rate = max([self._best_rate, *(one.rate for one in running)])
+        self._checked_at = now()
+        self._best_rate = max([self._best_rate, *(attempt.rate for attempt in running)])
         return rates
 
-    def _consider(self, sample, attempt, rate):
-        left = self._owner.lengths.remaining(attempt.offset)
-        here = left / max(rate, SLOWEST)
-        tokens = {Mode.MOVE: left, Mode.DUPLICATE: left + attempt.offset}[self._mode]
-        there = MOVE_SECONDS + tokens / max(self._best_rate, SLOWEST)
-        backend = self._idle(attempt) if there < WORTH * here else None
+    def _evaluate(self, sample, attempt, rate):
+        remaining_tokens = self._owner.lengths.remaining(attempt.offset)
+        current_seconds = remaining_tokens / max(rate, MIN_RATE)
+        tokens = {
+            Mode.MOVE: remaining_tokens,
+            Mode.DUPLICATE: remaining_tokens + attempt.offset,
+        }[self._mode]
+        second_seconds = SECOND_ATTEMPT_OVERHEAD + tokens / max(
+            self._best_rate, MIN_RATE
+        )
+        backend = (
+            self._idlest_backend(attempt)
+            if second_seconds < MAX_TIME_RATIO * current_seconds
+            else None
+        )
         if backend is not None:
             self._preparing.add(sample.position)
-            self._owner.spawn(self._second(sample, attempt, backend))
+            self._owner.spawn(self._start_second_attempt(sample, attempt, backend))
 
-    def _idle(self, attempt):
+    def _idlest_backend(self, attempt):
         chooser, row = self._resources.chooser, self._owner.row
         idle = [
             backend
             for backend in self._resources.view().serving(row.service)
             if backend.address != attempt.backend.address
             and (not backend.models or row.model in backend.models)
-            and chooser.load_of(backend) <= IDLE_LOAD
+            and chooser.load_of(backend) <= MAX_IDLE_LOAD
         ]
         return min(idle, key=chooser.load_of, default=None)
 
-    async def _second(self, sample, attempt, backend):
+    async def _start_second_attempt(self, sample, attempt, backend):
         permit = await self._resources.admission.admit(
             self._resources.view(), self._owner.row, deadline_in(PERMIT_TIMEOUT)
         )
@@ -149,23 +160,23 @@
             self._preparing.discard(sample.position)
             return
         try:
-            second = await self._prepared(attempt, backend)
+            second = await self._prepare_attempt(attempt, backend)
             if sample.state is SampleState.RUNNING and attempt in sample.running:
-                kind = "moved" if second.base else "duplicated"
+                kind = "moved" if second.imported_tokens else "duplicated"
                 counts = self._owner.counts
                 setattr(counts, kind, getattr(counts, kind) + 1)
-                EVENTS_TOTAL.inc({"kind": kind, "row": self._owner.row.name})
-                self._owner.make(sample, second, permit, once=True)
+                SAMPLE_EVENTS.inc({"kind": kind, "row": self._owner.row.name})
+                self._owner.start_sample(sample, second, permit, single_attempt=True)
                 permit = None
         finally:
             self._preparing.discard(sample.position)
             if permit is not None:
                 permit.release()
 
-    async def _prepared(self, attempt, backend):
+    async def _prepare_attempt(self, attempt, backend):
         """Return the attempt at ``backend``; with the KV cache where that works."""
         if self._mode is Mode.MOVE and attempt.offset:
-            moved = attempt.continued_at(backend)
+            moved = attempt.copy_to(backend)
             engine = self._resources.engine
             kv = await engine.export_kv(attempt.backend, attempt.stream)
             if not isinstance(kv, Outcome):
--- a/sassafrasdoor/steps/tests/fakes.py
+++ b/sassafrasdoor/steps/tests/fakes.py
@@ -56,7 +56,7 @@
         )
 
 
-class FakeMachine:
+class FakeEngineServer:
     """One engine. It makes tokens only in ``tick``, unless it is frozen."""
 
     def __init__(self, name, version=1):
@@ -76,95 +76,95 @@
     """The engines of a test; ``length_of(stream id)`` gives lengths."""
 
     def __init__(self, names, length_of=lambda stream: 4):
-        self.machines = {name: FakeMachine(name) for name in names}
+        self.servers = {name: FakeEngineServer(name) for name in names}
         self.length_of = length_of
         self.backends = [
             Backend(name, f"{name}:1", "engine", SERVICE, capacity=64, models=[MODEL])
             for name in names
         ]
-        self.made = {}
+        self.versions_by_text = {}
         self._runs = itertools.count()
 
     def __getitem__(self, name):
-        return self.machines[name]
+        return self.servers[name]
 
     def set_version(self, version):
-        for machine in self.machines.values():
-            machine.version = version
+        for server in self.servers.values():
+            server.version = version
 
     def tick(self, tokens=1):
         """Let every engine make tokens."""
-        for machine in self.machines.values():
-            for stream in machine.streams.values():
-                if machine.frozen or machine.dead:
+        for server in self.servers.values():
+            for stream in server.streams.values():
+                if server.frozen or server.dead:
                     continue
-                made = min(tokens * machine.speed, stream.length - stream.offset)
+                made = min(tokens * server.speed, stream.length - stream.offset)
                 for _ in range(made):
-                    stream.versions.append(machine.version)
+                    stream.versions.append(server.version)
 
     async def stream(self, backend, order):
-        machine = self.machines[backend.name]
-        if machine.dead:
+        server = self.servers[backend.name]
+        if server.dead:
             yield Broken("refused connection", began=False)
             return
-        if machine.refuses:
+        if server.refuses:
             yield NotRun("queue full", 0.01)
             return
-        if order.stream not in machine.streams:
+        if order.stream not in server.streams:
             run = next(self._runs)
             length = self.length_of(order.stream)
-            machine.streams[order.stream] = FakeStream(order, length, run)
-            machine.starts += 1
-        async for item in self._items(machine, order):
+            server.streams[order.stream] = FakeStream(order, length, run)
+            server.starts += 1
+        async for item in self._items(server, order):
             yield item
 
-    async def _items(self, machine, order):
-        stream, sent = machine.streams[order.stream], order.offset
+    async def _items(self, server, order):
+        stream, sent = server.streams[order.stream], order.offset
         while True:
-            if machine.dead or machine.streams.get(order.stream) is not stream:
+            if server.dead or server.streams.get(order.stream) is not stream:
                 yield Broken("cut")
                 return
-            if not machine.frozen and sent < stream.offset:
-                if machine.cut_next:
-                    machine.cut_next -= 1
+            if not server.frozen and sent < stream.offset:
+                if server.cut_next:
+                    server.cut_next -= 1
                     yield Broken("cut")
                     return
                 version = stream.versions[sent - stream.first]
-                text = self.word(order.stream, stream.run, sent)
-                self.made[text] = version
+                text = self.token_text(order.stream, stream.run, sent)
+                self.versions_by_text[text] = version
                 sent += 1
                 yield Chunk(sent - 1, text, 1, version)
-            elif not machine.frozen and stream.done:
+            elif not server.frozen and stream.done:
                 yield Finished(stream.length, stream.spans())
                 return
             else:
                 await asyncio.sleep(0.001)
 
     @staticmethod
-    def word(stream, run, number):
+    def token_text(stream, run, number):
         return f"{stream}/{run}/{number} "
 
     async def streams(self, backend, prefix):
-        machine = self.machines[backend.name]
-        if machine.dead or machine.frozen:
+        server = self.servers[backend.name]
+        if server.dead or server.frozen:
             return Unavailable("no answer")
         return [
             StreamState(name, stream.offset, stream.done)
-            for name, stream in machine.streams.items()
+            for name, stream in server.streams.items()
             if name.startswith(prefix)
         ]
 
     async def cancel(self, backend, stream):
-        machine = self.machines[backend.name]
-        if machine.dead or machine.frozen:
+        server = self.servers[backend.name]
+        if server.dead or server.frozen:
             return Unavailable("no answer")
-        machine.streams.pop(stream, None)
-        machine.cancels.append(stream)
+        server.streams.pop(stream, None)
+        server.cancels.append(stream)
         return None
 
     async def export_kv(self, backend, stream):
-        machine = self.machines[backend.name]
-        held = None if machine.frozen else machine.streams.get(stream)
+        server = self.servers[backend.name]
+        held = None if server.frozen else server.streams.get(stream)
         return f"kv:{held.offset}" if held else Unavailable("no such stream")
 
     async def import_kv(self, backend, stream, kv):
@@ -179,9 +179,9 @@
     async def cache_events(self, backend, first):
         raise NotImplementedError
 
-    def lose(self, name):
+    def lose_streams(self, name):
         """Restart an engine: it forgets its streams."""
-        self.machines[name].streams.clear()
+        self.servers[name].streams.clear()
 
 
 class FakePermit:
@@ -210,10 +210,12 @@
 
     def __init__(self):
         self.in_flight_by = {}
-        self.seen = []
+        self.outcomes = []
 
     def choose(self, view, service, model="", affinity="", exclude=()):
-        usable = [one for one in view.serving(service) if one.name not in exclude]
+        usable = [
+            backend for backend in view.serving(service) if backend.name not in exclude
+        ]
         if not usable:
             return NotRun("none", 0.01)
         return min(usable, key=self.in_flight)
@@ -229,7 +231,7 @@
 
     def finished(self, backend, outcome):
         self.in_flight_by[backend.name] -= 1
-        self.seen.append(outcome)
+        self.outcomes.append(outcome)
 
 
 def table(**changes):
@@ -316,28 +318,28 @@
         """Let the engines work until that many samples are ready."""
         owner = self.owner(service)
 
-        def enough():
+        def has_enough():
             self.engines.tick()
             return len(owner.ready) >= count
 
-        await until(enough, what=f"{count} ready samples")
+        await until(has_enough, what=f"{count} ready samples")
         return owner
 
-    def all_streams(self):
+    def engine_streams(self):
         """Return the ids of the streams that engines hold."""
-        machines = self.engines.machines.values()
-        return [stream for machine in machines for stream in machine.streams]
+        servers = self.engines.servers.values()
+        return [stream for server in servers for stream in server.streams]
 
     async def collect(self, service, attach=1, token="", **fields):
         """Fetch until the step is complete; return ``{(group, index): sample}``."""
-        have = {}
+        samples = {}
         while True:
             self.engines.tick()
             reply = await self.fetch(service, token, attach, wait_ms=5, **fields)
             for sample in reply["samples"]:
                 key = (sample["group"], sample["index"])
-                assert key not in have, f"{key} came twice"
-                have[key] = sample
+                assert key not in samples, f"{key} came twice"
+                samples[key] = sample
             token = reply["token"]
             if not reply["remaining"]:
-                return have
+                return samples
--- a/sassafrasdoor/steps/tests/test_client.py
+++ b/sassafrasdoor/steps/tests/test_client.py
@@ -14,7 +14,7 @@
 from sassafrasdoor.steps.tests.fakes import KEY, Bench
 from sassafrasdoor.support import until
 
-PLACES = {(group, index) for group in range(2) for index in range(2)}
+ALL_PLACES = {(group, index) for group in range(2) for index in range(2)}
 
 
 class AddressesHandler(tornado.web.RequestHandler):
@@ -22,20 +22,20 @@
         self._servers = servers
 
     def get(self):
-        addresses = [{"address": one.address} for one in self._servers]
+        addresses = [{"address": server.address} for server in self._servers]
         self.finish({"addresses": addresses, "valid_for_ms": 0})
 
 
 class Server:
-    """One instance's HTTP over its steps; ``lose`` replies are cut."""
+    """One instance's HTTP over its steps; ``replies_to_cut`` fetch replies are cut."""
 
     def __init__(self, bench, servers, **steps):
         self.steps = bench.instance(**steps)
-        self.lose = 0
+        self.replies_to_cut = 0
         self.bench = bench
         pages = [("/v1/addresses", AddressesHandler, {"servers": servers})]
         application = tornado.web.Application(
-            pages + [self._cuttable(page) for page in handlers(self.steps)],
+            pages + [self._with_cut_replies(page) for page in handlers(self.steps)],
             authorize=self._authorize,
             log_function=lambda handler: None,
         )
@@ -54,19 +54,19 @@
             return None
         return row
 
-    def _cuttable(self, page):
+    def _with_cut_replies(self, page):
         pattern, handler, arguments = page
         server = self
 
-        class Cuttable(handler):
+        class ReplyCuttingHandler(handler):
             def finish(self, chunk=None):
-                if server.lose and isinstance(self, FetchHandler):
-                    server.lose -= 1
+                if server.replies_to_cut and isinstance(self, FetchHandler):
+                    server.replies_to_cut -= 1
                     self.request.connection.stream.close()
                     return server._done()
                 return super().finish(chunk)
 
-        return pattern, Cuttable, arguments
+        return pattern, ReplyCuttingHandler, arguments
 
     @staticmethod
     def _done():
@@ -118,10 +118,10 @@
         self.assertEqual(len(places), len(set(places)))
         return set(places)
 
-    async def test_a_step_from_end_to_end(self):
+    async def test_step_end_to_end(self):
         server = self.serve()
         run = self.trainer().run(self.document())
-        self.assertEqual(await self.samples_of(run), PLACES)
+        self.assertEqual(await self.samples_of(run), ALL_PLACES)
         self.assertTrue(run.complete)
         self.assertEqual(run.report.samples, 4)
         self.assertEqual(run.report.staleness, {0: 4})
@@ -129,11 +129,11 @@
         self.assertLessEqual(run.report.idle, run.report.duration)
         await until(lambda: server.steps.status() == [])
 
-    async def test_what_goes_wrong_between_trainer_and_instances(self):
+    async def test_faults_between_trainer_and_instances(self):
         """Guards against samples lost or repeated by a fault on the way."""
 
         async def replies_lost(one, two):
-            one.lose = two.lose = 2
+            one.replies_to_cut = two.replies_to_cut = 2
 
         async def instance_gone(one, two):
             await one.close()
@@ -159,18 +159,18 @@
                 self.servers.clear()
                 servers = self.serve(batch_size=1), self.serve(batch_size=1)
 
-                def strike(count, fault=fault, servers=servers):
+                def inject_fault(count, fault=fault, servers=servers):
                     if count > 1:
                         return None
-                    owner = next(one for one in servers if one.steps.status())
-                    other = next(one for one in servers if one is not owner)
+                    owner = next(server for server in servers if server.steps.status())
+                    other = next(server for server in servers if server is not owner)
                     return fault(owner, other)
 
                 run = self.trainer().run(self.document(step=fault.__name__))
-                self.assertEqual(await self.samples_of(run, strike), PLACES)
+                self.assertEqual(await self.samples_of(run, inject_fault), ALL_PLACES)
                 self.assertIsNone(run.failure)
 
-    async def test_a_drain_waits_until_its_trainers_were_sent_away(self):
+    async def test_drain_waits_until_trainers_are_redirected(self):
         one, two = self.serve(), self.serve()
         run = self.trainer().run(self.document())
         reading = asyncio.ensure_future(self.samples_of(run))
@@ -178,10 +178,10 @@
         leaving = one if one.steps.status() else two
         await leaving.steps.drain()
         self.assertEqual(leaving.steps.status(), [])
-        self.assertEqual(await reading, PLACES)
+        self.assertEqual(await reading, ALL_PLACES)
         self.assertEqual(run.report.counts["regenerated"], 0)
 
-    async def test_a_restarted_trainer_goes_on_from_its_state(self):
+    async def test_restarted_trainer_resumes_from_its_state(self):
         """Guards against samples lost by a restart of their trainer."""
         server = self.serve()
         server.steps.submit(self.bench.row, self.bench.spec())
@@ -191,9 +191,9 @@
         again = self.trainer().run(self.document(), run.state())
         self.assertEqual(len(await self.samples_of(run)), 2)
         rest = await self.samples_of(again)
-        self.assertEqual(rest, PLACES - {(s["group"], s["index"]) for s in first})
+        self.assertEqual(rest, ALL_PLACES - {(s["group"], s["index"]) for s in first})
 
-    async def test_weights_published_while_a_reply_was_on_its_way(self):
+    async def test_weights_published_while_a_reply_is_in_flight(self):
         """Guards against a sample that turned stale on its way to the trainer."""
         self.serve()
         engines = self.bench.engines
@@ -225,9 +225,9 @@
                 run = trainer.run(document)
                 self.assertEqual(await self.samples_of(run), set())
                 self.assertEqual(run.failure.reason, reason)
-        self.assertEqual([one.place for one in run.failure.findings], ["more"])
+        self.assertEqual([finding.place for finding in run.failure.findings], ["more"])
 
-    async def program(self, prompts, *options):
+    async def run_command(self, prompts, *options):
         """Run the trainer's program; return its exit code and output."""
         with tempfile.NamedTemporaryFile("w", suffix=".json") as file:
             file.write(prompts)
@@ -240,7 +240,7 @@
             output, _ = await process.communicate()
         return process.returncode, output.decode()
 
-    async def test_the_program(self):
+    async def test_command_line(self):
         self.serve()
         good, bad = '["one", "two"]', '{"one": 2}'
         table = [
@@ -251,7 +251,7 @@
         for prompts, options, code, text in table:
             with self.subTest(code=code):
                 more = ("--key", KEY, "--samples", "2", "--json", *options)
-                got, output = await self.program(prompts, *more)
+                got, output = await self.run_command(prompts, *more)
                 self.assertEqual(got, code)
                 self.assertIn(text, output)
 
--- a/sassafrasdoor/steps/tests/test_delivery.py
+++ b/sassafrasdoor/steps/tests/test_delivery.py
@@ -31,7 +31,7 @@
         await bench.ready(service, 4)
         return bench, service
 
-    async def test_staleness_is_judged_when_the_bytes_leave(self):
+    async def test_staleness_is_checked_at_delivery(self):
         """Guards against staleness judged before delivery or by one source only."""
 
         async def announced(bench, service):
@@ -42,7 +42,7 @@
             return {"newest_version": 3}
 
         async def reported(bench, service):
-            service._resources.reported("signs", 3)
+            service._resources.record_version("signs", 3)
             return {}
 
         async def nothing(bench, service):
@@ -66,9 +66,9 @@
                 self.assertEqual(reply["counts"]["stale_dropped"], dropped)
                 if dropped:
                     bench.engines.set_version(3)
-                    have = await bench.collect(service, newest_version=3)
+                    samples = await bench.collect(service, newest_version=3)
                     self.assertEqual(
-                        {one["oldest_version"] for one in have.values()}, {3}
+                        {sample["oldest_version"] for sample in samples.values()}, {3}
                     )
 
     async def test_weights_announced_while_a_fetch_waits(self):
@@ -82,7 +82,7 @@
         reply = await bench.fetch(service)
         self.assertEqual(reply["samples"], [])
 
-    async def test_unconfirmed_view_delivers_only_against_a_stated_version(self):
+    async def test_unconfirmed_view_delivers_only_with_a_stated_version(self):
         """Guards against stale samples from an instance cut off from the log."""
         bench, service = await self.ready()
         bench.confirmed_at = now() - 60
@@ -92,16 +92,20 @@
             len((await bench.fetch(service, newest_version=1))["samples"]), 4
         )
 
-    async def test_a_version_stated_before_a_pause_does_not_count(self):
+    async def test_version_stated_before_a_pause_is_not_confirmed(self):
         """Guards against staleness judged by a version stated before a pause."""
         bench, service = await self.ready()
         bench.confirmed_at = now() - 60
         step = service._steps["trainer", "s1"]
         fetch = type("Stated", (), {"newest_version": 1})
-        self.assertTrue(step.delivery.confirmed(bench.view(), fetch, now() - 1))
-        self.assertFalse(step.delivery.confirmed(bench.view(), fetch, now() - 60))
+        self.assertTrue(
+            step.delivery.is_version_confirmed(bench.view(), fetch, now() - 1)
+        )
+        self.assertFalse(
+            step.delivery.is_version_confirmed(bench.view(), fetch, now() - 60)
+        )
 
-    async def test_a_lost_reply_is_repaired_by_the_old_token(self):
+    async def test_lost_reply_is_resent_for_the_same_token(self):
         """Guards against a sent reply taken for a delivered one."""
         bench = self.bench()
         service = bench.instance(batch_size=2)
@@ -120,11 +124,11 @@
             sorted(places(again) + places(rest)), [(0, 0), (0, 1), (1, 0), (1, 1)]
         )
 
-    async def test_an_old_fetch_that_comes_late_makes_nothing_anew(self):
+    async def test_late_fetch_regenerates_nothing(self):
         bench, service = await self.ready()
         reply = await bench.fetch(service)
-        half = bench.owner(service).taken.union([0, 1]).encode()
-        await bench.fetch(service, half)
+        partial_token = bench.owner(service).acknowledged.union([0, 1]).encode()
+        await bench.fetch(service, partial_token)
         late = await bench.fetch(service)
         self.assertEqual(late["counts"]["regenerated"], 0)
         self.assertEqual(places(late), [(1, 0), (1, 1)])
@@ -135,12 +139,12 @@
         bench, service = await self.ready()
         reply = await bench.fetch(service)
         service.submit(bench.row, bench.spec(attach=2))
-        half = bench.owner(service).taken.union([0, 1]).encode()
-        self.assertIsInstance(await bench.fetch(service, half), Conflict)
+        partial_token = bench.owner(service).acknowledged.union([0, 1]).encode()
+        self.assertIsInstance(await bench.fetch(service, partial_token), Conflict)
         self.assertEqual(len((await bench.fetch(service, attach=2))["samples"]), 4)
         self.assertEqual(reply["remaining"], 0)
 
-    async def test_a_drain_answers_waiting_fetches_whole_before_it_ends(self):
+    async def test_drain_completes_replies_to_waiting_fetches(self):
         """Guards against a drain that truncates a reply."""
         bench = self.bench(length_of=lambda stream: 8)
         service = bench.instance()
@@ -153,33 +157,33 @@
         self.assertEqual((reply["moved"], reply["samples"]), (True, []))
         self.assertIsInstance(service.submit(bench.row, bench.spec(step="s2")), NotRun)
         self.assertFalse(drain.done())
-        service.replied(bench.row, "s1")
+        service.handle_reply_sent(bench.row, "s1")
         await drain
-        self.assertEqual(len(bench.all_streams()), 4)
+        self.assertEqual(len(bench.engine_streams()), 4)
 
-    async def test_nothing_is_started_for_a_trainer_that_hung_up(self):
+    async def test_no_stream_is_started_after_the_trainer_disconnects(self):
         """Guards against streams started for a trainer that has moved away."""
         bench = self.bench(length_of=lambda stream: 2)
         service = bench.instance()
         service._resources.admission.slots = 1
         service.submit(bench.row, bench.spec())
         owner = await bench.running(service, 1)
-        service.hung_up("trainer", "s1")
+        service.handle_disconnect("trainer", "s1")
         await bench.ready(service, 1)
         await until(
-            lambda: owner.dispatcher.idle and not any(s.tasks for s in owner.samples)
+            lambda: owner.dispatcher.is_idle and not any(s.tasks for s in owner.samples)
         )
-        self.assertEqual(len(bench.all_streams()), 1)
+        self.assertEqual(len(bench.engine_streams()), 1)
         self.assertEqual(len(await bench.collect(service)), 4)
 
-    async def test_a_restarted_trainer_that_lost_samples_gets_them_again(self):
+    async def test_restarted_trainer_receives_lost_samples_again(self):
         bench, service = await self.ready()
-        half = bench.owner(service).taken.union([0, 1]).encode()
-        await bench.fetch(service, half)
-        have = await bench.collect(service, attach=2)
-        self.assertEqual(len(have), 4)
+        partial_token = bench.owner(service).acknowledged.union([0, 1]).encode()
+        await bench.fetch(service, partial_token)
+        samples = await bench.collect(service, attach=2)
+        self.assertEqual(len(samples), 4)
 
-    async def test_attachments(self):
+    async def test_attachment_numbers(self):
         bench, service = await self.ready()
         self.assertIsInstance(
             service.submit(bench.row, bench.spec(attach=3)), Submitted
@@ -194,7 +198,7 @@
         self.assertIsInstance(await bench.fetch(service, attach=2), Conflict)
         self.assertEqual(len((await bench.fetch(service, attach=3))["samples"]), 4)
 
-    async def test_a_waiting_fetch_ends_when_a_newer_attachment_comes(self):
+    async def test_newer_attachment_ends_a_waiting_fetch(self):
         bench = self.bench()
         service = bench.instance()
         service.submit(bench.row, bench.spec())
@@ -203,18 +207,18 @@
         service.submit(bench.row, bench.spec(attach=2))
         self.assertIsInstance(await waiting, Conflict)
 
-    async def test_a_trainer_that_leaves_is_forgotten_and_its_streams_are_left(self):
+    async def test_abandoned_step_is_removed_without_cancelling_streams(self):
         """Guards against an abandoned owner that cancels its successor's streams."""
         bench = self.bench(length_of=lambda stream: 8)
         service = bench.instance(attach_idle=0.3)
         service.submit(bench.row, bench.spec())
         await bench.running(service, 4)
         await until(lambda: not service.status())
-        held = len(bench.all_streams())
-        self.assertEqual(held, 4)
+        stream_count = len(bench.engine_streams())
+        self.assertEqual(stream_count, 4)
         self.assertIsInstance(await bench.fetch(service), NoSuchStep)
 
-    async def test_several_trainers_at_once(self):
+    async def test_concurrent_trainers(self):
         """Two rows and two steps under one name each get their own samples."""
         bench = self.bench()
         service = bench.instance()
@@ -225,22 +229,20 @@
         collected = await asyncio.gather(
             *(bench.collect(service, row=row, step=step) for row, step in runs)
         )
-        for (row, step), have in zip(runs, collected, strict=True):
-            self.assertEqual(len(have), 4)
-            for sample in have.values():
+        for (row, step), samples in zip(runs, collected, strict=True):
+            self.assertEqual(len(samples), 4)
+            for sample in samples.values():
                 self.assertTrue(sample["text"].startswith(f"{row.name}:{step}:"))
 
-    async def test_a_fault_with_one_step_does_not_end_the_care_for_others(self):
+    async def test_exception_in_one_step_does_not_stop_the_sweep(self):
         bench = self.bench()
         service = bench.instance(attach_idle=0.3)
         for step in ("s1", "s2"):
             service.submit(bench.row, bench.spec(step=step))
-        with mock.patch.object(
-            StepOwner, "look_for_stragglers", side_effect=ValueError
-        ):
+        with mock.patch.object(StepOwner, "check_stragglers", side_effect=ValueError):
             await until(lambda: not service.status(), what="both to be forgotten")
 
-    async def test_a_fetch_waits_no_longer_than_the_settings_say(self):
+    async def test_fetch_wait_is_bounded_by_settings(self):
         bench = self.bench()
         service = bench.instance(fetch_wait=0.05)
         service.submit(bench.row, bench.spec())
@@ -253,5 +255,5 @@
         service.submit(bench.row, bench.spec())
         await bench.running(service, 4)
         self.assertTrue(await service.cancel(bench.row, "s1"))
-        await until(lambda: not bench.all_streams())
+        await until(lambda: not bench.engine_streams())
         self.assertFalse(await service.cancel(bench.row, "s1"))
--- a/sassafrasdoor/steps/tests/test_exactly_once.py
+++ b/sassafrasdoor/steps/tests/test_exactly_once.py
@@ -12,7 +12,7 @@
 SIZE = 4
 BOUND = 1
 LENGTH = 6
-HEAL_ROUNDS = 400
+MAX_RECOVERY_ROUNDS = 400
 INSTANCES = st.integers(0, 1)
 ENGINES = st.sampled_from(["e1", "e2"])
 
@@ -25,20 +25,20 @@
         self.loop = asyncio.new_event_loop()
         self.run(self.start())
 
-    def run(self, job):
-        return self.loop.run_until_complete(job)
+    def run(self, coroutine):
+        return self.loop.run_until_complete(coroutine)
 
     async def start(self):
         self.bench = Bench(length_of=lambda stream: LENGTH)
         self.services = [self.bench.instance(batch_size=2) for _ in range(2)]
-        self.attach, self.at = 0, 0
-        self.have, self.token = {}, DeliveryToken(SIZE)
+        self.attach, self.instance = 0, 0
+        self.received, self.token = {}, DeliveryToken(SIZE)
         self.saved = {}, DeliveryToken(SIZE)
         self.published = 1
         await self.submit(0)
 
     async def submit(self, instance):
-        self.at = instance
+        self.instance = instance
         self.attach += 1
         spec = self.bench.spec(attach=self.attach, token=self.token.encode())
         self.services[instance].submit(self.bench.row, spec)
@@ -63,7 +63,7 @@
     def check(self, sample, newest):
         words = [f"{word} " for word in sample["text"].split()]
         assert len(words) == LENGTH
-        made = [self.bench.engines.made[word] for word in words]
+        made = [self.bench.engines.versions_by_text[word] for word in words]
         named = [
             version
             for version, first, last in sample["spans"]
@@ -76,25 +76,25 @@
     def accept(self, reply):
         for sample in reply["samples"] if reply else ():
             position = sample["group"] * 2 + sample["index"]
-            assert position not in self.have, "sent although the token names it"
+            assert position not in self.received, "sent although the token names it"
             assert self.token.add(position)
-            self.have[position] = sample
+            self.received[position] = sample
 
     @rule(tokens=st.integers(1, 4))
-    def engines_work(self, tokens):
+    def engines_generate(self, tokens):
         self.bench.engines.tick(tokens)
         self.run(self.settle())
 
     @rule()
     def fetch_arrives(self):
-        self.accept(self.run(self.fetch(self.at, self.token, self.attach)))
+        self.accept(self.run(self.fetch(self.instance, self.token, self.attach)))
 
     @rule()
     def reply_is_lost(self):
-        self.run(self.fetch(self.at, self.token, self.attach))
+        self.run(self.fetch(self.instance, self.token, self.attach))
 
     @rule(instance=INSTANCES, back=st.integers(0, 2))
-    def an_old_fetch_comes_late(self, instance, back):
+    def late_fetch_arrives(self, instance, back):
         attach = max(1, self.attach - back)
         self.run(self.fetch(instance, self.saved[1], attach))
 
@@ -104,11 +104,11 @@
 
     @rule()
     def trainer_saves(self):
-        self.saved = dict(self.have), self.token.union([])
+        self.saved = dict(self.received), self.token.union([])
 
     @rule(instance=INSTANCES)
     def trainer_restarts(self, instance):
-        self.have, self.token = dict(self.saved[0]), self.saved[1].union([])
+        self.received, self.token = dict(self.saved[0]), self.saved[1].union([])
         self.run(self.submit(instance))
 
     @rule(instance=INSTANCES)
@@ -134,30 +134,30 @@
 
     @rule(engine=ENGINES)
     def engine_restarts(self, engine):
-        self.bench.engines.lose(engine)
+        self.bench.engines.lose_streams(engine)
 
     @rule(engine=ENGINES)
     def engine_freezes_or_thaws(self, engine):
-        machine = self.bench.engines[engine]
-        machine.frozen = not machine.frozen
+        server = self.bench.engines[engine]
+        server.frozen = not server.frozen
 
     def teardown(self):
-        self.run(self.heal_and_finish())
+        self.run(self.recover_and_finish())
         self.run(self.bench.close())
         self.loop.close()
 
-    async def heal_and_finish(self):
-        for machine in self.bench.engines.machines.values():
-            machine.frozen, machine.cut_next = False, 0
-            machine.version = self.published
-        await self.submit(self.at)
-        for _ in range(HEAL_ROUNDS):
+    async def recover_and_finish(self):
+        for server in self.bench.engines.servers.values():
+            server.frozen, server.cut_next = False, 0
+            server.version = self.published
+        await self.submit(self.instance)
+        for _ in range(MAX_RECOVERY_ROUNDS):
             self.bench.engines.tick(2)
             await asyncio.sleep(0.005)
-            self.accept(await self.fetch(self.at, self.token, self.attach))
+            self.accept(await self.fetch(self.instance, self.token, self.attach))
             if self.token.complete:
                 break
-        assert set(self.have) == set(range(SIZE)), self.have.keys()
+        assert set(self.received) == set(range(SIZE)), self.received.keys()
 
 
 StepMachine.TestCase.settings = settings(
--- a/sassafrasdoor/steps/tests/test_owner.py
+++ b/sassafrasdoor/steps/tests/test_owner.py
@@ -11,7 +11,7 @@
         self.addAsyncCleanup(bench.close)
         return bench
 
-    def assert_true_labels(self, bench, samples):
+    def assert_labels_match_engines(self, bench, samples):
         """Each token's label is the version that made it; one run a sample."""
         for sample in samples.values():
             words = [f"{word} " for word in sample["text"].split()]
@@ -20,35 +20,37 @@
                 for number in range(first, last):
                     named.setdefault(number, set()).add(version)
             truth = {
-                number: {bench.engines.made[word]} for number, word in enumerate(words)
+                number: {bench.engines.versions_by_text[word]}
+                for number, word in enumerate(words)
             }
             self.assertEqual(named, truth)
             numbers = [int(word.rsplit("/", 1)[1]) for word in words]
             self.assertEqual(numbers, list(range(len(words))))
             self.assertEqual(len({word.split("/")[1] for word in words}), 1)
             self.assertEqual(
-                sample["oldest_version"], min(bench.engines.made[w] for w in words)
+                sample["oldest_version"],
+                min(bench.engines.versions_by_text[w] for w in words),
             )
 
-    async def received(self, owner, tokens):
-        await until(lambda: all(one.tokens == tokens for one in owner.samples))
+    async def wait_for_tokens(self, owner, tokens):
+        await until(lambda: all(sample.tokens == tokens for sample in owner.samples))
 
-    async def test_every_sample_comes_once_with_its_true_label(self):
+    async def test_every_sample_is_delivered_once_with_correct_labels(self):
         bench = self.bench()
         steps = bench.instance()
         steps.submit(bench.row, bench.spec())
-        have = await bench.collect(steps)
-        self.assertEqual(set(have), {(0, 0), (0, 1), (1, 0), (1, 1)})
-        self.assert_true_labels(bench, have)
+        samples = await bench.collect(steps)
+        self.assertEqual(set(samples), {(0, 0), (0, 1), (1, 0), (1, 1)})
+        self.assert_labels_match_engines(bench, samples)
 
-    async def test_faults_of_engines(self):
+    async def test_recovery_from_engine_faults(self):
         """Guards against a text joined from two streams after an engine's fault."""
 
         def cut(bench):
             bench.engines["e1"].cut_next = 2
 
         def restart(bench):
-            bench.engines.lose("e1")
+            bench.engines.lose_streams("e1")
             bench.engines["e1"].version = 2
 
         def die(bench):
@@ -70,14 +72,14 @@
                 steps.submit(bench.row, bench.spec())
                 owner = await bench.running(steps, 4)
                 bench.engines.tick(3)
-                await self.received(owner, 3)
+                await self.wait_for_tokens(owner, 3)
                 fault(bench)
-                have = await bench.collect(steps)
-                self.assert_true_labels(bench, have)
+                samples = await bench.collect(steps)
+                self.assert_labels_match_engines(bench, samples)
                 counts = owner.counts.as_dict()
                 self.assertEqual({name: counts[name] for name in expected}, expected)
 
-    async def test_a_stream_lost_between_listing_and_resuming_is_made_anew(self):
+    async def test_stream_lost_between_listing_and_resuming_is_regenerated(self):
         """Guards against a resume that reaches another stream than the one listed."""
         bench = self.bench(engines=("e1",), length_of=lambda stream: 8)
         steps = bench.instance()
@@ -88,36 +90,38 @@
         await until(lambda: owner.samples[0].tokens == 3)
         listed = bench.engines.streams
 
-        async def listed_then_lost(backend, prefix):
+        async def list_then_lose(backend, prefix):
             states = await listed(backend, prefix)
-            bench.engines.lose("e1")
+            bench.engines.lose_streams("e1")
             bench.engines.streams = listed
             return states
 
-        bench.engines.streams = listed_then_lost
+        bench.engines.streams = list_then_lose
         bench.engines["e1"].cut_next = 1
         bench.engines.tick()
-        self.assert_true_labels(bench, await bench.collect(steps))
+        self.assert_labels_match_engines(bench, await bench.collect(steps))
         self.assertEqual(owner.samples[0].generation, 1)
 
-    async def test_a_second_instance_finishes_what_a_dead_one_started(self):
+    async def test_successor_resumes_streams_of_a_closed_instance(self):
         """Guards against streams of a dead instance that are generated again."""
         bench = self.bench(length_of=lambda stream: 8)
         first, second = bench.instance(), bench.instance()
         first.submit(bench.row, bench.spec())
         owner = await bench.running(first, 4)
         bench.engines.tick(3)
-        await self.received(owner, 3)
+        await self.wait_for_tokens(owner, 3)
         await first.close()
         second.submit(bench.row, bench.spec(attach=2))
-        have = await bench.collect(second, attach=2)
-        self.assert_true_labels(bench, have)
-        self.assertEqual(sum(one.starts for one in bench.engines.machines.values()), 4)
+        samples = await bench.collect(second, attach=2)
+        self.assert_labels_match_engines(bench, samples)
+        self.assertEqual(
+            sum(server.starts for server in bench.engines.servers.values()), 4
+        )
         counts = second.status() or [bench]
         self.assertEqual(counts[0]["counts"]["resumed"], 4)
         self.assertEqual(counts[0]["counts"]["regenerated"], 0)
 
-    async def test_a_successor_starts_nothing_that_the_trainer_has(self):
+    async def test_successor_starts_no_acknowledged_sample(self):
         bench = self.bench()
         first, second = bench.instance(), bench.instance()
         first.submit(bench.row, bench.spec())
@@ -131,15 +135,15 @@
         states = {sample.state for sample in bench.owner(second).samples}
         self.assertEqual(states, {SampleState.TAKEN})
 
-    async def test_engines_are_cleared_of_what_the_trainer_has(self):
+    async def test_streams_of_acknowledged_samples_are_cancelled(self):
         bench = self.bench()
         steps = bench.instance()
         steps.submit(bench.row, bench.spec())
         await bench.ready(steps, 4)
-        self.assertEqual(len(bench.all_streams()), 4)
+        self.assertEqual(len(bench.engine_streams()), 4)
         reply = await bench.fetch(steps)
-        await bench.fetch(steps, bench.owner(steps).taken.union([2]).encode())
-        await until(lambda: len(bench.all_streams()) == 3)
+        await bench.fetch(steps, bench.owner(steps).acknowledged.union([2]).encode())
+        await until(lambda: len(bench.engine_streams()) == 3)
         await bench.fetch(steps, reply["token"])
-        await until(lambda: not bench.all_streams())
+        await until(lambda: not bench.engine_streams())
         self.assertEqual(steps.status(), [])
--- a/sassafrasdoor/steps/tests/test_scoring.py
+++ b/sassafrasdoor/steps/tests/test_scoring.py
@@ -7,7 +7,7 @@
 from sassafrasdoor.clock import deadline_in
 from sassafrasdoor.outcomes import NotRun, Rejected
 from sassafrasdoor.steps.scoring import NoScore, Scorer
-from sassafrasdoor.steps.spec import Reward, StepSpec, checked
+from sassafrasdoor.steps.spec import Reward, StepSpec, parse_input
 from sassafrasdoor.steps.tests.fakes import Bench
 
 GOOD = Answer(200, {}, b'{"score": 0.5}')
@@ -41,18 +41,18 @@
         self.assertEqual(self.service.calls, [("s.reward", "/score", b"b")])
 
     async def test_repeated_call_is_unchanged(self):
-        found = await self.score(Broken("cut"), NotRun("full", 0.1), FAILED)
-        self.assertEqual(found, {"score": 0.5})
+        result = await self.score(Broken("cut"), NotRun("full", 0.1), FAILED)
+        self.assertEqual(result, {"score": 0.5})
         self.assertEqual(len(self.service.calls), 4)
         self.assertEqual(len(set(self.service.calls)), 1)
 
-    async def test_call_that_always_fails_is_given_up(self):
+    async def test_failing_call_is_abandoned_after_max_failures(self):
         """Guards against retries of a failing reward call without end."""
-        found = await self.score(*[FAILED] * 9)
-        self.assertIsInstance(found, NoScore)
+        result = await self.score(*[FAILED] * 9)
+        self.assertIsInstance(result, NoScore)
         self.assertEqual(len(self.service.calls), 3)
 
-    async def test_ends(self):
+    async def test_no_score_after_the_deadline_or_a_malformed_answer(self):
         self.assertIsInstance(await self.score(seconds=-1.0), NoScore)
         self.assertIsInstance(await self.score(Answer(200, {}, b"{")), NoScore)
 
@@ -67,22 +67,22 @@
         steps.submit(bench.row, bench.spec(groups=groups))
         return await bench.collect(steps)
 
-    async def test_samples_come_with_their_scores(self):
-        have = await self.collect()
-        self.assertEqual(have[0, 0]["score"], {"score": 0.5})
-        self.assertEqual(have[0, 1]["score"], {"score": 0.5})
-        self.assertNotIn("score", have[1, 0])
+    async def test_samples_include_their_scores(self):
+        samples = await self.collect()
+        self.assertEqual(samples[0, 0]["score"], {"score": 0.5})
+        self.assertEqual(samples[0, 1]["score"], {"score": 0.5})
+        self.assertNotIn("score", samples[1, 0])
 
-    async def test_sample_without_a_score_says_so(self):
-        have = await self.collect(*[FAILED] * 9)
-        self.assertIsNone(have[0, 0]["score"])
+    async def test_failed_reward_call_delivers_a_null_score(self):
+        samples = await self.collect(*[FAILED] * 9)
+        self.assertIsNone(samples[0, 0]["score"])
 
     def test_malformed_reward_call_is_refused_with_its_place(self):
         spec = Bench().spec().model_dump_json()
         bad = spec.replace('"reward":null', '"reward":{"service":"s","path":"x"}', 1)
-        found = checked(StepSpec, bad.encode())
-        self.assertIsInstance(found, Rejected)
-        self.assertIn("reward", found.findings[0].place)
+        result = parse_input(StepSpec, bad.encode())
+        self.assertIsInstance(result, Rejected)
+        self.assertIn("reward", result.findings[0].place)
 
     def test_step_with_another_reward_call_is_another_step(self):
         plain = Bench().spec()
--- a/sassafrasdoor/steps/tests/test_spec.py
+++ b/sassafrasdoor/steps/tests/test_spec.py
@@ -2,7 +2,7 @@
 import unittest
 
 from sassafrasdoor.outcomes import Rejected
-from sassafrasdoor.steps.spec import FetchSpec, Identity, StepSpec, checked
+from sassafrasdoor.steps.spec import FetchSpec, Identity, StepSpec, parse_input
 
 GOOD = {
     "step": "s1",
@@ -16,7 +16,7 @@
 
 
 def step(**changes):
-    return checked(StepSpec, json.dumps({**GOOD, **changes}).encode())
+    return parse_input(StepSpec, json.dumps({**GOOD, **changes}).encode())
 
 
 class SpecTest(unittest.TestCase):
@@ -40,12 +40,14 @@
             with self.subTest(places=places):
                 result = step(**changes)
                 self.assertIsInstance(result, Rejected)
-                self.assertEqual(sorted(one.place for one in result.findings), places)
+                self.assertEqual(
+                    sorted(finding.place for finding in result.findings), places
+                )
 
     def test_bad_fetches_are_findings(self):
         for body in (b"", b"[]", b"{", b'{"attach": 1, "wait_ms": 60001}', b"\xff"):
             with self.subTest(body):
-                self.assertIsInstance(checked(FetchSpec, body), Rejected)
+                self.assertIsInstance(parse_input(FetchSpec, body), Rejected)
 
     def test_identity_is_the_same_on_every_instance(self):
         first, second = Identity("row", step()), Identity("row", step(attach=9))
@@ -55,12 +57,16 @@
         self.assertEqual(first.parse(stream), (5, 2))
         self.assertEqual(first.place(5), (1, 2))
 
-    def test_other_samples_other_seeds(self):
+    def test_seeds_are_distinct(self):
         identity = Identity("row", step())
-        seeds = {identity.seed(at, made) for at in range(6) for made in range(3)}
+        seeds = {
+            identity.seed(position, generation)
+            for position in range(6)
+            for generation in range(3)
+        }
         self.assertEqual(len(seeds), 18)
 
-    def test_streams_of_another_step_of_that_name_are_foreign(self):
+    def test_parse_rejects_streams_of_other_steps(self):
         stream = Identity("row", step(seed=8)).stream(0, 0)
         identity = Identity("row", step())
         for foreign in (stream, f"{identity.prefix}6.0", f"{identity.prefix}x.0"):
--- a/sassafrasdoor/steps/tests/test_steps_processes.py
+++ b/sassafrasdoor/steps/tests/test_steps_processes.py
@@ -33,7 +33,7 @@
     }
 
 
-class FixedTrainer(Trainer):
+class FixedAddressTrainer(Trainer):
     """Uses the addresses it was given, in their order, and no discovery."""
 
     __slots__ = ("statuses",)
@@ -47,14 +47,14 @@
         return list(self._seeds)
 
 
-class Truth:
+class EngineRecords:
     """Which version made which token, by every engine, also those gone since."""
 
     def __init__(self, cluster):
         self._cluster = cluster
         self._records = {}
 
-    async def note(self, *names):
+    async def collect(self, *names):
         """Read the engines' truth, before one of them goes."""
         for name in names:
             truth = await self._cluster.truth(name)
@@ -62,7 +62,7 @@
                 for number, made in enumerate(record["executions"]):
                     self._records[name, stream, number] = made["spans"]
 
-    def made(self, stream):
+    def versions_of(self, stream):
         """Return ``{token number: versions}`` of a stream over all engines."""
         versions = {}
         for (_, name, _), spans in self._records.items():
@@ -77,26 +77,28 @@
         cluster = Cluster(SETTINGS)
         self.addAsyncCleanup(cluster.__aexit__)
         await cluster.start(instances, engines, services, engine_options=ENGINE)
-        self.truth = Truth(cluster)
+        self.records = EngineRecords(cluster)
         return cluster
 
     def trainer(self, *addresses):
-        trainer = FixedTrainer(addresses, ROW, KEYS[ROW], newest_version=1, patience=2)
+        trainer = FixedAddressTrainer(
+            addresses, ROW, KEYS[ROW], newest_version=1, reply_timeout=2
+        )
         self.addCleanup(trainer.close)
         return trainer
 
-    async def read(self, run, after=1, strike=None):
+    async def read(self, run, after=1, inject_fault=None):
         """Read a run to its end; ``strike`` once ``after`` samples are in."""
         samples = {}
         async for sample in run.samples():
             place = sample["group"], sample["index"]
             self.assertNotIn(place, samples, "a sample came twice")
             samples[place] = sample
-            if len(samples) == after and strike is not None:
-                await strike()
+            if len(samples) == after and inject_fault is not None:
+                await inject_fault()
         return samples
 
-    def judge(self, run, samples, step, **changes):
+    def assert_matches_engines(self, run, samples, step, **changes):
         """All samples, each with the very versions that made its tokens."""
         self.assertIsNone(run.failure)
         self.assertEqual(set(samples), PLACES)
@@ -109,7 +111,7 @@
                     self.assertNotIn(token, named)
                     named[token] = version
             stream = self._stream_of(identity, group * 4 + index, sample, len(named))
-            made = self.truth.made(stream)
+            made = self.records.versions_of(stream)
             for token, version in named.items():
                 self.assertIn(version, made[token], (stream, token))
             self.assertEqual(sample["oldest_version"], min(named.values()))
@@ -137,12 +139,12 @@
         run = self.trainer(one.address, two.address).run(document("scored", **changes))
 
         async def killed():
-            await self.truth.note("engine-1", "engine-2")
+            await self.records.collect("engine-1", "engine-2")
             one.kill()
 
         samples = await self.read(run, 2, killed)
-        await self.truth.note("engine-1", "engine-2")
-        self.judge(run, samples, "scored", **changes)
+        await self.records.collect("engine-1", "engine-2")
+        self.assert_matches_engines(run, samples, "scored", **changes)
         spec = StepSpec.model_validate({**document("scored", **changes), "attach": 1})
         identity = Identity(ROW, spec)
         for (group, index), sample in samples.items():
@@ -150,7 +152,7 @@
             stream = self._stream_of(identity, group * 4 + index, sample, length)
             self.assertEqual(sample["score"]["request_id"], f"{stream}.reward")
 
-    async def test_instance_goes_in_the_middle_of_a_step(self):
+    async def test_instance_fails_during_a_step(self):
         """Guards against a step's state that is lost with its owner."""
         cluster = await self.cluster(instances=3)
         one, two, three = cluster.instances
@@ -168,12 +170,12 @@
                 )
                 samples = await self.read(run, 3, fault)
                 one.thaw()
-                await self.truth.note("engine-1", "engine-2")
-                self.judge(run, samples, fault.__name__)
+                await self.records.collect("engine-1", "engine-2")
+                self.assert_matches_engines(run, samples, fault.__name__)
                 self.assertEqual(run.report.attachments, 2)
                 self.assertGreater(run.report.counts["resumed"], 0)
 
-    async def test_planned_stop_in_the_middle_of_a_step(self):
+    async def test_planned_stop_during_a_step(self):
         """Guards against a drain that truncates fetches or streams."""
         cluster = await self.cluster()
         one, two = cluster.instances
@@ -186,8 +188,8 @@
         long = {"max_tokens": 400}
         run = trainer.run(document("stop", **long))
         samples = await self.read(run, 1, stop)
-        await self.truth.note("engine-1", "engine-2")
-        self.judge(run, samples, "stop", **long)
+        await self.records.collect("engine-1", "engine-2")
+        self.assert_matches_engines(run, samples, "stop", **long)
         self.assertEqual(run.report.attachments, 2)
         self.assertEqual(run.report.counts["regenerated"], 0)
         self.assertGreater(run.report.counts["resumed"], 0)
@@ -207,11 +209,11 @@
 
         run = self.trainer(proxy.address).run(document("lost"))
         samples = await self.read(run, 2, cut)
-        await self.truth.note("engine-1", "engine-2")
-        self.judge(run, samples, "lost")
+        await self.records.collect("engine-1", "engine-2")
+        self.assert_matches_engines(run, samples, "lost")
         self.assertGreater(run.report.attachments, 1)
 
-    async def test_two_attachments_at_once(self):
+    async def test_concurrent_attachments(self):
         """Guards against two owners that run one step with separate streams."""
         cluster = await self.cluster()
         old = self.trainer(cluster.instances[0].address).run(document("twice"))
@@ -219,9 +221,9 @@
             document("twice"), {"attach": 1, "token": ""}
         )
         reads = await asyncio.gather(self.read(old), self.read(new))
-        await self.truth.note("engine-1", "engine-2")
+        await self.records.collect("engine-1", "engine-2")
         for run, samples in zip((old, new), reads, strict=True):
-            self.judge(run, samples, "twice")
+            self.assert_matches_engines(run, samples, "twice")
 
     async def test_engine_crashes(self):
         """Guards against a resumed stream taken for complete without a report."""
@@ -229,24 +231,24 @@
 
         async def crash():
             await cluster.faults("engine-1", freeze=True)
-            await self.truth.note("engine-1")
+            await self.records.collect("engine-1")
             cluster.backends["engine-1"].kill()
 
         run = self.trainer(cluster.instances[0].address).run(document("crash"))
         samples = await self.read(run, 2, crash)
-        await self.truth.note("engine-2")
-        self.judge(run, samples, "crash")
+        await self.records.collect("engine-2")
+        self.assert_matches_engines(run, samples, "crash")
         self.assertGreater(run.report.counts["regenerated"], 0)
 
-    async def test_many_faults_together(self):
+    async def test_combined_faults(self):
         """Guards against recovery that fails under a second fault."""
         cluster = await self.cluster(instances=3, engines=3)
         one, two, three = cluster.instances
         stops = []
 
-        async def strike():
+        async def inject_fault():
             await cluster.faults("engine-1", freeze=True)
-            await self.truth.note("engine-1")
+            await self.records.collect("engine-1")
             cluster.backends["engine-1"].kill()
             one.kill()
             await cluster.announce(MODEL, 2)
@@ -263,12 +265,12 @@
             self.assertNotIn(place, samples)
             samples[place] = sample
             if len(samples) in (2, 4):
-                await {2: strike, 4: stop}[len(samples)]()
-        await self.truth.note("engine-2", "engine-3")
-        self.judge(run, samples, "many", **long)
+                await {2: inject_fault, 4: stop}[len(samples)]()
+        await self.records.collect("engine-2", "engine-3")
+        self.assert_matches_engines(run, samples, "many", **long)
         self.assertEqual(await stops[0], (0, 0))
 
-    async def test_connections_to_an_engine_go_silent(self):
+    async def test_engine_connections_fall_silent(self):
         """Guards against silent connections taken for live ones."""
         cluster = await self.cluster(engines=1)
 
@@ -277,30 +279,30 @@
 
         run = self.trainer(cluster.instances[0].address).run(document("silence"))
         samples = await self.read(run, 1, silence)
-        await self.truth.note("engine-1")
-        self.judge(run, samples, "silence")
+        await self.records.collect("engine-1")
+        self.assert_matches_engines(run, samples, "silence")
         self.assertGreater(run.report.counts["resumed"], 0)
         self.assertEqual(run.report.counts["regenerated"], 0)
 
-    async def test_swap_in_the_middle_of_a_step(self):
+    async def test_weight_swap_during_a_step(self):
         """Guards against a label that omits the version of a swap in the step."""
         cluster = await self.cluster()
 
         async def swap():
             await cluster.announce(MODEL, 2)
-            await until(self._swapped(cluster, 2), what="engines at version 2")
+            await until(self._has_swapped(cluster, 2), what="engines at version 2")
 
         run = self.trainer(cluster.instances[0].address).run(document("swap"))
         samples = await self.read(run, 1, swap)
-        await self.truth.note("engine-1", "engine-2")
-        self.judge(run, samples, "swap")
-        named = {span[0] for one in samples.values() for span in one["spans"]}
+        await self.records.collect("engine-1", "engine-2")
+        self.assert_matches_engines(run, samples, "swap")
+        named = {span[0] for sample in samples.values() for span in sample["spans"]}
         self.assertIn(2, named)
 
-    def _swapped(self, cluster, version):
+    def _has_swapped(self, cluster, version):
         async def swapped():
             truths = [await cluster.truth(name) for name in cluster.backends]
-            return all(one["versions"].get(MODEL) == version for one in truths)
+            return all(truth["versions"].get(MODEL) == version for truth in truths)
 
         return swapped
 
@@ -312,9 +314,13 @@
         body = {**document("late"), "attach": 1}
         status, _ = await cluster.post(address, path, body, KEYS[ROW])
         self.assertEqual(status, 202)
-        await until(lambda: self._ready(cluster, address), what="ready samples")
+        await until(
+            lambda: self._all_samples_ready(cluster, address), what="ready samples"
+        )
         await cluster.platform_faults(down=True)
-        await until(lambda: self._unconfirmed(cluster, address), what="a lagging view")
+        await until(
+            lambda: self._is_view_unconfirmed(cluster, address), what="a lagging view"
+        )
         fetch = {"attach": 1, "wait_ms": 0}
         table = [({}, 0), ({"newest_version": BOUND + 2}, 0)]
         for stated, delivered in table:
@@ -330,14 +336,14 @@
         trainer.newest_version = BOUND + 2
         run = trainer.run(document("late"), {"attach": 1, "token": ""})
         samples = await self.read(run)
-        await self.truth.note("engine-1", "engine-2")
-        self.judge(run, samples, "late")
+        await self.records.collect("engine-1", "engine-2")
+        self.assert_matches_engines(run, samples, "late")
         self.assertGreaterEqual(min(s["oldest_version"] for s in samples.values()), 2)
 
-    async def _ready(self, cluster, address):
+    async def _all_samples_ready(self, cluster, address):
         _, status = await cluster.get(address, "/v1/status")
         return status["steps"][0]["ready"] == len(PLACES)
 
-    async def _unconfirmed(self, cluster, address):
+    async def _is_view_unconfirmed(self, cluster, address):
         _, status = await cluster.get(address, "/v1/status")
         return status["unconfirmed_seconds"] > SETTINGS["steps"]["view_confirm"]
--- a/sassafrasdoor/steps/tests/test_token.py
+++ b/sassafrasdoor/steps/tests/test_token.py
@@ -15,7 +15,7 @@
 class TokenTest(unittest.TestCase):
     @settings(derandomize=True, max_examples=200, deadline=None)
     @given(SIZES, st.sets(st.integers(0, 69)), st.sets(st.integers(0, 69)))
-    def test_is_the_set_of_its_positions_both_ways(self, size, one, two):
+    def test_behaves_as_a_set_and_round_trips(self, size, one, two):
         one = {position for position in one if position < size}
         two = {position for position in two if position < size}
         token, other = DeliveryToken(size, one), DeliveryToken(size, two)
@@ -23,7 +23,7 @@
         self.assertEqual(set(token), one)
         self.assertEqual(len(token), len(one))
         self.assertEqual(set(token.missing()), set(range(size)) - one)
-        self.assertEqual(set(token.beyond(other)), one - two)
+        self.assertEqual(set(token.difference(other)), one - two)
         self.assertEqual(set(token.union(two)), one | two)
         self.assertEqual(token.complete, len(one) == size)
 
--- a/sassafrasdoor/steps/token.py
+++ b/sassafrasdoor/steps/token.py
@@ -103,7 +103,7 @@
         """Return the positions that the trainer lacks, in order."""
         return list(_positions(~self._bits & (1 << self._size) - 1))
 
-    def beyond(self, other):
+    def difference(self, other):
         """Return the positions that ``other`` lacks, in order."""
         return list(_positions(self._bits & ~other._bits))
 
--- a/sassafrasdoor/tests/test_fuzz.py
+++ b/sassafrasdoor/tests/test_fuzz.py
@@ -18,7 +18,7 @@
 from sassafrasdoor.log.interface import Record
 from sassafrasdoor.outcomes import Rejected
 from sassafrasdoor.requests import reading
-from sassafrasdoor.steps.spec import FetchSpec, StepSpec, checked
+from sassafrasdoor.steps.spec import FetchSpec, StepSpec, parse_input
 from sassafrasdoor.steps.token import DeliveryToken
 from sassafrasdoor.table import sheets
 from sassafrasdoor.table.rows import Table, table_from
@@ -179,7 +179,7 @@
         | nearly(FETCH).map(bytes_of),
     )
     def test_step(self, model, body):
-        spec = checked(model, body)
+        spec = parse_input(model, body)
         self.check(spec, model)
         if isinstance(spec, StepSpec):
             self.assertTrue(spec.digest())
--- a/sassafrasdoor/tools/trainer.py
+++ b/sassafrasdoor/tools/trainer.py
@@ -10,7 +10,7 @@
 from rich.table import Table
 
 from sassafrasdoor.steps.client import Trainer
-from sassafrasdoor.steps.spec import StepSpec, checked
+from sassafrasdoor.steps.spec import StepSpec, parse_input
 from sassafrasdoor.tools.options import USAGE_ERROR, CaFileOption, VersionOption
 
 MAX_PROMPTS_FILE = 64_000_000
@@ -84,7 +84,7 @@
 
 
 def _check(document):
-    found = checked(StepSpec, json.dumps({**document, "attach": 1}))
+    found = parse_input(StepSpec, json.dumps({**document, "attach": 1}))
     if not found:
         for finding in found.findings:
             typer.echo(str(finding), err=True)
