--- a/sassafrasdoor/steps/delivery.py
+++ b/sassafrasdoor/steps/delivery.py
@@ -1,4 +1,4 @@
-"""What one fetch is answered with, decided right before the bytes leave."""
+"""Selects the samples of a fetch reply immediately before it is written."""
 
 from sassafrasdoor.clock import now
 from sassafrasdoor.steps.resources import SAMPLE_EVENTS
@@ -6,10 +6,10 @@
 
 
 class Delivery:
-    """Hands out a step's ready samples; ``build_reply`` never yields to the loop.
+    """Delivers a step's ready samples; ``build_reply`` never yields to the event loop.
 
-    A reply that was lost is repaired by the trainer, which presents the same
-    token again and gets the same samples again.
+    After a lost reply the trainer sends the same token again and receives the same
+    samples.
     """
 
     __slots__ = ("_last_positions", "_last_token", "_owner", "_sent", "_settings")
@@ -22,9 +22,10 @@
         self._sent = DeliveryToken(owner.spec.sample_count)
 
     def select_positions(self, token):
-        """Return the samples to send to a trainer that presents ``token``.
+        """Return the positions of the samples to send for ``token``.
 
-        Those with the oldest weights go first: they would be refused first.
+        Samples with the oldest weights go first, as they exceed the staleness bound
+        first.
         """
         owner = self._owner
         owner.drop_stale_samples()
@@ -39,18 +40,18 @@
         return [sample.position for sample in ready[: self._settings.batch_size]]
 
     def is_version_confirmed(self, view, fetch, arrived_at):
-        """Say whether the newest version is known well enough to deliver.
+        """Return whether the newest version is recent enough to check staleness.
 
-        A view that nobody confirmed for a while may miss announcements, and a
-        process that was paused does not know that it was. Then only a version
-        that the trainer stated a moment ago tells what is too old.
+        A view that was not confirmed for ``view_confirm`` may miss announcements, and a
+        paused process does not notice its pause. Then only a version that the trainer
+        stated within that time is sufficient.
         """
         max_age = self._settings.view_confirm
         stated = fetch.newest_version is not None and now() - arrived_at <= max_age
         return stated or view.age <= max_age
 
     def build_reply(self, token, positions):
-        """Return the reply with these samples, JSON-ready."""
+        """Return the reply with the samples at ``positions``, JSON-ready."""
         owner = self._owner
         self._last_positions, self._last_token = positions, token
         self._record_delivery(positions)
--- a/sassafrasdoor/steps/dispatch.py
+++ b/sassafrasdoor/steps/dispatch.py
@@ -1,4 +1,4 @@
-"""Starting a step's samples: in which order, and with a permit each."""
+"""Starts a step's samples in order, each with an admission permit."""
 
 import asyncio
 from heapq import heappop, heappush
@@ -7,15 +7,14 @@
 from sassafrasdoor.outcomes import Outcome
 from sassafrasdoor.steps.sample import SampleState
 
-MAX_PENDING_ADMISSIONS = 32
+MAX_PENDING_ADMISSIONS = 32  # per step
 
 
 class PendingQueue:
-    """Samples that wait to be started; the first to start is popped first.
+    """A priority queue of the samples to be started.
 
-    Streams found on an engine come first: they hold its memory already. Then
-    whole groups, one after another, so that a group's prompt is read while it
-    is still cached.
+    Adopted streams come first, as they already hold engine memory; then one group after
+    another, so that a group's prompt is still in the prefix cache.
     """
 
     __slots__ = ("_heap", "_tie_breaker")
@@ -33,7 +32,7 @@
         heappush(self._heap, (rank, sample))
 
     def pop(self):
-        """Return the next sample that still waits, or None."""
+        """Return the next sample that is still PENDING, or None."""
         while self._heap:
             _, sample = heappop(self._heap)
             if sample.state is SampleState.PENDING:
@@ -42,7 +41,7 @@
 
 
 class Dispatcher:
-    """Keeps admissions waiting while its step has samples to start."""
+    """Requests admission permits while its step has samples to start."""
 
     __slots__ = ("_owner", "_resources", "_pending_admissions", "pending")
 
@@ -54,7 +53,7 @@
 
     @property
     def is_idle(self):
-        """Whether no admission is waited for."""
+        """Whether no admission is pending."""
         return not self._pending_admissions
 
     def add(self, sample):
@@ -63,7 +62,7 @@
         self.pending.add(sample, self._owner.identity.place(sample.position)[0])
 
     def request_permits(self):
-        """Ask for as many permits as there is work for, up to a bound."""
+        """Request a permit for each pending sample, up to ``MAX_PENDING_ADMISSIONS``."""
         while self._pending_admissions < min(MAX_PENDING_ADMISSIONS, len(self.pending)):
             if not self._owner.is_dispatching:
                 return
--- a/sassafrasdoor/steps/owner.py
+++ b/sassafrasdoor/steps/owner.py
@@ -1,7 +1,7 @@
-"""The owner of one step on one instance: makes its samples, hands them out.
+"""The owner of one step on one instance: produces and delivers its samples.
 
-Nothing here must last. The trainer knows what it has (the token), the engines
-know their streams; a further instance becomes owner by asking both.
+No state here is durable. The trainer's token names the samples that it has, and the
+engines hold the streams; another instance can take the step over from these two.
 """
 
 import asyncio
@@ -21,14 +21,14 @@
 from sassafrasdoor.steps.token import DeliveryToken
 from sassafrasdoor.table.rows import Preference
 
-FAULT_RETRY_DELAY = 1.0
-# Rows differ in this one number: a running stream that crosses a swap is made
-# again if it has less than this share of an expected sample.
+FAULT_RETRY_DELAY = 1.0  # seconds after an exception
+# By the row's preference: a stream that spans a weight swap is restarted if it has less
+# than this fraction of the expected sample length.
 RESTART_THRESHOLDS = {Preference.STALENESS: 0.25, Preference.IDLE: 0.0}
 
 
 class StepOwner:
-    """One step: its samples, the tasks that make them, and what was taken."""
+    """One step: its samples, the tasks that produce them, and the acknowledged ones."""
 
     __slots__ = (
         "_affinities",
@@ -81,7 +81,7 @@
 
     @property
     def is_dispatching(self):
-        """Whether streams may be started now."""
+        """Whether new streams may be started now."""
         return self.is_trainer_connected and not (
             self.stopping or self.closed or self.is_expired
         )
@@ -93,7 +93,7 @@
 
     @property
     def is_abandoned(self):
-        """Whether its trainer has not been heard for too long."""
+        """Whether the trainer has been silent for longer than ``attach_idle``."""
         return passed(self.attach_deadline)
 
     def prompt(self, position):
@@ -102,43 +102,43 @@
         return self.spec.groups[group].prompt
 
     def affinity(self, position):
-        """Return the name of a sample's prompt prefix; a group shares it."""
+        """Return the prefix key of a sample's prompt, the same for a whole group."""
         group, _ = self.identity.place(position)
         if group not in self._affinities:
             self._affinities[group] = prefix_key(self.prompt(position))
         return self._affinities[group]
 
     def newest(self):
-        """Return the newest version known, also from the trainer itself."""
+        """Return the newest version known here or stated by the trainer."""
         return max(self.trainer_version, self._resources.newest_of(self.row.model))
 
     def oldest_allowed(self):
-        """Return the oldest version that may be delivered now."""
+        """Return the oldest version within the row's staleness bound."""
         return self.newest() - self.row.staleness_bound
 
     def record_trainer_activity(self):
-        """Note that the trainer was heard."""
+        """Extend the attachment's idle deadline and resume starting streams."""
         idle = self._resources.settings.steps.attach_idle
         self.attach_deadline = deadline_in(idle)
         self.is_trainer_connected = True
         self.dispatcher.request_permits()
 
     def start(self):
-        """Begin to make what the trainer lacks."""
+        """Start producing the samples that the trainer lacks."""
         self.event("step-started")
         self.spawn(self._start_samples())
 
     def event(self, kind, **fields):
-        """Put an event of this step on the time line."""
+        """Add an event of this step to the timeline."""
         common = {"row": self.row.name, "step": self.spec.step, "attach": self.attach}
         EVENTS.add(kind, **common, **fields)
 
     def reattach(self, attach, token):
-        """Take over for a newer attachment of the trainer.
+        """Switch to a newer attachment of the trainer.
 
-        A trainer that restarted may have lost samples that it had taken; its
-        new token says so, and they are made again. Under an unchanged
-        attachment a lesser token is only an old message that came late.
+        A restarted trainer may have lost samples that it had acknowledged; those that
+        its new token lacks are regenerated. With an unchanged attachment number, a
+        token that lacks acknowledged samples is only a delayed message.
         """
         self.attach = attach
         self.event("step-attached")
@@ -153,7 +153,7 @@
         self.changes.changed()
 
     def acknowledge(self, token):
-        """Forget what the trainer has."""
+        """Release the samples that the token names."""
         for position in token.difference(self.acknowledged):
             sample = self.samples[position]
             self._stop_attempts(sample)
@@ -164,7 +164,7 @@
             self.acknowledged.add(position)
 
     def drop_stale_samples(self):
-        """Make those ready samples again that may no longer be delivered."""
+        """Regenerate ready samples that exceed the staleness bound."""
         allowed = self.oldest_allowed()
         for sample in list(self.ready.values()):
             if sample.attempt.oldest < allowed:
@@ -172,11 +172,10 @@
         self.dispatcher.request_permits()
 
     def should_restart(self, attempt, version):
-        """Say whether a stream that now got tokens of ``version`` starts over.
+        """Return whether to restart a stream that has received tokens of ``version``.
 
-        It must if it holds tokens too old to be delivered. It may, the sooner
-        the more its row weighs staleness, if it has little and its engine is
-        at newer weights by now.
+        True if it holds tokens too old to be delivered, or if its engine has moved to
+        the newest weights and it has fewer tokens than the row's threshold.
         """
         if attempt.oldest < self.oldest_allowed():
             return True
@@ -184,34 +183,37 @@
         return attempt.oldest < version == self.newest() and attempt.offset < threshold
 
     def check_stragglers(self):
-        """Start second attempts at the last few samples where they pay."""
+        """Start second attempts at the last samples where these are likely faster."""
         if self.is_dispatching:
             self._stragglers.check()
 
     def start_sample(self, sample, attempt, permit, single_attempt=False):
-        """Make a sample, from ``attempt`` if given; the task owns the permit."""
+        """Start a task that produces a sample, from ``attempt`` if given.
+
+        The task owns the permit.
+        """
         task = self.spawn(self._run_sample(sample, attempt, permit, single_attempt))
         sample.tasks.add(task)
         task.add_done_callback(sample.tasks.discard)
 
     def spawn(self, coroutine):
-        """Run a task of the step; closing the step cancels it."""
+        """Run a coroutine as a task that ``close`` cancels."""
         task = asyncio.ensure_future(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return task
 
     def stop_dispatch(self):
-        """Start no further stream: this instance is leaving."""
+        """Start no further streams: this instance is draining."""
         self.stopping = True
         self.changes.changed()
 
     async def close(self, cancel):
-        """Stop all work; ``cancel`` its streams, or leave them to a successor.
+        """Stop all tasks; with ``cancel``, cancel the streams at once.
 
-        Streams are left until the step's deadline. An owner that believes
-        itself abandoned may only be cut off from a trainer that is attached
-        elsewhere; cancelling at once would destroy that owner's work.
+        Otherwise they run until the step's deadline: an owner that seems abandoned may
+        be partitioned from a trainer that is attached to another instance, and an
+        immediate cancel would destroy the streams that its new owner reads.
         """
         self.closed = True
         self.changes.changed()
@@ -226,7 +228,7 @@
             self._resources.cleaner.cancel_at(streams, self.deadline)
 
     def status(self):
-        """Return what an operator sees of the step."""
+        """Return the step's status for operators, JSON-ready."""
         states = [sample.state for sample in self.samples]
         return {
             "row": self.row.name,
@@ -247,15 +249,15 @@
     async def _run_sample(self, sample, attempt, permit, single_attempt):
         try:
             completed = await self._reader.read(sample, attempt, single_attempt)
-            # The engine's place is free from here on, whatever the score takes.
+            # Scoring does not use the engine, so its slot is released first.
             permit.release()
             permit = None
             if completed is not None:
                 score = await self._score(sample, completed)
                 self._complete_sample(sample, completed, score)
         except Exception as error:
-            # A fault of ours must neither lose the sample nor spin: it would
-            # show as a step that never completes, or as a busy process.
+            # Without the retry the step would never complete, and without the delay
+            # a repeated exception would keep the process busy.
             logs.changed("steps:fault", error=repr(error), stream=sample.position)
             await asyncio.sleep(FAULT_RETRY_DELAY)
             if sample.state is SampleState.RUNNING:
@@ -266,7 +268,7 @@
             self.dispatcher.request_permits()
 
     async def _score(self, sample, attempt):
-        """Return the score of a whole sample, None where it gets none."""
+        """Return the score of a finished sample, or None."""
         group, _ = self.identity.place(sample.position)
         reward = self.spec.groups[group].reward
         if reward is None:
@@ -280,7 +282,7 @@
         return score
 
     def _complete_sample(self, sample, attempt, score):
-        # Another attempt may have been scored first; its text bears its own score.
+        # Another attempt may have been scored first; a score belongs to its text.
         if sample.state is not SampleState.RUNNING:
             return
         sample.score = score
@@ -307,7 +309,7 @@
         self.dispatcher.add(sample)
 
     def _stop_attempts(self, sample, kept_tokens=0):
-        """End the other attempts at a sample; all but ``kept_tokens`` tokens are wasted."""
+        """Cancel other attempts at a sample; count all but ``kept_tokens`` as wasted."""
         current = asyncio.current_task()
         for task in sample.tasks - {current}:
             task.cancel()
--- a/sassafrasdoor/steps/reader.py
+++ b/sassafrasdoor/steps/reader.py
@@ -1,4 +1,4 @@
-"""Reading the stream of one sample to its end, through breaks and lost engines."""
+"""Reads a sample's stream to its end, across broken connections and lost engines."""
 
 import asyncio
 import random
@@ -16,20 +16,20 @@
 from sassafrasdoor.steps.resources import SAMPLE_EVENTS, WASTED_TOKENS
 from sassafrasdoor.steps.sample import Attempt, Spoiled
 
-MAX_BREAKS = 3
-UNREACHABLE_PENALTY = 2
-RETRY_DELAY = 0.05
-MAX_RETRY_DELAY = 1.0
+MAX_BREAKS = 3  # consecutive breaks after which an attempt is discarded
+UNREACHABLE_PENALTY = 2  # additional breaks counted for an engine that does not answer
+RETRY_DELAY = 0.05  # seconds; doubled with each break
+MAX_RETRY_DELAY = 1.0  # seconds
 
 
 class TooOld(Outcome):
-    """The attempt holds tokens older than the bound, or worth making anew."""
+    """The attempt has tokens older than the bound, or a restart is preferable."""
 
     __slots__ = ()
 
 
 class Reader:
-    """Makes samples of one step; ``step`` gives its row, spec and deadline."""
+    """Reads the samples of one step; ``step`` is its ``StepOwner``."""
 
     __slots__ = ("_resources", "_step")
 
@@ -38,10 +38,10 @@
         self._step = step
 
     async def read(self, sample, attempt=None, single_attempt=False):
-        """Return a whole ``Attempt``, or None once the step's deadline passed.
+        """Return a finished ``Attempt``, or None after the step's deadline.
 
-        Starts from ``attempt`` where one is given, else at an engine that the
-        chooser names. With ``single_attempt``, a lost attempt is given up for good.
+        Starts from ``attempt`` if given, else at an engine selected by the chooser.
+        With ``single_attempt``, None is also returned once the attempt fails.
         """
         excluded = set()
         while not passed(self._step.deadline):
@@ -67,14 +67,14 @@
             view, row.service, row.model, affinity, exclude=tuple(excluded)
         )
         if isinstance(backend, Outcome):
-            # Every engine left may be one that failed before: they count again.
+            # The only engines left may be excluded ones, so all become eligible again.
             excluded.clear()
             await _sleep_with_jitter(backend.retry_after)
             return None
         return self.new_attempt(sample, backend)
 
     def new_attempt(self, sample, backend):
-        """Return a new attempt to make ``sample`` at ``backend``."""
+        """Return a new attempt at ``sample`` on ``backend``."""
         stream = self._step.identity.stream(sample.position, sample.generation)
         return Attempt(backend, stream, sample.generation)
 
@@ -98,11 +98,11 @@
                     return attempt.verify(item) if isinstance(item, Finished) else item
                 self._resources.record_version(self._step.row.model, item.version)
                 if not attempt.add_chunk(item):
-                    return Spoiled("chunks out of order")
+                    return Spoiled("chunk at an unexpected offset")
                 self._record_resumption(attempt)
                 if self._step.should_restart(attempt, item.version):
-                    return TooOld("tokens older than the bound")
-        return Broken("ended without its last line")
+                    return TooOld("restarted for newer weights")
+        return Broken("stream ended without its final report")
 
     def _record_resumption(self, attempt):
         if attempt.breaks:
@@ -130,8 +130,8 @@
 
     @singledispatchmethod
     async def _recover(self, result, sample, attempt):
-        """Return the attempt to go on with, or None to start at another engine."""
-        raise TypeError(f"no rule for {result!r}")
+        """Return the attempt to continue, or None to start on another engine."""
+        raise TypeError(f"no recovery for the result {result!r}")
 
     @_recover.register
     async def _(self, result: NotRun, sample, attempt):
@@ -143,7 +143,7 @@
 
     @_recover.register
     async def _(self, result: TooOld, sample, attempt):
-        # The rest of the stream could only be dropped at delivery.
+        # The finished sample would be dropped as stale at delivery.
         self._step.counts.cut_early += 1
         self._discard_attempt(sample, attempt, "cut-early")
         await _sleep_with_jitter(RETRY_DELAY)
@@ -163,8 +163,8 @@
         if isinstance(states, Unavailable):
             attempt.breaks += UNREACHABLE_PENALTY
         elif not self._is_stream_held(states, attempt):
-            # The engine restarted and lost the stream. Resuming at an offset
-            # would join tokens of two runs; so nothing received is kept.
+            # The engine restarted and lost the stream. Resuming at an offset would
+            # join the tokens of two runs, so the received ones are discarded.
             self._discard_attempt(sample, attempt, "regenerated")
             return None
         if attempt.breaks > MAX_BREAKS:
@@ -180,10 +180,10 @@
         )
 
     def _discard_attempt(self, sample, attempt, kind):
-        """Make the sample anew under the next generation, anywhere.
+        """Cancel the attempt and move the sample to its next generation.
 
-        Its engine may yet come back with the old stream; under another id
-        that can neither be mistaken for the new one nor be joined to it.
+        The engine may return with the old stream; as the new one has another stream id,
+        the two cannot be confused or joined.
         """
         sample.generation = max(sample.generation, attempt.generation + 1)
         self._cancel_stream(sample, attempt)
@@ -199,5 +199,5 @@
 
 
 async def _sleep_with_jitter(seconds):
-    """Wait up to ``seconds``, spread out so that retries do not come together."""
+    """Wait up to ``seconds``, with jitter so that retries are not synchronized."""
     await asyncio.sleep(min(seconds, MAX_RETRY_DELAY) * random.uniform(0.5, 1.0))
--- a/sassafrasdoor/steps/registry.py
+++ b/sassafrasdoor/steps/registry.py
@@ -13,14 +13,14 @@
 from sassafrasdoor.steps.token import DeliveryToken
 
 MAX_STEPS_PER_ROW = 64
-SWEEP_INTERVAL = 0.1
-BUSY_RETRY_AFTER = 1.0
+SWEEP_INTERVAL = 0.1  # seconds
+BUSY_RETRY_AFTER = 1.0  # seconds
 
 
 class Conflict(Rejected):
-    """A newer attachment, or another step under that name, stands against it.
+    """The request conflicts with a newer attachment or a step of the same name.
 
-    ``attach`` is the number in force, 0 where the numbers are not at fault.
+    ``attach`` is the current attachment number, or 0 if the steps differ.
     """
 
     __slots__ = ("attach",)
@@ -31,13 +31,13 @@
 
 
 class NoSuchStep(Rejected):
-    """This instance does not own the step; submitting it here attaches it."""
+    """This instance does not own the step; a submission attaches it here."""
 
     __slots__ = ()
 
 
 class Submitted:
-    """A step that is owned here now."""
+    """A submission was accepted; this instance owns the step."""
 
     __slots__ = ("resumed", "samples")
 
@@ -47,7 +47,7 @@
 
 
 class OwnedStep:
-    """A step's owner, its delivery and whether its trainer was sent away."""
+    """A step's owner, its delivery and whether its trainer has been redirected."""
 
     __slots__ = ("delivery", "owner", "is_trainer_redirected")
 
@@ -80,7 +80,7 @@
         self._sweeper = None
 
     def submit(self, row, spec):
-        """Own a step, or attach to it anew; return ``Submitted`` or why not."""
+        """Own a step, or attach to it; return ``Submitted`` or an ``Outcome``."""
         token = DeliveryToken.parse(spec.token, spec.sample_count)
         if isinstance(token, Rejected):
             return token
@@ -99,8 +99,8 @@
     async def fetch(self, row, name, fetch):
         """Return the reply to a fetch, JSON-ready, or ``Rejected``.
 
-        Nothing is awaited between the choice of the samples and the return:
-        whoever awaits this must write the reply without awaiting anything.
+        Staleness is checked without an await before the return; the caller must write
+        the reply without awaiting anything in between.
         """
         arrived_at = now()
         step = self._steps.get((row.name, name))
@@ -122,10 +122,9 @@
         return self._reply(step, fetch, token, arrived_at)
 
     def handle_reply_sent(self, row, name):
-        """Note that a reply to the step's trainer went out whole.
+        """Record that a reply to the step's trainer was written completely.
 
-        Counting it earlier would let a drain end the process under a reply
-        that is half written; one would notice a cut reply at a planned stop.
+        If it counted before that, a drain could end the process and truncate the reply.
         """
         step = self._steps.get((row.name, name))
         if step is not None and step.owner.stopping:
@@ -133,30 +132,30 @@
         self._drain_progress.changed()
 
     def handle_disconnect(self, row_name, name):
-        """Note that a trainer closed its connection while it waited for samples.
+        """Handle a trainer that disconnected while waiting for samples.
 
-        It is probably attaching elsewhere; streams that were started here now
-        would be made twice.
+        It is probably attaching to another instance, which would start the same streams
+        as this one; so none are started until activity of the trainer is recorded.
         """
         step = self._steps.get((row_name, name))
         if step is not None:
             step.owner.is_trainer_connected = False
 
     async def cancel(self, row, name):
-        """Stop a step for good; return whether it was owned here."""
+        """Cancel a step and its streams; return whether this instance owned it."""
         step = self._steps.get((row.name, name))
         if step is not None:
             await self._remove_step(step, cancel=True)
         return step is not None
 
     def status(self):
-        """Return what an operator sees, JSON-ready."""
+        """Return the status of all steps for operators, JSON-ready."""
         return [step.owner.status() for step in self._steps.values()]
 
     async def drain(self):
-        """Own no new step, send the trainers elsewhere, wait until they left.
+        """Refuse new steps and wait until all trainers have been redirected.
 
-        Streams are not cut: engines keep them, the next owner resumes them.
+        Streams are not cancelled: the engines keep them and the next owner resumes them.
         """
         self._draining = True
         EVENTS.add("steps-draining", steps=len(self._steps))
@@ -168,7 +167,7 @@
         await self.close()
 
     async def close(self):
-        """End all tasks; streams are left to whoever owns the steps next."""
+        """End all tasks; streams are left to the next owners of the steps."""
         if self._sweeper is not None:
             self._sweeper.cancel()
             with contextlib.suppress(asyncio.CancelledError):
@@ -231,8 +230,8 @@
             owner.record_trainer_activity()
 
     def _has_deliverable_samples(self, step, fetch, token):
-        # A trainer that states its version and waited too long is answered at
-        # once, so that it states it again; another one can only wait.
+        # A trainer that stated a version is answered even if that is outdated by now,
+        # so that it states a current one; without one, only the view can confirm it.
         can_deliver = fetch.newest_version is not None
         can_deliver = can_deliver or step.delivery.is_version_confirmed(
             self._resources.view(), fetch, now()
@@ -260,15 +259,15 @@
         owner.event("step-forgotten", cancel=int(cancel))
 
     async def _sweep(self):
-        """Forget steps whose trainer left; look after the last samples."""
+        """Remove abandoned steps and check the others for stragglers."""
         while True:
             await asyncio.sleep(SWEEP_INTERVAL)
             for step in list(self._steps.values()):
                 try:
                     await self._sweep_step(step)
                 except Exception as error:
-                    # A fault with one step must not end the care for all: it
-                    # would show as abandoned steps that are never forgotten.
+                    # An exception in one step must not end the sweep, or abandoned
+                    # steps would never be removed.
                     logs.changed("steps:fault", error=repr(error))
 
     async def _sweep_step(self, step):
@@ -285,5 +284,5 @@
 
 
 def no_such_step():
-    """Return the refusal of what is not owned here."""
+    """Return the refusal for a step that this instance does not own."""
     return NoSuchStep("this instance does not own that step")
--- a/sassafrasdoor/steps/sample.py
+++ b/sassafrasdoor/steps/sample.py
@@ -1,4 +1,4 @@
-"""A sample of a step, and the attempts to make it."""
+"""A sample of a step and the attempts to produce it."""
 
 from enum import Enum, auto
 
@@ -8,25 +8,25 @@
 from sassafrasdoor.steps import labels
 from sassafrasdoor.steps.resources import StreamLocation
 
-MIN_ELAPSED = 0.02
+MIN_ELAPSED = 0.02  # seconds; bounds the rate of an attempt that just began
 
 
 class SampleState(Enum):
-    """Life of a sample at its owner."""
+    """State of a sample at its owner."""
 
-    PENDING = auto()  # nobody reads a stream of it
-    RUNNING = auto()  # at least one attempt reads its stream
-    READY = auto()  # whole, kept until the trainer has it
-    TAKEN = auto()  # named by the trainer's token; nothing kept
+    PENDING = auto()  # no attempt reads a stream
+    RUNNING = auto()  # at least one attempt reads a stream
+    READY = auto()  # complete; kept until acknowledged
+    TAKEN = auto()  # acknowledged by the trainer's token; data released
 
 
 class Sample:
-    """One sample; ``attempt`` is its whole attempt once READY.
+    """One sample; ``attempt`` is its finished attempt once READY.
 
-    ``adopted`` is an attempt to start from, found on an engine; ``running``
-    are the attempts in progress, each read by one of ``tasks``; ``open_streams``
-    are the streams that engines may still hold, as ``StreamLocation``. ``score`` is what
-    its reward call was answered with, None without one.
+    ``adopted`` is an attempt found on an engine, to start from; ``running`` are the
+    attempts in progress, each read by one of ``tasks``; ``open_streams`` are the
+    ``StreamLocation``s that engines may still hold. ``score`` is the answer to its
+    reward call, or None.
     """
 
     __slots__ = (
@@ -54,21 +54,21 @@
 
     @property
     def tokens(self):
-        """The tokens of its furthest attempt."""
+        """Number of tokens of its longest running attempt."""
         return max((attempt.offset for attempt in self.running), default=0)
 
 
 class Spoiled(Outcome):
-    """What was received is no version's work and must not be joined."""
+    """The received tokens come from different runs of the stream."""
 
     __slots__ = ()
 
 
 class Attempt:
-    """What was received of one stream from one engine, and its labels.
+    """The text and version labels received of one stream from one engine.
 
-    ``imported_tokens`` counts the tokens that came from another engine, with its KV cache;
-    ``adopted_tokens`` those that the engine had made before this attempt began.
+    ``imported_tokens`` counts the tokens taken over from another engine with its KV
+    cache, ``adopted_tokens`` those that this engine had made before the attempt began.
     """
 
     __slots__ = (
@@ -96,7 +96,7 @@
 
     @property
     def location(self):
-        """The stream with its engine."""
+        """The stream and its engine."""
         return StreamLocation(self.backend, self.stream)
 
     @property
@@ -106,28 +106,28 @@
 
     @property
     def spans(self):
-        """The label of what was received."""
+        """The version labels of the received tokens."""
         return labels.union(self._spans)
 
     @property
     def progress(self):
-        """Tokens made while this attempt lasts; what is replayed is none."""
+        """Number of tokens made during this attempt, without replayed ones."""
         return max(0, self.offset - max(self.imported_tokens, self.adopted_tokens))
 
     @property
     def rate(self):
-        """Tokens a second over its whole life."""
+        """Tokens per second since the attempt began."""
         return self.progress / max(now() - self.started_at, MIN_ELAPSED)
 
     def reset(self):
-        """Forget what was received: the engine makes the stream anew."""
+        """Discard all received tokens, as the engine restarts the stream."""
         self.imported_tokens = self.offset = 0
         self.oldest = None
         self._spans = []
         self._texts = []
 
     def copy_to(self, backend):
-        """Return an attempt that goes on at another engine with our KV cache."""
+        """Return an attempt that continues at ``backend`` with the KV cache."""
         other = Attempt(backend, self.stream, self.generation)
         other.imported_tokens = other.offset = self.offset
         other.oldest = self.oldest
@@ -135,11 +135,11 @@
         return other
 
     def add_chunk(self, chunk):
-        """Add a chunk; return False if it does not continue what we have.
+        """Add a chunk; return False if it does not start at the current offset.
 
-        A restarted engine may begin the stream again under its old id. Its
-        tokens differ from those received; joining both would make a sample
-        that no weights ever produced. One would notice a chunk at offset 0.
+        A restarted engine may begin the stream again under its old id, which shows as a
+        chunk at offset 0. Its tokens differ from those received, so these are discarded:
+        joined, they would be a sample that no weights produced.
         """
         if chunk.offset == 0 and self.offset:
             self.reset()
@@ -151,21 +151,20 @@
         return True
 
     def add_spans(self, spans):
-        """Add spans to the label."""
+        """Add version labels."""
         self._spans = labels.union([*self._spans, *spans])
         self.oldest = labels.oldest(self._spans)
 
     def verify(self, finished):
-        """Return ``finished`` if every token arrived and is labelled, or why not.
+        """Return ``finished`` if every token arrived and is labelled, or an ``Outcome``.
 
-        The engine itself must vouch for every token made there. An engine that
-        lost the stream and got the order to resume it makes up a new one from
-        our offset on; joined to what came before, the sample would be no
-        version's work. One would notice a report that begins at our offset.
+        The engine's report must cover every token made there. An engine that lost the
+        stream and is asked to resume it starts a new one at that offset, and its report
+        begins there; joined, the two would be a sample that no weights produced.
         """
         if finished.length != self.offset:
             return Broken(f"{self.offset} of {finished.length} tokens arrived")
         if not labels.covers(finished.spans, self.imported_tokens, finished.length):
-            return Spoiled("the engine does not vouch for every token")
+            return Spoiled("the engine's report does not cover every token")
         self.add_spans(finished.spans)
         return Finished(finished.length, self.spans)
--- a/sassafrasdoor/steps/stragglers.py
+++ b/sassafrasdoor/steps/stragglers.py
@@ -1,10 +1,10 @@
-"""The last few samples of a step: a second attempt at an idle engine.
+"""Starts second attempts on idle engines for the last samples of a step.
 
-A few streams run far longer than the rest, some of them on engines that are
-full of others' work or slow. When only they are left, each whose engine lags
-gets a second attempt elsewhere: continued there with its KV cache ("move"), or
-made again from the start ("duplicate"). The first to finish wins. Both carry
-the same stream id and seed, so that racing them does not favour short samples.
+A few streams run far longer than the rest, some of them on loaded or slow engines. When
+only these remain, a sample whose engine is slow gets a second attempt on another one:
+continued with its KV cache ("move") or restarted ("duplicate"). The first attempt to
+finish is kept. Both use the same stream id and seed, so that the race does not favour
+short samples.
 """
 
 from statistics import fmean
@@ -15,18 +15,18 @@
 from sassafrasdoor.steps.resources import SAMPLE_EVENTS
 from sassafrasdoor.steps.sample import Attempt, SampleState
 
-TAIL_FRACTION = 0.15
-MIN_TAIL_SAMPLES = 4
-CHECK_INTERVAL = 0.2
-MAX_IDLE_LOAD = 0.5
-MAX_TIME_RATIO = 0.67
-SECOND_ATTEMPT_OVERHEAD = 0.1
-PERMIT_TIMEOUT = 0.05
-MIN_RATE = 0.1
+TAIL_FRACTION = 0.15  # of a step's samples that may get a second attempt
+MIN_TAIL_SAMPLES = 4  # that may get one where the fraction is less
+CHECK_INTERVAL = 0.2  # seconds
+MAX_IDLE_LOAD = 0.5  # load up to which an engine counts as idle
+MAX_TIME_RATIO = 0.67  # expected time of a second attempt to that of the first
+SECOND_ATTEMPT_OVERHEAD = 0.1  # seconds
+PERMIT_TIMEOUT = 0.05  # seconds
+MIN_RATE = 0.1  # tokens per second, to estimate times of stalled streams
 
 
 class LengthEstimator:
-    """Lengths of finished samples: what to expect of an unfinished one."""
+    """Estimates sample lengths from those of finished samples, in tokens."""
 
     __slots__ = ("_lengths", "_limit")
 
@@ -35,7 +35,7 @@
         self._lengths = []
 
     def add(self, length):
-        """Note a finished sample."""
+        """Record the length of a finished sample."""
         self._lengths.append(length)
 
     def expected(self):
@@ -43,18 +43,17 @@
         return fmean(self._lengths) if self._lengths else self._limit / 2
 
     def remaining(self, offset):
-        """Return how many tokens a sample that has ``offset`` still takes.
+        """Return the expected remaining tokens of a sample with ``offset`` tokens.
 
-        Of a long-tailed length the rest grows with what is there already, so
-        it is taken from those finished that were longer; beyond all of them,
-        half of what the limit leaves.
+        Lengths have a long tail, so the remainder grows with the offset: it is the mean
+        over longer finished samples, or without any half of what the limit leaves.
         """
         longer = [length - offset for length in self._lengths if length > offset]
         return fmean(longer) if longer else max(1.0, (self._limit - offset) / 2)
 
 
 class StragglerMonitor:
-    """Looks at running samples and starts second attempts; one for each step."""
+    """Checks the running samples of a step and starts second attempts."""
 
     __slots__ = (
         "_best_rate",
@@ -74,16 +73,16 @@
         self._preparing = set()
 
     def record_finished(self, attempt):
-        """Learn from a finished attempt how fast an engine may be.
+        """Update the best rate from a finished attempt.
 
-        Rates are taken over whole lives: a burst after a pause, or the replay
-        of a stream that another owner started, would feign an engine that is
-        faster than any, and everything would be moved there.
+        Rates are averages over an attempt's duration: a burst after a pause, or a replay
+        of an adopted stream, would suggest an engine faster than any, and all samples
+        would get second attempts.
         """
         self._best_rate = max(self._best_rate, attempt.rate)
 
     def check(self):
-        """Start second attempts where they pay; call it often."""
+        """Start second attempts that are likely faster, at most each CHECK_INTERVAL."""
         elapsed = now() - self._checked_at
         if self._mode is Mode.OFF or elapsed < CHECK_INTERVAL:
             return
@@ -109,7 +108,7 @@
         return not len(owner.dispatcher.pending) and len(candidates) <= max_tail
 
     def _rates(self, elapsed):
-        """Return tokens a second of each attempt since the last look."""
+        """Return each attempt's tokens per second since the last check."""
         running = {
             attempt for sample in self._owner.samples for attempt in sample.running
         }
@@ -174,7 +173,7 @@
                 permit.release()
 
     async def _prepare_attempt(self, attempt, backend):
-        """Return the attempt at ``backend``; with the KV cache where that works."""
+        """Return a second attempt at ``backend``, with the KV cache if it was moved."""
         if self._mode is Mode.MOVE and attempt.offset:
             moved = attempt.copy_to(backend)
             engine = self._resources.engine
