--- a/sassafrasdoor/steps/adoption.py
+++ b/sassafrasdoor/steps/adoption.py
@@ -1,4 +1,4 @@
-"""Finding the streams of a step that an earlier owner left on engines."""
+"""Adopts the streams of a step that an earlier owner left on engines."""
 
 import asyncio
 from collections import defaultdict
@@ -10,11 +10,11 @@
 from sassafrasdoor.view import State
 
 MAX_CONCURRENT_LISTINGS = 32
-LISTING_TIMEOUT = 2.0
+LISTING_TIMEOUT = 2.0  # seconds
 
 
 async def adopt(resources, owner):
-    """Give the owner's samples the streams of an earlier owner, to finish them."""
+    """Assign the best existing stream to each sample and cancel the others."""
     streams_by_position = await find_streams(
         resources, owner.row.service, owner.identity
     )
@@ -34,7 +34,7 @@
 
 
 class FoundStream:
-    """A stream that an engine holds."""
+    """A stream of the step on an engine."""
 
     __slots__ = ("backend", "done", "generation", "offset", "stream")
 
@@ -47,25 +47,24 @@
 
     @property
     def location(self):
-        """The stream with its engine."""
+        """The stream and its engine."""
         return StreamLocation(self.backend, self.stream)
 
     def attempt(self):
-        """Return an attempt that reads it from its start."""
+        """Return an attempt that reads the stream from its start."""
         return Attempt(self.backend, self.stream, self.generation, self.offset)
 
     @property
     def rank(self):
-        """What makes a stream better than another of the same sample."""
+        """Sort key among the streams of one sample; the best is the highest."""
         return (self.generation, self.done, self.offset)
 
 
 async def find_streams(resources, service, identity):
     """Return ``{position: [FoundStream, best first]}`` of a step.
 
-    Engines that leave or are suspect are asked too, for streams may run
-    there; one that does not answer in time is passed over, and what it holds
-    is made again elsewhere.
+    Draining and suspect engines are asked too, as streams may run there. The streams of
+    an engine that does not answer in time are regenerated elsewhere.
     """
     permits = asyncio.Semaphore(MAX_CONCURRENT_LISTINGS)
     backends = [
--- a/sassafrasdoor/steps/client.py
+++ b/sassafrasdoor/steps/client.py
@@ -1,4 +1,4 @@
-"""The trainer's side: submit a step, iterate its samples, survive instances.
+"""Trainer client: submits a step and iterates its samples, with failover.
 
     trainer = Trainer(["127.0.0.1:8000"], row="signs", key="...")
     run = trainer.run(step_document)
@@ -6,8 +6,8 @@
         ...
     print(run.report.as_dict(), run.failure)
 
-A sample is yielded once. ``run.state()`` is what a trainer keeps beside its
-own checkpoint, so that ``trainer.run(document, state)`` goes on after a restart.
+Each sample is yielded once. A trainer stores ``run.state()`` with its checkpoint, so
+that ``trainer.run(document, state)`` resumes the step after a restart.
 """
 
 import asyncio
@@ -27,21 +27,21 @@
 from sassafrasdoor.steps.spec import DEFAULT_DEADLINE_MS
 from sassafrasdoor.steps.token import DeliveryToken
 
-CONNECT_TIMEOUT = 2.0
-CALL_TIMEOUT = 5.0
-FETCH_WAIT = 2.0
-RETRY_DELAY = 0.1
-MAX_RETRY_DELAY = 1.0
-NO_REPLY = 599
+CONNECT_TIMEOUT = 2.0  # seconds
+CALL_TIMEOUT = 5.0  # seconds
+FETCH_WAIT = 2.0  # seconds
+RETRY_DELAY = 0.1  # seconds
+MAX_RETRY_DELAY = 1.0  # seconds
+NO_REPLY = 599  # status of calls without a usable reply
 MAX_CLIENTS = 64
 
 
 class Trainer:
-    """One row's trainer. ``newest_version`` is what it last published itself.
+    """A client for one row; ``newest_version`` is the last version it published.
 
-    A fetch waits up to ``wait`` seconds for samples; an instance that is
-    ``reply_timeout`` seconds later than that is taken for gone. With ``ca_file`` (PEM)
-    the instances are called over TLS.
+    A fetch waits up to ``wait`` seconds for samples; an instance that does not reply
+    within ``reply_timeout`` seconds beyond that counts as failed. With ``ca_file``
+    (PEM) the instances are called over TLS.
     """
 
     __slots__ = (
@@ -88,9 +88,9 @@
         return StepRun(self, document, state)
 
     async def addresses(self):
-        """Ask the instances which of them to use; fall back to those known.
+        """Return the discovered addresses, or all known ones if no instance answers.
 
-        Those of the last answer are asked too: the seeds may all be replaced.
+        Previously discovered instances are asked too: the seeds may all be replaced.
         """
         query = urlencode({"row": self.row, "zone": self._zone})
         candidates = list(dict.fromkeys([*self._discovered, *self._seeds]))
@@ -123,12 +123,12 @@
         try:
             return response.code, json.loads(response.body)
         except (TypeError, ValueError):
-            # A cut or foreign body is no reply: the token makes asking again safe.
+            # A truncated or foreign body is no reply; the token makes a retry safe.
             return (response.code if response.code >= 400 else NO_REPLY), {}
 
 
 class StepRun:
-    """One step being fetched; ``failure`` says why ``samples`` ended early."""
+    """A running step; ``failure`` is the reason if ``samples`` ended early."""
 
     __slots__ = (
         "_address",
@@ -168,10 +168,10 @@
         return self.token.complete
 
     def state(self):
-        """Return what a restarted trainer goes on with, JSON-ready.
+        """Return the state to resume from after a restart, JSON-ready.
 
-        It names the samples that were yielded. Those of a batch that arrived
-        but were not yielded yet would be lost with the process; they come again.
+        Its token names only the samples yielded so far: received ones that were not
+        yielded are lost with the process and have to be delivered again.
         """
         return {"attach": self._attach, "token": self._yielded.encode()}
 
@@ -189,10 +189,10 @@
                 yield sample
         self.report.duration = now() - started_at
         if self.complete and self._address:
-            await self._fetch(wait=0.0)  # lets the instance forget the step
+            await self._fetch(wait=0.0)  # acknowledges all, so the step is removed
 
     async def cancel(self):
-        """Give the step up; instances that are away find out by its deadline."""
+        """Cancel the step; an unreachable instance ends it by its deadline."""
         self.failure = Unavailable("cancelled")
         path = f"/v1/steps/{self._trainer.row}/{self._document['step']}"
         if self._address:
@@ -225,9 +225,9 @@
         return await self._trainer.call("POST", self._address, path, fetch, wait)
 
     async def _attach_to_next(self):
-        """Attach at the next instance; return whether one took the step."""
+        """Attach to the next instance; return whether it accepted the step."""
         if not self._addresses or passed(self._trainer.valid_until):
-            # The instance just left may still be named first; the others before it.
+            # The instance just left may still be listed; it is tried last.
             addresses = await self._trainer.addresses()
             self._addresses = sorted(
                 addresses, key=lambda address: address == self._left_address
@@ -251,7 +251,7 @@
         return False
 
     def _leave_instance(self, status, reply):
-        """Leave this instance after a refusal or no reply, or end the run."""
+        """Leave the instance after a refusal or failed call, or end the run."""
         self._left_address, self._address = self._address, None
         if reply.get("attach"):
             self._attach = max(self._attach, reply["attach"])
@@ -260,11 +260,10 @@
             self.failure = Rejected(reply.get("reason", f"status {status}"), findings)
 
     def _accept(self, reply):
-        """Return the samples that are new and fresh, and note that we have them.
+        """Add samples that are new and not stale to the token, and return them.
 
-        A reply may have been on its way while the trainer published newer
-        weights, so the bound is checked once more here; a sample left out of
-        the token is made again.
+        The trainer may have published newer weights while the reply was in flight, so
+        the bound is checked again; a sample left out of the token is regenerated.
         """
         trainer, report = self._trainer, self.report
         trainer.newest_version = max(trainer.newest_version, reply["newest_version"])
--- a/sassafrasdoor/steps/dispatch.py
+++ b/sassafrasdoor/steps/dispatch.py
@@ -57,12 +57,12 @@
         return not self._pending_admissions
 
     def add(self, sample):
-        """Start a sample as soon as there is a permit; ``request_permits`` asks for one."""
+        """Queue a sample; ``request_permits`` must follow to start it."""
         sample.state = SampleState.PENDING
         self.pending.add(sample, self._owner.identity.place(sample.position)[0])
 
     def request_permits(self):
-        """Request a permit for each pending sample, up to ``MAX_PENDING_ADMISSIONS``."""
+        """Request permits for pending samples, up to ``MAX_PENDING_ADMISSIONS``."""
         while self._pending_admissions < min(MAX_PENDING_ADMISSIONS, len(self.pending)):
             if not self._owner.is_dispatching:
                 return
--- a/sassafrasdoor/steps/handlers.py
+++ b/sassafrasdoor/steps/handlers.py
@@ -1,4 +1,4 @@
-"""The trainers' HTTP: submit, fetch and cancel steps."""
+"""HTTP handlers for trainers: submit, fetch and cancel steps."""
 
 from functools import singledispatch
 
@@ -19,7 +19,7 @@
 
 
 def handlers(steps_service):
-    """Return the handlers of steps for the application."""
+    """Return the URL specs of the step handlers."""
     arguments = {"steps": steps_service}
     return [
         (f"/v1/steps/{NAME_PATTERN}", SubmitHandler, arguments),
@@ -29,17 +29,17 @@
 
 
 class StepsHandler(tornado.web.RequestHandler):
-    """Base: the row's authorization and refusals."""
+    """Base of the step handlers: authorization by row, and refusals."""
 
     def initialize(self, steps):
         self._steps = steps
 
     def authorized_row(self, row_name):
-        """Return the caller's row, or None once the refusal is written."""
+        """Return the caller's row, or None after writing a refusal."""
         return self.application.settings["authorize"](self, row_name)
 
     def refuse(self, outcome):
-        """Finish with what did not run, and why."""
+        """Finish with an ``Outcome`` and its findings."""
         status, kind = refusal_of(outcome)
         self.set_status(status)
         self.set_header("X-Outcome", kind)
@@ -52,7 +52,7 @@
         self.finish(document)
 
     def write_error(self, status_code, **kwargs):
-        """Answer a failure without a traceback."""
+        """Write an error reply without a traceback."""
         self.set_header("X-Outcome", "rejected")
         self.finish({"outcome": "rejected", "reason": self._reason, "findings": []})
 
@@ -61,7 +61,7 @@
     """``POST /v1/steps/{row}``."""
 
     def post(self, row_name):
-        """Own the step here, or attach to it."""
+        """Submit the step to this instance, or attach to it."""
         row = self.authorized_row(row_name)
         if row is None:
             return
@@ -78,17 +78,17 @@
     """``POST /v1/steps/{row}/{step}/fetch``."""
 
     def on_connection_close(self):
-        """Tell the step's owner that its trainer hung up."""
+        """Handle a trainer that disconnected during a fetch."""
         self._steps.handle_disconnect(*self.path_args)
 
     async def post(self, row_name, step):
-        """Answer with samples that the trainer lacks."""
+        """Reply with samples that the trainer lacks."""
         row = self.authorized_row(row_name)
         if row is None:
             return
         fetch = parse_input(FetchSpec, self.request.body)
         result = await self._steps.fetch(row, step, fetch) if fetch else fetch
-        # Nothing may be awaited here: staleness was judged a moment ago.
+        # Nothing may be awaited here: staleness was checked just now.
         if not result:
             self.refuse(result)
             return
@@ -112,8 +112,8 @@
 
 @singledispatch
 def refusal_of(outcome):
-    """Return the HTTP status and the outcome's name on the wire."""
-    raise TypeError(f"no status for {outcome!r}")
+    """Return the HTTP status and the ``X-Outcome`` value of an outcome."""
+    raise TypeError(f"no HTTP status for the outcome {outcome!r}")
 
 
 @refusal_of.register
--- a/sassafrasdoor/steps/labels.py
+++ b/sassafrasdoor/steps/labels.py
@@ -1,4 +1,4 @@
-"""Labels: which weight version produced which tokens of a sample."""
+"""Version labels: which weight version produced which tokens of a sample."""
 
 from itertools import groupby
 
@@ -6,10 +6,10 @@
 
 
 def union(spans):
-    """Return the least list of spans that says the same, in order of tokens.
+    """Return the shortest equivalent list of spans, in order of tokens.
 
-    Two reports that disagree about a token leave both versions in the label:
-    naming one too many is safe, naming one too few would hide old weights.
+    Where two reports disagree about a token, the label keeps both versions: one too
+    many is safe, but one too few would hide old weights.
     """
     merged = []
     by_version = sorted(spans, key=lambda span: (span.version, span.first))
@@ -19,7 +19,7 @@
 
 
 def covers(spans, first, last):
-    """Say whether every token from ``first`` up to ``last`` is labelled."""
+    """Return whether every token from ``first`` up to ``last`` is labelled."""
     for span in sorted(spans, key=lambda span: span.first):
         if span.first <= first:
             first = max(first, span.last)
@@ -27,7 +27,7 @@
 
 
 def oldest(spans):
-    """Return the oldest version named, or None where nothing is."""
+    """Return the oldest version, or None without spans."""
     return min((span.version for span in spans), default=None)
 
 
--- a/sassafrasdoor/steps/owner.py
+++ b/sassafrasdoor/steps/owner.py
@@ -309,7 +309,7 @@
         self.dispatcher.add(sample)
 
     def _stop_attempts(self, sample, kept_tokens=0):
-        """Cancel other attempts at a sample; count all but ``kept_tokens`` as wasted."""
+        """Cancel other attempts; count all but ``kept_tokens`` tokens as wasted."""
         current = asyncio.current_task()
         for task in sample.tasks - {current}:
             task.cancel()
--- a/sassafrasdoor/steps/registry.py
+++ b/sassafrasdoor/steps/registry.py
@@ -155,7 +155,7 @@
     async def drain(self):
         """Refuse new steps and wait until all trainers have been redirected.
 
-        Streams are not cancelled: the engines keep them and the next owner resumes them.
+        Streams are not cancelled: engines keep them and the next owner resumes them.
         """
         self._draining = True
         EVENTS.add("steps-draining", steps=len(self._steps))
--- a/sassafrasdoor/steps/report.py
+++ b/sassafrasdoor/steps/report.py
@@ -1,12 +1,12 @@
-"""What a trainer measures of a step."""
+"""A trainer's measurements of a step."""
 
 
 class Report:
-    """What a trainer measures of a step; times in seconds.
+    """A trainer's measurements of a step; times in seconds.
 
-    ``idle`` is the time spent waiting for samples while the step was
-    incomplete; ``staleness`` counts delivered samples by how many versions
-    they were behind the newest one known on arrival.
+    ``idle`` is the time spent waiting for samples of the incomplete step; ``staleness``
+    counts delivered samples by the number of versions between their oldest tokens and
+    the newest version known on arrival.
     """
 
     __slots__ = (
@@ -32,7 +32,7 @@
 
     @property
     def mean_staleness(self):
-        """Mean number of versions behind the newest, 0 without samples."""
+        """Mean staleness in versions, 0 without samples."""
         total = sum(behind * count for behind, count in self.staleness.items())
         return total / self.samples if self.samples else 0.0
 
--- a/sassafrasdoor/steps/resources.py
+++ b/sassafrasdoor/steps/resources.py
@@ -1,4 +1,4 @@
-"""What all steps of an entry process share: engines, admission, counters."""
+"""Resources shared by all steps of an entry process, and its sample counters."""
 
 import asyncio
 import contextlib
@@ -9,8 +9,8 @@
 from sassafrasdoor.outcomes import Outcome
 from sassafrasdoor.steps.scoring import Scorer
 
-CANCEL_RETRY_DELAY = 1.0
-MAX_CONCURRENT_CANCELS = 4
+CANCEL_RETRY_DELAY = 1.0  # seconds
+MAX_CONCURRENT_CANCELS = 4  # per engine
 MAX_CANCEL_ATTEMPTS = 5
 
 SAMPLE_EVENTS = metrics.counter(
@@ -22,7 +22,7 @@
 
 
 class Counts:
-    """Counters of one step, as its trainer sees them."""
+    """Counters of one step, reported to its trainer."""
 
     __slots__ = (
         "cut_early",
@@ -48,8 +48,7 @@
 class StreamLocation:
     """A stream and the engine that may hold it.
 
-    Each view brings its own ``Backend`` objects, so engines are told apart by
-    their addresses.
+    Engines are compared by address, as each view has its own ``Backend`` objects.
     """
 
     __slots__ = ("backend", "stream")
@@ -70,10 +69,10 @@
 
 
 class Resources:
-    """Passed whole to every step's owner.
+    """Resources that all step owners share.
 
-    ``newest`` holds the newest version that any engine reported for a model:
-    it may be ahead of the view, which lags.
+    ``newest`` holds the newest version that any engine reported for a model, which may
+    be ahead of the lagging view.
     """
 
     __slots__ = (
@@ -98,7 +97,7 @@
         self.cleaner = Cleaner(engine)
 
     def record_version(self, model, version):
-        """Note a version that an engine reported."""
+        """Record a version that an engine reported."""
         if version > self.newest.get(model, 0):
             self.newest[model] = version
 
@@ -108,31 +107,31 @@
 
 
 class Cleaner:
-    """Cancels streams that nobody wants, again while an engine is away.
+    """Cancels unneeded streams, with retries while an engine does not answer.
 
-    A cancel that is lost leaves a stream that holds the engine's memory; one
-    would notice engines filling up with done streams.
+    A stream whose cancel is lost keeps holding engine memory, and finished streams
+    accumulate.
     """
 
     __slots__ = ("_engine", "_permits", "_tasks")
 
     def __init__(self, engine):
         self._engine = engine
-        # For each engine its own: a frozen one must not hold up the others.
+        # One semaphore per engine: a frozen one must not block the others.
         self._permits = defaultdict(lambda: asyncio.Semaphore(MAX_CONCURRENT_CANCELS))
         self._tasks = set()
 
     def cancel(self, streams):
-        """Cancel every ``StreamLocation`` in the background."""
+        """Cancel ``StreamLocation``s in the background."""
         for location in streams:
             self._spawn(self._cancel(location))
 
     def cancel_at(self, streams, deadline):
-        """Cancel them once ``deadline`` has passed."""
+        """Cancel ``StreamLocation``s once ``deadline`` has passed."""
         self._spawn(self._cancel_after(list(streams), deadline))
 
     async def close(self):
-        """Give up what is not cancelled yet."""
+        """Stop all pending cancels."""
         tasks = list(self._tasks)
         for task in tasks:
             task.cancel()
@@ -157,7 +156,7 @@
 
 
 class Signal:
-    """Lets many tasks wait for the next change of something."""
+    """Notifies all waiting tasks of the next change."""
 
     __slots__ = ("_event",)
 
@@ -165,14 +164,14 @@
         self._event = asyncio.Event()
 
     def changed(self):
-        """Wake all that wait."""
+        """Wake all waiting tasks."""
         self._event.set()
         self._event = asyncio.Event()
 
     async def wait(self, deadline):
         """Wait for the next change, at most until ``deadline``."""
-        # Not ``wait_for``: on Python 3.11 it swallows a cancellation that comes in
-        # the same turn as the event, and the task goes on for ever.
+        # Not ``wait_for``: on Python 3.11 it swallows a cancellation in the same loop
+        # iteration as the event, and the task never ends.
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(remaining(deadline)):
                 await self._event.wait()
--- a/sassafrasdoor/steps/sample.py
+++ b/sassafrasdoor/steps/sample.py
@@ -138,8 +138,8 @@
         """Add a chunk; return False if it does not start at the current offset.
 
         A restarted engine may begin the stream again under its old id, which shows as a
-        chunk at offset 0. Its tokens differ from those received, so these are discarded:
-        joined, they would be a sample that no weights produced.
+        chunk at offset 0. Its tokens differ from those received, so these are
+        discarded: joined, they would be a sample that no weights produced.
         """
         if chunk.offset == 0 and self.offset:
             self.reset()
@@ -156,7 +156,7 @@
         self.oldest = labels.oldest(self._spans)
 
     def verify(self, finished):
-        """Return ``finished`` if every token arrived and is labelled, or an ``Outcome``.
+        """Return ``finished`` if every token arrived and is labelled, or the fault.
 
         The engine's report must cover every token made there. An engine that lost the
         stream and is asked to resume it starts a new one at that offset, and its report
--- a/sassafrasdoor/steps/scoring.py
+++ b/sassafrasdoor/steps/scoring.py
@@ -1,7 +1,7 @@
-"""Scores of whole samples: a group's reward call, sent to a plain service.
+"""Scores finished samples by their group's reward call to a plain service.
 
-A reward call may be repeated. It keeps its id, path and body, so that a further
-owner of the step, or a further try, asks for the same thing.
+A reward call may be repeated, also by another owner of the step; its id, path and body
+stay the same.
 """
 
 import asyncio
@@ -12,16 +12,14 @@
 from sassafrasdoor.metrics import counter
 from sassafrasdoor.outcomes import Outcome
 
+# Per process; leaves the service's other slots to live callers. A step's samples finish
+# over seconds.
 MAX_CONCURRENT_CALLS = 16
-"""Reward calls of this process at once: live callers of the service find the rest of
-its places; a step's samples end over seconds."""
-CALL_TIMEOUT = 5.0
-"""Seconds for one try; a slower service is asked again, elsewhere where it can."""
+CALL_TIMEOUT = 5.0  # seconds per attempt; then retried, on another backend if possible
+# Answers with status 500 after which a sample is delivered without a score: some calls
+# always fail, and a step must not wait for them until its deadline.
 MAX_FAILURES = 3
-"""Answers of 500 after which a sample is delivered without a score: some calls always
-fail, and a step must not wait for them until its deadline."""
-RETRY_DELAY = 0.1
-"""Seconds between tries; a refused call finds a place within some such."""
+RETRY_DELAY = 0.1  # seconds; a refused call gets a slot within a few of these
 SUCCESS_STATUSES = range(200, 300)
 FAILED_STATUS = 500
 
@@ -35,7 +33,7 @@
 
 
 class Scorer:
-    """Sends reward calls; ``service`` is the adapter to plain services, or None."""
+    """Sends reward calls through ``service``, the adapter to plain services or None."""
 
     __slots__ = ("_chooser", "_slots", "_service", "_view")
 
@@ -46,7 +44,7 @@
         self._slots = asyncio.Semaphore(MAX_CONCURRENT_CALLS)
 
     async def score(self, reward, call_id, deadline):
-        """Return what the service answered, JSON-ready, or ``NoScore``."""
+        """Return the service's answer as decoded JSON, or ``NoScore``."""
         failures = 0
         while not passed(deadline):
             async with self._slots:
@@ -57,7 +55,7 @@
             if failures >= MAX_FAILURES:
                 return NoScore(f"reward call failed {failures} times")
             await asyncio.sleep(RETRY_DELAY)
-        return NoScore("out of time")
+        return NoScore("the step's deadline passed without a score")
 
     async def _call(self, reward, call_id, deadline):
         backend = self._chooser.choose(self._view(), reward.service)
@@ -86,4 +84,4 @@
     try:
         return json.loads(answer.body)
     except ValueError:
-        return NoScore("the service's answer is no JSON")
+        return NoScore("the service's answer is not valid JSON")
--- a/sassafrasdoor/steps/spec.py
+++ b/sassafrasdoor/steps/spec.py
@@ -1,4 +1,4 @@
-"""What trainers submit and fetch, checked with all findings at once."""
+"""Validated input of trainers; a rejection lists all findings at once."""
 
 import hashlib
 
@@ -20,13 +20,13 @@
 
 
 class Input(BaseModel):
-    """Input of a trainer; unknown fields are findings."""
+    """Base of trainer input; unknown fields are rejected."""
 
     model_config = ConfigDict(extra="forbid", frozen=True, strict=True)
 
 
 class Reward(Input):
-    """The call that scores a whole sample: a POST to a plain service."""
+    """The call that scores a finished sample: a POST to a plain service."""
 
     service: str = Field(min_length=1, max_length=128)
     path: str = Field(min_length=1, max_length=2048, pattern="^/")
@@ -34,17 +34,17 @@
 
 
 class Group(Input):
-    """Samples of one group share their prompt, and their reward call if any."""
+    """A group of samples that share a prompt and an optional reward call."""
 
     prompt: str = Field(min_length=1, max_length=MAX_PROMPT_LENGTH)
     reward: Reward | None = None
 
 
 class StepSpec(Input):
-    """A training step. ``attach`` grows with each attachment of its trainer.
+    """A training step; ``attach`` increases with each attachment of its trainer.
 
-    ``token`` tells a further instance what the trainer has already, so that
-    it starts none of that again.
+    ``token`` names the samples that the trainer has, so that a new owner does not start
+    them again.
     """
 
     step: str = Field(min_length=1, max_length=64, pattern=r"^[A-Za-z0-9_.-]+$")
@@ -64,11 +64,11 @@
 
     @property
     def sample_count(self):
-        """How many samples the step has."""
+        """Number of samples of the step."""
         return len(self.groups) * self.samples_per_group
 
     def digest(self):
-        """Return what tells apart two steps that carry one name."""
+        """Return a digest that distinguishes steps of the same name."""
         digest = hashlib.sha256()
         header = f"{self.samples_per_group} {self.max_tokens} {self.seed}"
         texts = [header, *(group.prompt for group in self.groups)]
@@ -81,7 +81,7 @@
 
 
 class FetchSpec(Input):
-    """A trainer's request for the samples that it lacks."""
+    """A trainer's request for samples that its token lacks."""
 
     attach: int = Field(ge=1, le=MAX_SAFE_INTEGER)
     token: str = Field(default="", max_length=MAX_TOKEN_LENGTH)
@@ -90,7 +90,7 @@
 
 
 def parse_input(model, body):
-    """Return ``model`` read from the JSON bytes ``body``, or ``Rejected``."""
+    """Return an instance of ``model`` parsed from JSON ``body``, or ``Rejected``."""
     try:
         return model.model_validate_json(body)
     except ValidationError as error:
@@ -98,12 +98,11 @@
 
 
 class Identity:
-    """Names of a step's samples and streams, the same on every instance.
+    """Stream ids and seeds of a step's samples, the same on every instance.
 
-    A sample is (row, step, group, index). Its stream adds the step's digest,
-    so that a step submitted anew under an old name finds no streams of the
-    old one, and a generation: a sample dropped as too old is made again under
-    the next one.
+    A sample is (row, step, group, index). Its stream id adds the step's digest, so that
+    a new step under a reused name finds no streams of the old one, and a generation,
+    which increases each time the sample is regenerated.
     """
 
     __slots__ = ("_samples_per_group", "_seed", "_size", "prefix")
@@ -123,13 +122,13 @@
         return f"{self.prefix}{position}.{generation}"
 
     def seed(self, position, generation):
-        """Return the seed of a stream, equal wherever it is started."""
+        """Return the seed of a stream, the same on every engine."""
         text = f"{self._seed}:{position}:{generation}"
         raw = hashlib.sha256(text.encode()).digest()[:6]
         return int.from_bytes(raw, "little")
 
     def parse(self, stream):
-        """Return ``(position, generation)`` of a stream id, or None if foreign."""
+        """Return ``(position, generation)`` of a stream id, or None for other steps."""
         if not stream.startswith(self.prefix):
             return None
         position, dot, generation = stream[len(self.prefix) :].partition(".")
--- a/sassafrasdoor/steps/stragglers.py
+++ b/sassafrasdoor/steps/stragglers.py
@@ -15,8 +15,8 @@
 from sassafrasdoor.steps.resources import SAMPLE_EVENTS
 from sassafrasdoor.steps.sample import Attempt, SampleState
 
-TAIL_FRACTION = 0.15  # of a step's samples that may get a second attempt
-MIN_TAIL_SAMPLES = 4  # that may get one where the fraction is less
+TAIL_FRACTION = 0.15  # of a step's samples that count as its tail
+MIN_TAIL_SAMPLES = 4  # lower bound of the tail's size
 CHECK_INTERVAL = 0.2  # seconds
 MAX_IDLE_LOAD = 0.5  # load up to which an engine counts as idle
 MAX_TIME_RATIO = 0.67  # expected time of a second attempt to that of the first
@@ -75,9 +75,9 @@
     def record_finished(self, attempt):
         """Update the best rate from a finished attempt.
 
-        Rates are averages over an attempt's duration: a burst after a pause, or a replay
-        of an adopted stream, would suggest an engine faster than any, and all samples
-        would get second attempts.
+        Rates are averages over an attempt's duration: a burst after a pause, or a
+        replay of an adopted stream, would suggest an engine faster than any, and all
+        samples would be moved there.
         """
         self._best_rate = max(self._best_rate, attempt.rate)
 
--- a/sassafrasdoor/steps/token.py
+++ b/sassafrasdoor/steps/token.py
@@ -1,10 +1,9 @@
 """The delivery token: which samples of a step the trainer already has.
 
-One bit for each sample, base64 on the wire: 1,024 samples are 128 bytes. The
-trainer alone decides what it has; whoever owns the step sends only the rest.
-So a lost reply, a second delivery and a new owner all need no shared state:
-the trainer presents its token again. Usable on its own; see
-``samples/library_delivery_token.py``.
+One bit for each sample, base64 on the wire: 1,024 samples are 128 bytes. Only the
+trainer decides which samples it has; the step's owner sends the others. So lost
+replies, repeated deliveries and new owners need no shared state: the trainer sends its
+token again. Usable on its own; see ``samples/library_delivery_token.py``.
 """
 
 import base64
@@ -22,7 +21,7 @@
 
     def __init__(self, size, positions=()):
         if not 0 < size <= MAX_SAMPLES:
-            raise ValueError(f"size {size} is not within 1..{MAX_SAMPLES}")
+            raise ValueError(f"token size {size} is not within 1..{MAX_SAMPLES}")
         self._size = size
         self._bits = 0
         for position in positions:
@@ -32,7 +31,7 @@
     def parse(cls, text, size):
         """Return the token in base64 ``text``, or ``Rejected`` with findings.
 
-        An empty text stands for a trainer that has nothing yet.
+        An empty text is the token of a trainer without samples.
         """
         token = cls(size)
         if not text:
@@ -50,7 +49,7 @@
 
     @property
     def size(self):
-        """How many samples the step has."""
+        """Number of samples of the step."""
         return self._size
 
     @property
@@ -59,7 +58,7 @@
 
     @property
     def byte_count(self):
-        """Length of the token before base64."""
+        """Length of the token in bytes before base64."""
         return (self._size + 7) // 8
 
     @property
@@ -86,15 +85,17 @@
         return f"DeliveryToken({len(self)} of {self._size})"
 
     def add(self, position):
-        """Note one more sample; return whether it is new."""
+        """Add a sample; return whether it is new."""
         if not 0 <= position < self._size:
-            raise ValueError(f"position {position} is not below {self._size}")
+            raise ValueError(
+                f"sample position {position} is negative or not below {self._size}"
+            )
         new = position not in self
         self._bits |= 1 << position
         return new
 
     def union(self, positions):
-        """Return a token with ``positions`` besides its own."""
+        """Return a token with ``positions`` added."""
         token = DeliveryToken(self._size, positions)
         token._bits |= self._bits
         return token
