--- a/sassafrasdoor/steps/tests/fakes.py
+++ b/sassafrasdoor/steps/tests/fakes.py
@@ -1,7 +1,7 @@
-"""Small fakes at the interfaces of steps: engines, admission and chooser.
+"""Fakes of the interfaces that steps use: engines, admission and chooser.
 
-The engines' truth says which version made which token of which stream, and
-every sample's text spells out its stream and token numbers.
+The engines record which version made each token of each stream, and a sample's text
+contains its stream id and token numbers.
 """
 
 import asyncio
@@ -31,7 +31,7 @@
 
 
 class FakeStream:
-    """A stream of a fake engine; ``run`` tells two makings of one id apart."""
+    """A stream of a fake engine; ``run`` differs each time a stream id is started."""
 
     def __init__(self, order, length, run):
         self.order = order
@@ -57,7 +57,7 @@
 
 
 class FakeEngineServer:
-    """One engine. It makes tokens only in ``tick``, unless it is frozen."""
+    """One engine; it generates tokens only in ``tick``, and none while frozen."""
 
     def __init__(self, name, version=1):
         self.name = name
@@ -73,7 +73,7 @@
 
 
 class FakeEngines(Engine):
-    """The engines of a test; ``length_of(stream id)`` gives lengths."""
+    """The engines of a test; ``length_of(stream id)`` is a length in tokens."""
 
     def __init__(self, names, length_of=lambda stream: 4):
         self.servers = {name: FakeEngineServer(name) for name in names}
@@ -93,7 +93,7 @@
             server.version = version
 
     def tick(self, tokens=1):
-        """Let every engine make tokens."""
+        """Generate ``tokens`` tokens in each stream."""
         for server in self.servers.values():
             for stream in server.streams.values():
                 if server.frozen or server.dead:
@@ -105,7 +105,7 @@
     async def stream(self, backend, order):
         server = self.servers[backend.name]
         if server.dead:
-            yield Broken("refused connection", began=False)
+            yield Broken("connection refused", began=False)
             return
         if server.refuses:
             yield NotRun("queue full", 0.01)
@@ -180,7 +180,7 @@
         raise NotImplementedError
 
     def lose_streams(self, name):
-        """Restart an engine: it forgets its streams."""
+        """Simulate an engine restart, which loses its streams."""
         self.servers[name].streams.clear()
 
 
@@ -193,7 +193,7 @@
 
 
 class FakeAdmission:
-    """Gives ``slots`` at once."""
+    """Admits up to ``slots`` concurrent permits."""
 
     def __init__(self, slots=1000):
         self.slots = slots
@@ -206,7 +206,7 @@
 
 
 class FakeChooser:
-    """Takes the engine with the least in flight, the first named on a tie."""
+    """Chooses the engine with the fewest calls in flight, the first on a tie."""
 
     def __init__(self):
         self.in_flight_by = {}
@@ -248,7 +248,7 @@
 
 
 class Bench:
-    """Several instances' steps over the same fake engines."""
+    """The steps services of several instances with the same fake engines."""
 
     def __init__(self, engines=("e1", "e2"), length_of=lambda stream: 4, **row):
         self.engines = FakeEngines(engines, length_of)
@@ -271,7 +271,7 @@
         )
 
     def instance(self, **steps):
-        """Return the steps of one more instance."""
+        """Return the steps service of another instance."""
         if steps:
             steps = {"attach_idle": 60, **steps}
             self.settings = settings.from_document({"steps": steps})
@@ -307,7 +307,7 @@
         return service._steps["trainer", "s1"].owner
 
     async def running(self, service, count):
-        """Wait until that many streams of a step are read."""
+        """Wait until ``count`` attempts of the step are running; return its owner."""
         owner = self.owner(service)
         await until(
             lambda: sum(len(sample.running) for sample in owner.samples) >= count
@@ -315,7 +315,7 @@
         return owner
 
     async def ready(self, service, count):
-        """Let the engines work until that many samples are ready."""
+        """Generate tokens until ``count`` samples are ready; return the owner."""
         owner = self.owner(service)
 
         def has_enough():
@@ -326,7 +326,7 @@
         return owner
 
     def engine_streams(self):
-        """Return the ids of the streams that engines hold."""
+        """Return the ids of all streams on the engines."""
         servers = self.engines.servers.values()
         return [stream for server in servers for stream in server.streams]
 
@@ -338,7 +338,7 @@
             reply = await self.fetch(service, token, attach, wait_ms=5, **fields)
             for sample in reply["samples"]:
                 key = (sample["group"], sample["index"])
-                assert key not in samples, f"{key} came twice"
+                assert key not in samples, f"sample {key} was delivered twice"
                 samples[key] = sample
             token = reply["token"]
             if not reply["remaining"]:
--- a/sassafrasdoor/steps/tests/test_client.py
+++ b/sassafrasdoor/steps/tests/test_client.py
@@ -27,7 +27,7 @@
 
 
 class Server:
-    """One instance's HTTP over its steps; ``replies_to_cut`` fetch replies are cut."""
+    """An instance's HTTP server; the next ``replies_to_cut`` fetch replies are cut."""
 
     def __init__(self, bench, servers, **steps):
         self.steps = bench.instance(**steps)
@@ -108,7 +108,7 @@
         return document
 
     async def samples_of(self, run, each=lambda count: None):
-        """Read a run to its end; every sample must come once."""
+        """Read a run to its end; assert that no sample is yielded twice."""
         places = []
         async for sample in run.samples():
             places.append((sample["group"], sample["index"]))
@@ -130,7 +130,7 @@
         await until(lambda: server.steps.status() == [])
 
     async def test_faults_between_trainer_and_instances(self):
-        """Guards against samples lost or repeated by a fault on the way."""
+        """Guards against samples lost or repeated by network or instance faults."""
 
         async def replies_lost(one, two):
             one.replies_to_cut = two.replies_to_cut = 2
@@ -182,7 +182,7 @@
         self.assertEqual(run.report.counts["regenerated"], 0)
 
     async def test_restarted_trainer_resumes_from_its_state(self):
-        """Guards against samples lost by a restart of their trainer."""
+        """Guards against samples lost at a restart of the trainer."""
         server = self.serve()
         server.steps.submit(self.bench.row, self.bench.spec())
         await self.bench.ready(server.steps, 4)
@@ -194,7 +194,7 @@
         self.assertEqual(rest, ALL_PLACES - {(s["group"], s["index"]) for s in first})
 
     async def test_weights_published_while_a_reply_is_in_flight(self):
-        """Guards against a sample that turned stale on its way to the trainer."""
+        """Guards against a sample that becomes stale while its reply is in flight."""
         self.serve()
         engines = self.bench.engines
 
@@ -228,7 +228,7 @@
         self.assertEqual([finding.place for finding in run.failure.findings], ["more"])
 
     async def run_command(self, prompts, *options):
-        """Run the trainer's program; return its exit code and output."""
+        """Run the trainer command; return its exit code and output."""
         with tempfile.NamedTemporaryFile("w", suffix=".json") as file:
             file.write(prompts)
             file.flush()
--- a/sassafrasdoor/steps/tests/test_delivery.py
+++ b/sassafrasdoor/steps/tests/test_delivery.py
@@ -32,7 +32,7 @@
         return bench, service
 
     async def test_staleness_is_checked_at_delivery(self):
-        """Guards against staleness judged before delivery or by one source only."""
+        """Guards against staleness checked too early or by one version source only."""
 
         async def announced(bench, service):
             bench.announced = 3
@@ -83,7 +83,7 @@
         self.assertEqual(reply["samples"], [])
 
     async def test_unconfirmed_view_delivers_only_with_a_stated_version(self):
-        """Guards against stale samples from an instance cut off from the log."""
+        """Guards against stale samples from an instance partitioned from the log."""
         bench, service = await self.ready()
         bench.confirmed_at = now() - 60
         reply = await bench.fetch(service)
@@ -93,7 +93,7 @@
         )
 
     async def test_version_stated_before_a_pause_is_not_confirmed(self):
-        """Guards against staleness judged by a version stated before a pause."""
+        """Guards against staleness checked by a version stated before a pause."""
         bench, service = await self.ready()
         bench.confirmed_at = now() - 60
         step = service._steps["trainer", "s1"]
@@ -106,7 +106,7 @@
         )
 
     async def test_lost_reply_is_resent_for_the_same_token(self):
-        """Guards against a sent reply taken for a delivered one."""
+        """Guards against a reply that counts as delivered once it is sent."""
         bench = self.bench()
         service = bench.instance(batch_size=2)
         service.submit(bench.row, bench.spec())
@@ -219,7 +219,7 @@
         self.assertIsInstance(await bench.fetch(service), NoSuchStep)
 
     async def test_concurrent_trainers(self):
-        """Two rows and two steps under one name each get their own samples."""
+        """Guards against samples exchanged between rows or steps of the same name."""
         bench = self.bench()
         service = bench.instance()
         other = bench.row.model_copy(update={"name": "other"})
@@ -240,7 +240,7 @@
         for step in ("s1", "s2"):
             service.submit(bench.row, bench.spec(step=step))
         with mock.patch.object(StepOwner, "check_stragglers", side_effect=ValueError):
-            await until(lambda: not service.status(), what="both to be forgotten")
+            await until(lambda: not service.status(), what="removal of both steps")
 
     async def test_fetch_wait_is_bounded_by_settings(self):
         bench = self.bench()
--- a/sassafrasdoor/steps/tests/test_exactly_once.py
+++ b/sassafrasdoor/steps/tests/test_exactly_once.py
@@ -1,4 +1,4 @@
-"""A state machine of a trainer, two instances and two engines that all fail."""
+"""A state machine of a trainer, two instances and two engines, all with faults."""
 
 import asyncio
 
@@ -18,7 +18,7 @@
 
 
 class StepMachine(RuleBasedStateMachine):
-    """The trainer keeps each sample once, truly labelled and never too old."""
+    """The trainer gets each sample once, with correct labels and not too old."""
 
     def __init__(self):
         super().__init__()
@@ -76,7 +76,9 @@
     def accept(self, reply):
         for sample in reply["samples"] if reply else ():
             position = sample["group"] * 2 + sample["index"]
-            assert position not in self.received, "sent although the token names it"
+            assert position not in self.received, (
+                "sample sent although the token names it"
+            )
             assert self.token.add(position)
             self.received[position] = sample
 
--- a/sassafrasdoor/steps/tests/test_owner.py
+++ b/sassafrasdoor/steps/tests/test_owner.py
@@ -12,7 +12,7 @@
         return bench
 
     def assert_labels_match_engines(self, bench, samples):
-        """Each token's label is the version that made it; one run a sample."""
+        """Assert that labels name each token's version, and that texts have one run."""
         for sample in samples.values():
             words = [f"{word} " for word in sample["text"].split()]
             named = {}
@@ -44,7 +44,7 @@
         self.assert_labels_match_engines(bench, samples)
 
     async def test_recovery_from_engine_faults(self):
-        """Guards against a text joined from two streams after an engine's fault."""
+        """Guards against a text joined from two streams after an engine fault."""
 
         def cut(bench):
             bench.engines["e1"].cut_next = 2
@@ -103,7 +103,7 @@
         self.assertEqual(owner.samples[0].generation, 1)
 
     async def test_successor_resumes_streams_of_a_closed_instance(self):
-        """Guards against streams of a dead instance that are generated again."""
+        """Guards against a successor that regenerates its predecessor's streams."""
         bench = self.bench(length_of=lambda stream: 8)
         first, second = bench.instance(), bench.instance()
         first.submit(bench.row, bench.spec())
--- a/sassafrasdoor/steps/tests/test_scoring.py
+++ b/sassafrasdoor/steps/tests/test_scoring.py
@@ -1,4 +1,4 @@
-"""Samples whose group names a reward call: scored, repeated, given up."""
+"""Reward calls of samples: scores, retries and failures."""
 
 import asyncio
 import unittest
@@ -16,7 +16,7 @@
 
 
 class FakeService:
-    """Answers by ``answers``, then well; ``calls`` are ``(id, path, body)``."""
+    """Returns ``answers``, then ``GOOD``; ``calls`` holds ``(id, path, body)``."""
 
     def __init__(self, *answers):
         self.answers = list(answers)
@@ -47,7 +47,7 @@
         self.assertEqual(len(set(self.service.calls)), 1)
 
     async def test_failing_call_is_abandoned_after_max_failures(self):
-        """Guards against retries of a failing reward call without end."""
+        """Guards against endless retries of a failing reward call."""
         result = await self.score(*[FAILED] * 9)
         self.assertIsInstance(result, NoScore)
         self.assertEqual(len(self.service.calls), 3)
--- a/sassafrasdoor/steps/tests/test_steps_processes.py
+++ b/sassafrasdoor/steps/tests/test_steps_processes.py
@@ -1,4 +1,4 @@
-"""Steps through real processes, judged by what the engines truly did."""
+"""Steps with real processes, compared to the engines' own records."""
 
 import asyncio
 import unittest
@@ -34,7 +34,7 @@
 
 
 class FixedAddressTrainer(Trainer):
-    """Uses the addresses it was given, in their order, and no discovery."""
+    """Uses the given addresses in order, without discovery."""
 
     __slots__ = ("statuses",)
 
@@ -48,14 +48,14 @@
 
 
 class EngineRecords:
-    """Which version made which token, by every engine, also those gone since."""
+    """The version that made each token, from all engines, also stopped ones."""
 
     def __init__(self, cluster):
         self._cluster = cluster
         self._records = {}
 
     async def collect(self, *names):
-        """Read the engines' truth, before one of them goes."""
+        """Read the records of engines, before they stop."""
         for name in names:
             truth = await self._cluster.truth(name)
             for stream, record in truth["streams"].items():
@@ -88,18 +88,18 @@
         return trainer
 
     async def read(self, run, after=1, inject_fault=None):
-        """Read a run to its end; ``strike`` once ``after`` samples are in."""
+        """Read a run to its end; call ``inject_fault`` after ``after`` samples."""
         samples = {}
         async for sample in run.samples():
             place = sample["group"], sample["index"]
-            self.assertNotIn(place, samples, "a sample came twice")
+            self.assertNotIn(place, samples, "a sample was delivered twice")
             samples[place] = sample
             if len(samples) == after and inject_fault is not None:
                 await inject_fault()
         return samples
 
     def assert_matches_engines(self, run, samples, step, **changes):
-        """All samples, each with the very versions that made its tokens."""
+        """Assert that the run is complete and its labels match the engines' records."""
         self.assertIsNone(run.failure)
         self.assertEqual(set(samples), PLACES)
         spec = StepSpec.model_validate({**document(step, **changes), "attach": 1})
@@ -117,14 +117,14 @@
             self.assertEqual(sample["oldest_version"], min(named.values()))
 
     def _stream_of(self, identity, position, sample, length):
-        """Return the stream whose text the sample is."""
+        """Return the id of the stream that has the sample's text."""
         for generation in range(GENERATIONS):
             stream = identity.stream(position, generation)
             seed = identity.seed(position, generation)
             text = "".join(word_at(seed, stream, token) for token in range(length))
             if text == sample["text"]:
                 return stream
-        raise AssertionError(f"no engine ever made {sample}")
+        raise AssertionError(f"no stream has the text of {sample}")
 
     async def test_scores_survive_faults_of_the_service_and_of_the_owner(self):
         """Guards against missing or exchanged scores after faults."""
@@ -153,7 +153,7 @@
             self.assertEqual(sample["score"]["request_id"], f"{stream}.reward")
 
     async def test_instance_fails_during_a_step(self):
-        """Guards against a step's state that is lost with its owner."""
+        """Guards against step state that is lost with its owner."""
         cluster = await self.cluster(instances=3)
         one, two, three = cluster.instances
 
@@ -197,7 +197,7 @@
         self.assertEqual(await stops[0], (0, 0))
 
     async def test_replies_are_lost(self):
-        """Guards against a sent batch taken for a delivered one."""
+        """Guards against a batch that counts as delivered once it is sent."""
         cluster = await self.cluster(instances=1)
         proxy = await Proxy(cluster.instances[0].address).open()
         self.addAsyncCleanup(proxy.close)
@@ -214,7 +214,7 @@
         self.assertGreater(run.report.attachments, 1)
 
     async def test_concurrent_attachments(self):
-        """Guards against two owners that run one step with separate streams."""
+        """Guards against two owners of a step that start separate streams."""
         cluster = await self.cluster()
         old = self.trainer(cluster.instances[0].address).run(document("twice"))
         new = self.trainer(cluster.instances[1].address).run(
@@ -226,7 +226,7 @@
             self.assert_matches_engines(run, samples, "twice")
 
     async def test_engine_crashes(self):
-        """Guards against a resumed stream taken for complete without a report."""
+        """Guards against a resumed stream that is accepted without a final report."""
         cluster = await self.cluster()
 
         async def crash():
@@ -271,7 +271,7 @@
         self.assertEqual(await stops[0], (0, 0))
 
     async def test_engine_connections_fall_silent(self):
-        """Guards against silent connections taken for live ones."""
+        """Guards against silent connections that count as live."""
         cluster = await self.cluster(engines=1)
 
         async def silence():
@@ -285,7 +285,7 @@
         self.assertEqual(run.report.counts["regenerated"], 0)
 
     async def test_weight_swap_during_a_step(self):
-        """Guards against a label that omits the version of a swap in the step."""
+        """Guards against a label that omits the version swapped to during the step."""
         cluster = await self.cluster()
 
         async def swap():
@@ -307,7 +307,7 @@
         return swapped
 
     async def test_weights_announced_between_last_token_and_delivery(self):
-        """Guards against staleness judged before delivery."""
+        """Guards against staleness checked before delivery."""
         cluster = await self.cluster(instances=1)
         address = cluster.instances[0].address
         path = f"/v1/steps/{ROW}"
--- a/sassafrasdoor/steps/tests/test_stragglers.py
+++ b/sassafrasdoor/steps/tests/test_stragglers.py
@@ -23,7 +23,7 @@
 
 class StragglersTest(unittest.IsolatedAsyncioTestCase):
     async def start_step(self, mode, **row):
-        """A step of two samples, one on each engine, with some tokens made."""
+        """Start a step of two samples, one on each engine, with 10 tokens each."""
         bench = Bench(length_of=lambda stream: LENGTH, **row)
         self.addAsyncCleanup(bench.close)
         steps = bench.instance(stragglers=mode)
@@ -35,7 +35,7 @@
         return bench, steps, owner
 
     async def test_second_attempt_for_a_straggler(self):
-        """Guards against a stream that stays at a slow or frozen engine."""
+        """Guards against a stream that stays on a slow or frozen engine."""
 
         def slow(engine):
             engine.speed = 0
@@ -87,7 +87,7 @@
         self.assertEqual(first.generation, 0)
 
     async def test_replayed_tokens_do_not_count_towards_the_rate(self):
-        """Guards against replayed tokens counted as an engine's speed."""
+        """Guards against a rate that includes replayed tokens."""
         bench, steps, owner = await self.start_step("duplicate")
         await steps.close()
         successor = bench.instance(stragglers="duplicate")
@@ -113,7 +113,7 @@
         )
 
     async def test_restart_at_a_weight_swap_depends_on_preference(self):
-        """A row that weighs staleness restarts a young stream at a swap."""
+        """A row that prefers low staleness restarts short streams at a weight swap."""
         table = [(Preference.STALENESS, {2}), (Preference.IDLE, {1})]
         for prefers, oldest in table:
             with self.subTest(prefers):
