--- a/sassafrasdoor/steps/tests/test_client.py
+++ b/sassafrasdoor/steps/tests/test_client.py
@@ -132,20 +132,20 @@
     async def test_faults_between_trainer_and_instances(self):
         """Guards against samples lost or repeated by network or instance faults."""
 
-        async def replies_lost(one, two):
-            one.replies_to_cut = two.replies_to_cut = 2
+        async def replies_lost(first, second):
+            first.replies_to_cut = second.replies_to_cut = 2
 
-        async def instance_gone(one, two):
-            await one.close()
+        async def instance_gone(first, second):
+            await first.close()
 
-        async def step_forgotten(one, two):
-            await one.steps.close()
+        async def step_forgotten(first, second):
+            await first.steps.close()
 
-        async def drained(one, two):
-            self.drained = asyncio.ensure_future(one.steps.drain())
+        async def drained(first, second):
+            self.drained = asyncio.ensure_future(first.steps.drain())
 
-        async def attached_elsewhere(one, two):
-            two.steps.submit(self.bench.row, self.bench.spec(attach=7))
+        async def attached_elsewhere(first, second):
+            second.steps.submit(self.bench.row, self.bench.spec(attach=7))
 
         faults = [
             replies_lost,
@@ -171,11 +171,11 @@
                 self.assertIsNone(run.failure)
 
     async def test_drain_waits_until_trainers_are_redirected(self):
-        one, two = self.serve(), self.serve()
+        first, second = self.serve(), self.serve()
         run = self.trainer().run(self.document())
         reading = asyncio.ensure_future(self.samples_of(run))
-        await until(lambda: one.steps.status() or two.steps.status())
-        leaving = one if one.steps.status() else two
+        await until(lambda: first.steps.status() or second.steps.status())
+        leaving = first if first.steps.status() else second
         await leaving.steps.drain()
         self.assertEqual(leaving.steps.status(), [])
         self.assertEqual(await reading, ALL_PLACES)
@@ -251,8 +251,8 @@
         for prompts, options, code, text in table:
             with self.subTest(code=code):
                 more = ("--key", KEY, "--samples", "2", "--json", *options)
-                got, output = await self.run_command(prompts, *more)
-                self.assertEqual(got, code)
+                actual, output = await self.run_command(prompts, *more)
+                self.assertEqual(actual, code)
                 self.assertIn(text, output)
 
     async def test_statuses_of_refusals(self):
@@ -270,12 +270,14 @@
         ]
         for path, document, status, outcome in table:
             with self.subTest(path=path, status=status):
-                got, reply = await trainer.call("POST", server.address, path, document)
-                self.assertEqual((got, reply["outcome"]), (status, outcome))
+                actual, reply = await trainer.call(
+                    "POST", server.address, path, document
+                )
+                self.assertEqual((actual, reply["outcome"]), (status, outcome))
         await server.steps.close()
         server.steps._draining = True
         document = {**self.document(), "attach": 1}
-        got, reply = await trainer.call(
+        actual, reply = await trainer.call(
             "POST", server.address, "/v1/steps/trainer", document
         )
-        self.assertEqual((got, reply["outcome"]), (503, "not-run"))
+        self.assertEqual((actual, reply["outcome"]), (503, "not-run"))
--- a/sassafrasdoor/steps/tests/test_exactly_once.py
+++ b/sassafrasdoor/steps/tests/test_exactly_once.py
@@ -64,12 +64,12 @@
         words = [f"{word} " for word in sample["text"].split()]
         assert len(words) == LENGTH
         made = [self.bench.engines.versions_by_text[word] for word in words]
-        named = [
+        labelled = [
             version
             for version, first, last in sample["spans"]
             for _ in range(first, last)
         ]
-        assert made == named, (made, named)
+        assert made == labelled, (made, labelled)
         assert len({word.split("/")[1] for word in words}) == 1, words
         assert min(made) >= newest - BOUND, (made, newest)
 
--- a/sassafrasdoor/steps/tests/test_owner.py
+++ b/sassafrasdoor/steps/tests/test_owner.py
@@ -15,15 +15,15 @@
         """Assert that labels name each token's version, and that texts have one run."""
         for sample in samples.values():
             words = [f"{word} " for word in sample["text"].split()]
-            named = {}
+            labelled = {}
             for version, first, last in sample["spans"]:
                 for number in range(first, last):
-                    named.setdefault(number, set()).add(version)
-            truth = {
+                    labelled.setdefault(number, set()).add(version)
+            expected = {
                 number: {bench.engines.versions_by_text[word]}
                 for number, word in enumerate(words)
             }
-            self.assertEqual(named, truth)
+            self.assertEqual(labelled, expected)
             numbers = [int(word.rsplit("/", 1)[1]) for word in words]
             self.assertEqual(numbers, list(range(len(words))))
             self.assertEqual(len({word.split("/")[1] for word in words}), 1)
--- a/sassafrasdoor/steps/tests/test_steps_processes.py
+++ b/sassafrasdoor/steps/tests/test_steps_processes.py
@@ -57,10 +57,10 @@
     async def collect(self, *names):
         """Read the records of engines, before they stop."""
         for name in names:
-            truth = await self._cluster.truth(name)
-            for stream, record in truth["streams"].items():
-                for number, made in enumerate(record["executions"]):
-                    self._records[name, stream, number] = made["spans"]
+            state = await self._cluster.truth(name)
+            for stream, record in state["streams"].items():
+                for number, execution in enumerate(record["executions"]):
+                    self._records[name, stream, number] = execution["spans"]
 
     def versions_of(self, stream):
         """Return ``{token number: versions}`` of a stream over all engines."""
@@ -105,16 +105,16 @@
         spec = StepSpec.model_validate({**document(step, **changes), "attach": 1})
         identity = Identity(ROW, spec)
         for (group, index), sample in samples.items():
-            named = {}
+            labelled = {}
             for version, first, last in sample["spans"]:
                 for token in range(first, last):
-                    self.assertNotIn(token, named)
-                    named[token] = version
-            stream = self._stream_of(identity, group * 4 + index, sample, len(named))
-            made = self.records.versions_of(stream)
-            for token, version in named.items():
-                self.assertIn(version, made[token], (stream, token))
-            self.assertEqual(sample["oldest_version"], min(named.values()))
+                    self.assertNotIn(token, labelled)
+                    labelled[token] = version
+            stream = self._stream_of(identity, group * 4 + index, sample, len(labelled))
+            versions = self.records.versions_of(stream)
+            for token, version in labelled.items():
+                self.assertIn(version, versions[token], (stream, token))
+            self.assertEqual(sample["oldest_version"], min(labelled.values()))
 
     def _stream_of(self, identity, position, sample, length):
         """Return the id of the stream that has the sample's text."""
@@ -132,15 +132,17 @@
         await cluster.faults(
             "service-1", delay=0.3, fail=1, hang_up=2, hang_up_middle=1
         )
-        one, two = cluster.instances
+        first, second = cluster.instances
         reward = {"service": "occupancy", "path": "/score", "body": "{}"}
         groups = [{"prompt": f"level {at}", "reward": reward} for at in range(4)]
         changes = {"groups": groups}
-        run = self.trainer(one.address, two.address).run(document("scored", **changes))
+        run = self.trainer(first.address, second.address).run(
+            document("scored", **changes)
+        )
 
         async def killed():
             await self.records.collect("engine-1", "engine-2")
-            one.kill()
+            first.kill()
 
         samples = await self.read(run, 2, killed)
         await self.records.collect("engine-1", "engine-2")
@@ -155,21 +157,21 @@
     async def test_instance_fails_during_a_step(self):
         """Guards against step state that is lost with its owner."""
         cluster = await self.cluster(instances=3)
-        one, two, three = cluster.instances
+        first, second, third = cluster.instances
 
         async def frozen():
-            one.freeze()
+            first.freeze()
 
         async def killed():
-            two.kill()
+            second.kill()
 
-        for fault, owner, other in ((frozen, one, two), (killed, two, three)):
+        for fault, owner, other in ((frozen, first, second), (killed, second, third)):
             with self.subTest(fault.__name__):
                 run = self.trainer(owner.address, other.address).run(
                     document(fault.__name__, deadline_ms=90_000)
                 )
                 samples = await self.read(run, 3, fault)
-                one.thaw()
+                first.thaw()
                 await self.records.collect("engine-1", "engine-2")
                 self.assert_matches_engines(run, samples, fault.__name__)
                 self.assertEqual(run.report.attachments, 2)
@@ -178,13 +180,13 @@
     async def test_planned_stop_during_a_step(self):
         """Guards against a drain that truncates fetches or streams."""
         cluster = await self.cluster()
-        one, two = cluster.instances
+        first, second = cluster.instances
         stops = []
 
         async def stop():
-            stops.append(asyncio.ensure_future(asyncio.to_thread(one.stop)))
+            stops.append(asyncio.ensure_future(asyncio.to_thread(first.stop)))
 
-        trainer = self.trainer(one.address, two.address)
+        trainer = self.trainer(first.address, second.address)
         long = {"max_tokens": 400}
         run = trainer.run(document("stop", **long))
         samples = await self.read(run, 1, stop)
@@ -243,20 +245,20 @@
     async def test_combined_faults(self):
         """Guards against recovery that fails under a second fault."""
         cluster = await self.cluster(instances=3, engines=3)
-        one, two, three = cluster.instances
+        first, second, third = cluster.instances
         stops = []
 
         async def inject_fault():
             await cluster.faults("engine-1", freeze=True)
             await self.records.collect("engine-1")
             cluster.backends["engine-1"].kill()
-            one.kill()
+            first.kill()
             await cluster.announce(MODEL, 2)
 
         async def stop():
-            stops.append(asyncio.ensure_future(asyncio.to_thread(two.stop)))
+            stops.append(asyncio.ensure_future(asyncio.to_thread(second.stop)))
 
-        trainer = self.trainer(one.address, two.address, three.address)
+        trainer = self.trainer(first.address, second.address, third.address)
         long = {"max_tokens": 400}
         run = trainer.run(document("many", **long))
         samples = {}
@@ -296,13 +298,13 @@
         samples = await self.read(run, 1, swap)
         await self.records.collect("engine-1", "engine-2")
         self.assert_matches_engines(run, samples, "swap")
-        named = {span[0] for sample in samples.values() for span in sample["spans"]}
-        self.assertIn(2, named)
+        labelled = {span[0] for sample in samples.values() for span in sample["spans"]}
+        self.assertIn(2, labelled)
 
     def _has_swapped(self, cluster, version):
         async def swapped():
-            truths = [await cluster.truth(name) for name in cluster.backends]
-            return all(truth["versions"].get(MODEL) == version for truth in truths)
+            states = [await cluster.truth(name) for name in cluster.backends]
+            return all(state["versions"].get(MODEL) == version for state in states)
 
         return swapped
 
--- a/sassafrasdoor/steps/tests/test_token.py
+++ b/sassafrasdoor/steps/tests/test_token.py
@@ -15,17 +15,17 @@
 class TokenTest(unittest.TestCase):
     @settings(derandomize=True, max_examples=200, deadline=None)
     @given(SIZES, st.sets(st.integers(0, 69)), st.sets(st.integers(0, 69)))
-    def test_behaves_as_a_set_and_round_trips(self, size, one, two):
-        one = {position for position in one if position < size}
-        two = {position for position in two if position < size}
-        token, other = DeliveryToken(size, one), DeliveryToken(size, two)
+    def test_behaves_as_a_set_and_round_trips(self, size, left, right):
+        left = {position for position in left if position < size}
+        right = {position for position in right if position < size}
+        token, other = DeliveryToken(size, left), DeliveryToken(size, right)
         self.assertEqual(DeliveryToken.parse(token.encode(), size), token)
-        self.assertEqual(set(token), one)
-        self.assertEqual(len(token), len(one))
-        self.assertEqual(set(token.missing()), set(range(size)) - one)
-        self.assertEqual(set(token.difference(other)), one - two)
-        self.assertEqual(set(token.union(two)), one | two)
-        self.assertEqual(token.complete, len(one) == size)
+        self.assertEqual(set(token), left)
+        self.assertEqual(len(token), len(left))
+        self.assertEqual(set(token.missing()), set(range(size)) - left)
+        self.assertEqual(set(token.difference(other)), left - right)
+        self.assertEqual(set(token.union(right)), left | right)
+        self.assertEqual(token.complete, len(left) == size)
 
     def test_1024_samples_are_128_bytes(self):
         raw = base64.b64decode(DeliveryToken(1024, [1023]).encode())
