--- a/sassafrasdoor/steps/adoption.py
+++ b/sassafrasdoor/steps/adoption.py
@@ -20,7 +20,7 @@
     )
     for position, streams in streams_by_position.items():
         sample, best = owner.samples[position], streams[0]
-        resources.cleaner.cancel(held.location for held in streams[1:])
+        resources.cleaner.cancel(stream.location for stream in streams[1:])
         if sample.state is SampleState.TAKEN:
             resources.cleaner.cancel([best.location])
             continue
@@ -79,10 +79,10 @@
         )
     )
     streams_by_position = defaultdict(list)
-    for position, held in (pair for answer in answers for pair in answer):
-        streams_by_position[position].append(held)
+    for position, stream in (pair for answer in answers for pair in answer):
+        streams_by_position[position].append(stream)
     for streams in streams_by_position.values():
-        streams.sort(key=lambda held: held.rank, reverse=True)
+        streams.sort(key=lambda stream: stream.rank, reverse=True)
     return dict(streams_by_position)
 
 
--- a/sassafrasdoor/steps/client.py
+++ b/sassafrasdoor/steps/client.py
@@ -46,9 +46,9 @@
 
     __slots__ = (
         "_ca_file",
+        "_discovered",
         "_http",
         "_key",
-        "_discovered",
         "_seeds",
         "_zone",
         "newest_version",
@@ -133,11 +133,11 @@
     __slots__ = (
         "_address",
         "_addresses",
-        "_received",
         "_attach",
         "_deadline",
         "_document",
         "_left_address",
+        "_received",
         "_trainer",
         "_yielded",
         "failure",
--- a/sassafrasdoor/steps/dispatch.py
+++ b/sassafrasdoor/steps/dispatch.py
@@ -43,7 +43,7 @@
 class Dispatcher:
     """Requests admission permits while its step has samples to start."""
 
-    __slots__ = ("_owner", "_resources", "_pending_admissions", "pending")
+    __slots__ = ("_owner", "_pending_admissions", "_resources", "pending")
 
     def __init__(self, resources, owner):
         self._resources = resources
--- a/sassafrasdoor/steps/registry.py
+++ b/sassafrasdoor/steps/registry.py
@@ -49,7 +49,7 @@
 class OwnedStep:
     """A step's owner, its delivery and whether its trainer has been redirected."""
 
-    __slots__ = ("delivery", "owner", "is_trainer_redirected")
+    __slots__ = ("delivery", "is_trainer_redirected", "owner")
 
     def __init__(self, settings, owner):
         self.owner = owner
@@ -61,8 +61,8 @@
     """All steps of this instance; needs a running event loop."""
 
     __slots__ = (
-        "_draining",
         "_drain_progress",
+        "_draining",
         "_resources",
         "_settings",
         "_steps",
@@ -124,7 +124,7 @@
     def handle_reply_sent(self, row, name):
         """Record that a reply to the step's trainer was written completely.
 
-        If it counted before that, a drain could end the process and truncate the reply.
+        Counting it earlier would let a drain end the process and truncate the reply.
         """
         step = self._steps.get((row.name, name))
         if step is not None and step.owner.stopping:
--- a/sassafrasdoor/steps/sample.py
+++ b/sassafrasdoor/steps/sample.py
@@ -33,12 +33,12 @@
         "adopted",
         "attempt",
         "generation",
+        "open_streams",
         "position",
         "running",
         "score",
         "state",
         "tasks",
-        "open_streams",
     )
 
     def __init__(self, position):
@@ -74,11 +74,11 @@
     __slots__ = (
         "_spans",
         "_texts",
+        "adopted_tokens",
         "backend",
-        "imported_tokens",
         "breaks",
-        "adopted_tokens",
         "generation",
+        "imported_tokens",
         "offset",
         "oldest",
         "started_at",
--- a/sassafrasdoor/steps/scoring.py
+++ b/sassafrasdoor/steps/scoring.py
@@ -12,8 +12,8 @@
 from sassafrasdoor.metrics import counter
 from sassafrasdoor.outcomes import Outcome
 
-# Per process; leaves the service's other slots to live callers. A step's samples finish
-# over seconds.
+# Per process; leaves the service's other slots to live callers. It suffices, as the
+# samples of a step finish over several seconds.
 MAX_CONCURRENT_CALLS = 16
 CALL_TIMEOUT = 5.0  # seconds per attempt; then retried, on another backend if possible
 # Answers with status 500 after which a sample is delivered without a score: some calls
@@ -35,7 +35,7 @@
 class Scorer:
     """Sends reward calls through ``service``, the adapter to plain services or None."""
 
-    __slots__ = ("_chooser", "_slots", "_service", "_view")
+    __slots__ = ("_chooser", "_service", "_slots", "_view")
 
     def __init__(self, view, chooser, service):
         self._view = view
--- a/sassafrasdoor/steps/stragglers.py
+++ b/sassafrasdoor/steps/stragglers.py
@@ -46,7 +46,7 @@
         """Return the expected remaining tokens of a sample with ``offset`` tokens.
 
         Lengths have a long tail, so the remainder grows with the offset: it is the mean
-        over longer finished samples, or without any half of what the limit leaves.
+        over longer finished samples, or, without any, half of what the limit leaves.
         """
         longer = [length - offset for length in self._lengths if length > offset]
         return fmean(longer) if longer else max(1.0, (self._limit - offset) / 2)
@@ -82,7 +82,7 @@
         self._best_rate = max(self._best_rate, attempt.rate)
 
     def check(self):
-        """Start second attempts that are likely faster, at most each CHECK_INTERVAL."""
+        """Start second attempts that are likely faster, once per ``CHECK_INTERVAL``."""
         elapsed = now() - self._checked_at
         if self._mode is Mode.OFF or elapsed < CHECK_INTERVAL:
             return
