--- a/sassafrasdoor/steps/dispatch.py
+++ b/sassafrasdoor/steps/dispatch.py
@@ -1,4 +1,4 @@
-"""Starting a step's samples: in which order, and with a permit each."""
+"""Starts a step's samples in order, each with an admission permit."""
 
 import asyncio
 from heapq import heappop, heappush
@@ -7,33 +7,32 @@
 from sassafrasdoor.outcomes import Outcome
 from sassafrasdoor.steps.sample import SampleState
 
-ADMISSIONS_AHEAD = 32
+MAX_PENDING_ADMISSIONS = 32  # per step
 
 
-class Pending:
-    """Samples that wait to be started; the first to start is popped first.
+class PendingQueue:
+    """A priority queue of the samples to be started.
 
-    Streams found on an engine come first: they hold its memory already. Then
-    whole groups, one after another, so that a group's prompt is read while it
-    is still cached.
+    Adopted streams come first, as they already hold engine memory; then one group after
+    another, so that a group's prompt is still in the prefix cache.
     """
 
-    __slots__ = ("_heap", "_tie")
+    __slots__ = ("_heap", "_tie_breaker")
 
     def __init__(self):
         self._heap = []
-        self._tie = count()
+        self._tie_breaker = count()
 
     def __len__(self):
         return len(self._heap)
 
     def add(self, sample, group):
         """Add a sample of ``group``."""
-        rank = (sample.adopted is None, group, next(self._tie))
+        rank = (sample.adopted is None, group, next(self._tie_breaker))
         heappush(self._heap, (rank, sample))
 
     def pop(self):
-        """Return the next sample that still waits, or None."""
+        """Return the next sample that is still PENDING, or None."""
         while self._heap:
             _, sample = heappop(self._heap)
             if sample.state is SampleState.PENDING:
@@ -42,32 +41,32 @@
 
 
 class Dispatcher:
-    """Keeps admissions waiting while its step has samples to start."""
+    """Requests admission permits while its step has samples to start."""
 
-    __slots__ = ("_owner", "_resources", "_waiting", "pending")
+    __slots__ = ("_owner", "_pending_admissions", "_resources", "pending")
 
     def __init__(self, resources, owner):
         self._resources = resources
         self._owner = owner
-        self._waiting = 0
-        self.pending = Pending()
+        self._pending_admissions = 0
+        self.pending = PendingQueue()
 
     @property
-    def idle(self):
-        """Whether no admission is waited for."""
-        return not self._waiting
+    def is_idle(self):
+        """Whether no admission is pending."""
+        return not self._pending_admissions
 
     def add(self, sample):
-        """Start a sample as soon as there is a permit; ``fill`` asks for one."""
+        """Queue a sample; ``request_permits`` must follow to start it."""
         sample.state = SampleState.PENDING
         self.pending.add(sample, self._owner.identity.place(sample.position)[0])
 
-    def fill(self):
-        """Ask for as many permits as there is work for, up to a bound."""
-        while self._waiting < min(ADMISSIONS_AHEAD, len(self.pending)):
-            if not self._owner.dispatching:
+    def request_permits(self):
+        """Request permits for pending samples, up to ``MAX_PENDING_ADMISSIONS``."""
+        while self._pending_admissions < min(MAX_PENDING_ADMISSIONS, len(self.pending)):
+            if not self._owner.is_dispatching:
                 return
-            self._waiting += 1
+            self._pending_admissions += 1
             self._owner.spawn(self._admit())
 
     async def _admit(self):
@@ -79,16 +78,16 @@
             if isinstance(permit, Outcome):
                 await asyncio.sleep(permit.retry_after)
         finally:
-            self._waiting -= 1
+            self._pending_admissions -= 1
         if not isinstance(permit, Outcome):
             self._start(permit)
-        self.fill()
+        self.request_permits()
 
     def _start(self, permit):
-        sample = self.pending.pop() if self._owner.dispatching else None
+        sample = self.pending.pop() if self._owner.is_dispatching else None
         if sample is None:
             permit.release()
             return
         attempt, sample.adopted = sample.adopted, None
         sample.state = SampleState.RUNNING
-        self._owner.make(sample, attempt, permit)
+        self._owner.start_sample(sample, attempt, permit)
--- a/sassafrasdoor/steps/handlers.py
+++ b/sassafrasdoor/steps/handlers.py
@@ -1,4 +1,4 @@
-"""The trainers' HTTP: submit, fetch and cancel steps."""
+"""HTTP handlers for trainers: submit, fetch and cancel steps."""
 
 from functools import singledispatch
 
@@ -11,48 +11,48 @@
     StepsService,
     no_such_step,
 )
-from sassafrasdoor.steps.spec import FetchSpec, StepSpec, checked
+from sassafrasdoor.steps.spec import FetchSpec, StepSpec, parse_input
 
 __all__ = ["StepsService", "handlers"]
 
-NAME = r"([A-Za-z0-9_.-]{1,64})"
+NAME_PATTERN = r"([A-Za-z0-9_.-]{1,64})"
 
 
 def handlers(steps_service):
-    """Return the handlers of steps for the application."""
-    mine = {"steps": steps_service}
+    """Return the URL specs of the step handlers."""
+    arguments = {"steps": steps_service}
     return [
-        (f"/v1/steps/{NAME}", SubmitHandler, mine),
-        (f"/v1/steps/{NAME}/{NAME}/fetch", FetchHandler, mine),
-        (f"/v1/steps/{NAME}/{NAME}", StepHandler, mine),
+        (f"/v1/steps/{NAME_PATTERN}", SubmitHandler, arguments),
+        (f"/v1/steps/{NAME_PATTERN}/{NAME_PATTERN}/fetch", FetchHandler, arguments),
+        (f"/v1/steps/{NAME_PATTERN}/{NAME_PATTERN}", StepHandler, arguments),
     ]
 
 
 class StepsHandler(tornado.web.RequestHandler):
-    """Base: the row's authorization and refusals."""
+    """Base of the step handlers: authorization by row, and refusals."""
 
     def initialize(self, steps):
         self._steps = steps
 
-    def authorized(self, row_name):
-        """Return the caller's row, or None once the refusal is written."""
+    def authorized_row(self, row_name):
+        """Return the caller's row, or None after writing a refusal."""
         return self.application.settings["authorize"](self, row_name)
 
     def refuse(self, outcome):
-        """Finish with what did not run, and why."""
+        """Finish with an ``Outcome`` and its findings."""
         status, kind = refusal_of(outcome)
         self.set_status(status)
         self.set_header("X-Outcome", kind)
         if isinstance(outcome, NotRun):
             self.set_header("Retry-After", str(max(1, round(outcome.retry_after))))
-        findings = [one.as_dict() for one in getattr(outcome, "findings", ())]
+        findings = [finding.as_dict() for finding in getattr(outcome, "findings", ())]
         document = {"outcome": kind, "reason": outcome.reason, "findings": findings}
         if isinstance(outcome, Conflict):
             document["attach"] = outcome.attach
         self.finish(document)
 
     def write_error(self, status_code, **kwargs):
-        """Answer a failure without a traceback."""
+        """Write an error reply without a traceback."""
         self.set_header("X-Outcome", "rejected")
         self.finish({"outcome": "rejected", "reason": self._reason, "findings": []})
 
@@ -61,11 +61,11 @@
     """``POST /v1/steps/{row}``."""
 
     def post(self, row_name):
-        """Own the step here, or attach to it."""
-        row = self.authorized(row_name)
+        """Submit the step to this instance, or attach to it."""
+        row = self.authorized_row(row_name)
         if row is None:
             return
-        spec = checked(StepSpec, self.request.body)
+        spec = parse_input(StepSpec, self.request.body)
         result = self._steps.submit(row, spec) if spec else spec
         if not result:
             self.refuse(result)
@@ -78,22 +78,22 @@
     """``POST /v1/steps/{row}/{step}/fetch``."""
 
     def on_connection_close(self):
-        """Tell the step's owner that its trainer hung up."""
-        self._steps.hung_up(*self.path_args)
+        """Handle a trainer that disconnected during a fetch."""
+        self._steps.handle_disconnect(*self.path_args)
 
     async def post(self, row_name, step):
-        """Answer with samples that the trainer lacks."""
-        row = self.authorized(row_name)
+        """Reply with samples that the trainer lacks."""
+        row = self.authorized_row(row_name)
         if row is None:
             return
-        fetch = checked(FetchSpec, self.request.body)
+        fetch = parse_input(FetchSpec, self.request.body)
         result = await self._steps.fetch(row, step, fetch) if fetch else fetch
-        # Nothing may be awaited here: staleness was judged a moment ago.
+        # Nothing may be awaited here: staleness was checked just now.
         if not result:
             self.refuse(result)
             return
         await self.finish(result)
-        self._steps.replied(row, step)
+        self._steps.handle_reply_sent(row, step)
 
 
 class StepHandler(StepsHandler):
@@ -101,7 +101,7 @@
 
     async def delete(self, row_name, step):
         """Cancel the step."""
-        row = self.authorized(row_name)
+        row = self.authorized_row(row_name)
         if row is None:
             return
         if await self._steps.cancel(row, step):
@@ -112,8 +112,8 @@
 
 @singledispatch
 def refusal_of(outcome):
-    """Return the HTTP status and the outcome's name on the wire."""
-    raise TypeError(f"no status for {outcome!r}")
+    """Return the HTTP status and the ``X-Outcome`` value of an outcome."""
+    raise TypeError(f"no HTTP status for the outcome {outcome!r}")
 
 
 @refusal_of.register
--- a/sassafrasdoor/steps/resources.py
+++ b/sassafrasdoor/steps/resources.py
@@ -1,4 +1,4 @@
-"""What all steps of an entry process share: engines, admission, counters."""
+"""Resources shared by all steps of an entry process, and its sample counters."""
 
 import asyncio
 import contextlib
@@ -9,20 +9,20 @@
 from sassafrasdoor.outcomes import Outcome
 from sassafrasdoor.steps.scoring import Scorer
 
-CANCEL_RETRY = 1.0
-CANCELS_AT_ONCE = 4
-CANCEL_TRIES = 5
+CANCEL_RETRY_DELAY = 1.0  # seconds
+MAX_CONCURRENT_CANCELS = 4  # per engine
+MAX_CANCEL_ATTEMPTS = 5
 
-EVENTS_TOTAL = metrics.counter(
+SAMPLE_EVENTS = metrics.counter(
     "sassafrasdoor_samples_total", "What became of samples, by kind and row."
 )
-WASTED = metrics.counter(
+WASTED_TOKENS = metrics.counter(
     "sassafrasdoor_sample_tokens_wasted_total", "Tokens made and thrown away, by row."
 )
 
 
 class Counts:
-    """Counters of one step, as its trainer sees them."""
+    """Counters of one step, reported to its trainer."""
 
     __slots__ = (
         "cut_early",
@@ -45,11 +45,10 @@
         return {name: getattr(self, name) for name in self.__slots__}
 
 
-class StreamAt:
+class StreamLocation:
     """A stream and the engine that may hold it.
 
-    Each view brings its own ``Backend`` objects, so engines are told apart by
-    their addresses.
+    Engines are compared by address, as each view has its own ``Backend`` objects.
     """
 
     __slots__ = ("backend", "stream")
@@ -70,10 +69,10 @@
 
 
 class Resources:
-    """Passed whole to every step's owner.
+    """Resources that all step owners share.
 
-    ``newest`` holds the newest version that any engine reported for a model:
-    it may be ahead of the view, which lags.
+    ``newest`` holds the newest version that any engine reported for a model, which may
+    be ahead of the lagging view.
     """
 
     __slots__ = (
@@ -97,8 +96,8 @@
         self.scorer = Scorer(view, chooser, service)
         self.cleaner = Cleaner(engine)
 
-    def reported(self, model, version):
-        """Note a version that an engine reported."""
+    def record_version(self, model, version):
+        """Record a version that an engine reported."""
         if version > self.newest.get(model, 0):
             self.newest[model] = version
 
@@ -108,56 +107,56 @@
 
 
 class Cleaner:
-    """Cancels streams that nobody wants, again while an engine is away.
+    """Cancels unneeded streams, with retries while an engine does not answer.
 
-    A cancel that is lost leaves a stream that holds the engine's memory; one
-    would notice engines filling up with done streams.
+    A stream whose cancel is lost keeps holding engine memory, and finished streams
+    accumulate.
     """
 
     __slots__ = ("_engine", "_permits", "_tasks")
 
     def __init__(self, engine):
         self._engine = engine
-        # For each engine its own: a frozen one must not hold up the others.
-        self._permits = defaultdict(lambda: asyncio.Semaphore(CANCELS_AT_ONCE))
+        # One semaphore per engine: a frozen one must not block the others.
+        self._permits = defaultdict(lambda: asyncio.Semaphore(MAX_CONCURRENT_CANCELS))
         self._tasks = set()
 
     def cancel(self, streams):
-        """Cancel every ``StreamAt`` in the background."""
-        for stream in streams:
-            self._spawn(self._cancel(stream))
+        """Cancel ``StreamLocation``s in the background."""
+        for location in streams:
+            self._spawn(self._cancel(location))
 
     def cancel_at(self, streams, deadline):
-        """Cancel them once ``deadline`` has passed."""
-        self._spawn(self._cancel_late(list(streams), deadline))
+        """Cancel ``StreamLocation``s once ``deadline`` has passed."""
+        self._spawn(self._cancel_after(list(streams), deadline))
 
     async def close(self):
-        """Give up what is not cancelled yet."""
+        """Stop all pending cancels."""
         tasks = list(self._tasks)
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    def _spawn(self, job):
-        task = asyncio.ensure_future(job)
+    def _spawn(self, coroutine):
+        task = asyncio.ensure_future(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _cancel_late(self, streams, deadline):
+    async def _cancel_after(self, streams, deadline):
         await asyncio.sleep(remaining(deadline))
         self.cancel(streams)
 
-    async def _cancel(self, held):
-        for _ in range(CANCEL_TRIES):
-            async with self._permits[held.backend.address]:
-                result = await self._engine.cancel(held.backend, held.stream)
+    async def _cancel(self, location):
+        for _ in range(MAX_CANCEL_ATTEMPTS):
+            async with self._permits[location.backend.address]:
+                result = await self._engine.cancel(location.backend, location.stream)
             if not isinstance(result, Outcome):
                 return
-            await asyncio.sleep(CANCEL_RETRY)
+            await asyncio.sleep(CANCEL_RETRY_DELAY)
 
 
 class Signal:
-    """Lets many tasks wait for the next change of something."""
+    """Notifies all waiting tasks of the next change."""
 
     __slots__ = ("_event",)
 
@@ -165,14 +164,14 @@
         self._event = asyncio.Event()
 
     def changed(self):
-        """Wake all that wait."""
+        """Wake all waiting tasks."""
         self._event.set()
         self._event = asyncio.Event()
 
     async def wait(self, deadline):
         """Wait for the next change, at most until ``deadline``."""
-        # Not ``wait_for``: on Python 3.11 it swallows a cancellation that comes in
-        # the same turn as the event, and the task goes on for ever.
+        # Not ``wait_for``: on Python 3.11 it swallows a cancellation in the same loop
+        # iteration as the event, and the task never ends.
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(remaining(deadline)):
                 await self._event.wait()
--- a/sassafrasdoor/steps/spec.py
+++ b/sassafrasdoor/steps/spec.py
@@ -1,4 +1,4 @@
-"""What trainers submit and fetch, checked with all findings at once."""
+"""Validated input of trainers; a rejection lists all findings at once."""
 
 import hashlib
 
@@ -8,53 +8,53 @@
 from sassafrasdoor.steps.token import MAX_SAMPLES
 
 MAX_GROUPS = 4096
-MAX_PROMPT = 65_536
+MAX_PROMPT_LENGTH = 65_536
 MAX_TOKENS = 1_000_000
 MAX_DEADLINE_MS = 24 * 3600 * 1000
 DEFAULT_DEADLINE_MS = 600_000
 MAX_WAIT_MS = 60_000
 MAX_VERSION = 2**53
-MAX_TOKEN_TEXT = 4096
-SAFE_INTEGER = 2**53
+MAX_TOKEN_LENGTH = 4096
+MAX_SAFE_INTEGER = 2**53
 DIGEST_LENGTH = 12
 
 
 class Input(BaseModel):
-    """Input of a trainer; unknown fields are findings."""
+    """Base of trainer input; unknown fields are rejected."""
 
     model_config = ConfigDict(extra="forbid", frozen=True, strict=True)
 
 
 class Reward(Input):
-    """The call that scores a whole sample: a POST to a plain service."""
+    """The call that scores a finished sample: a POST to a plain service."""
 
     service: str = Field(min_length=1, max_length=128)
     path: str = Field(min_length=1, max_length=2048, pattern="^/")
-    body: str = Field(default="", max_length=MAX_PROMPT)
+    body: str = Field(default="", max_length=MAX_PROMPT_LENGTH)
 
 
 class Group(Input):
-    """Samples of one group share their prompt, and their reward call if any."""
+    """A group of samples that share a prompt and an optional reward call."""
 
-    prompt: str = Field(min_length=1, max_length=MAX_PROMPT)
+    prompt: str = Field(min_length=1, max_length=MAX_PROMPT_LENGTH)
     reward: Reward | None = None
 
 
 class StepSpec(Input):
-    """A training step. ``attach`` grows with each attachment of its trainer.
+    """A training step; ``attach`` increases with each attachment of its trainer.
 
-    ``token`` tells a further instance what the trainer has already, so that
-    it starts none of that again.
+    ``token`` names the samples that the trainer has, so that a new owner does not start
+    them again.
     """
 
     step: str = Field(min_length=1, max_length=64, pattern=r"^[A-Za-z0-9_.-]+$")
-    attach: int = Field(ge=1, le=SAFE_INTEGER)
+    attach: int = Field(ge=1, le=MAX_SAFE_INTEGER)
     groups: list[Group] = Field(min_length=1, max_length=MAX_GROUPS)
     samples_per_group: int = Field(ge=1, le=MAX_SAMPLES)
     max_tokens: int = Field(ge=1, le=MAX_TOKENS)
     deadline_ms: int = Field(default=DEFAULT_DEADLINE_MS, ge=1, le=MAX_DEADLINE_MS)
-    seed: int = Field(default=0, ge=0, le=SAFE_INTEGER)
-    token: str = Field(default="", max_length=MAX_TOKEN_TEXT)
+    seed: int = Field(default=0, ge=0, le=MAX_SAFE_INTEGER)
+    token: str = Field(default="", max_length=MAX_TOKEN_LENGTH)
 
     @model_validator(mode="after")
     def _samples_are_bounded(self):
@@ -64,31 +64,33 @@
 
     @property
     def sample_count(self):
-        """How many samples the step has."""
+        """Number of samples of the step."""
         return len(self.groups) * self.samples_per_group
 
     def digest(self):
-        """Return what tells apart two steps that carry one name."""
+        """Return a digest that distinguishes steps of the same name."""
         digest = hashlib.sha256()
-        head = f"{self.samples_per_group} {self.max_tokens} {self.seed}"
-        texts = [head, *(group.prompt for group in self.groups)]
-        texts += [one.reward.model_dump_json() for one in self.groups if one.reward]
+        header = f"{self.samples_per_group} {self.max_tokens} {self.seed}"
+        texts = [header, *(group.prompt for group in self.groups)]
+        texts += [
+            group.reward.model_dump_json() for group in self.groups if group.reward
+        ]
         for text in texts:
             digest.update(f"{len(text)}:{text}".encode())
         return digest.hexdigest()[:DIGEST_LENGTH]
 
 
 class FetchSpec(Input):
-    """A trainer's request for the samples that it lacks."""
+    """A trainer's request for samples that its token lacks."""
 
-    attach: int = Field(ge=1, le=SAFE_INTEGER)
-    token: str = Field(default="", max_length=MAX_TOKEN_TEXT)
+    attach: int = Field(ge=1, le=MAX_SAFE_INTEGER)
+    token: str = Field(default="", max_length=MAX_TOKEN_LENGTH)
     newest_version: int | None = Field(default=None, ge=0, le=MAX_VERSION)
     wait_ms: int = Field(default=0, ge=0, le=MAX_WAIT_MS)
 
 
-def checked(model, body):
-    """Return ``model`` read from the JSON bytes ``body``, or ``Rejected``."""
+def parse_input(model, body):
+    """Return an instance of ``model`` parsed from JSON ``body``, or ``Rejected``."""
     try:
         return model.model_validate_json(body)
     except ValidationError as error:
@@ -96,12 +98,11 @@
 
 
 class Identity:
-    """Names of a step's samples and streams, the same on every instance.
+    """Stream ids and seeds of a step's samples, the same on every instance.
 
-    A sample is (row, step, group, index). Its stream adds the step's digest,
-    so that a step submitted anew under an old name finds no streams of the
-    old one, and a generation: a sample dropped as too old is made again under
-    the next one.
+    A sample is (row, step, group, index). Its stream id adds the step's digest, so that
+    a new step under a reused name finds no streams of the old one, and a generation,
+    which increases each time the sample is regenerated.
     """
 
     __slots__ = ("_samples_per_group", "_seed", "_size", "prefix")
@@ -121,13 +122,13 @@
         return f"{self.prefix}{position}.{generation}"
 
     def seed(self, position, generation):
-        """Return the seed of a stream, equal wherever it is started."""
+        """Return the seed of a stream, the same on every engine."""
         text = f"{self._seed}:{position}:{generation}"
         raw = hashlib.sha256(text.encode()).digest()[:6]
         return int.from_bytes(raw, "little")
 
     def parse(self, stream):
-        """Return ``(position, generation)`` of a stream id, or None if foreign."""
+        """Return ``(position, generation)`` of a stream id, or None for other steps."""
         if not stream.startswith(self.prefix):
             return None
         position, dot, generation = stream[len(self.prefix) :].partition(".")
