--- a/sassafrasdoor/backends/affinity.py
+++ b/sassafrasdoor/backends/affinity.py
@@ -47,13 +47,13 @@
             await self.poll()
             await asyncio.sleep(POLL_INTERVAL)
 
-    def affinity(self, prefix):
+    def engines_with(self, prefix):
         """Return the names of the engines that probably hold the prefix."""
         return [
             name for name, cache in self._caches.items() if prefix in cache.prefixes
         ]
 
-    def used(self, name, prefix):
+    def record_use(self, name, prefix):
         """Record that a stream with that prefix was sent to an engine."""
         cache = self._caches.get(name)
         if cache is not None:
@@ -72,9 +72,9 @@
             if cache is None or cache.address != backend.address:
                 cache = EngineCache(backend.address)
             self._caches[backend.name] = cache
-        await asyncio.gather(*[self._ask(backend) for backend in engines])
+        await asyncio.gather(*[self._poll_engine(backend) for backend in engines])
 
-    async def _ask(self, backend):
+    async def _poll_engine(self, backend):
         cache = self._caches[backend.name]
         if passed(cache.resync_deadline):
             # A restarted engine numbers its events from zero again.
--- a/sassafrasdoor/backends/connections.py
+++ b/sassafrasdoor/backends/connections.py
@@ -28,17 +28,17 @@
 KEEPALIVE_PROBES = 2
 USER_TIMEOUT_MS = 2500  # that sent bytes may stay unacknowledged
 DEFAULT_IDLE_TIMEOUT = 0.5  # seconds, for servers that name none
-IDLE_MARGIN = 0.6  # seconds before the server's own idle timeout
-MAX_IDLE = 64  # connections to one address
-MAX_HEADER = 65536  # bytes, as are the next two
-MAX_BODY = 64 * 1024 * 1024
-READ_CHUNK = 65536
+IDLE_TIMEOUT_MARGIN = 0.6  # seconds before the server's own idle timeout
+MAX_IDLE_CONNECTIONS = 64  # connections to one address
+MAX_HEADER_BYTES = 65536  # bytes, as are the next two
+MAX_BODY_BYTES = 64 * 1024 * 1024
+READ_CHUNK_BYTES = 65536
 
 OPENED = counter("connections_opened_total", "Connections opened, by result.")
 REUSED = counter("connections_reused_total", "Exchanges on a kept connection.")
 
 
-class Outgoing:
+class OutgoingRequest:
     """One request to send; ``deadline`` is monotonic, ``fresh`` forbids a reused one."""
 
     __slots__ = ("body", "deadline", "fresh", "headers", "method", "path")
@@ -65,45 +65,45 @@
         self.body = body
 
 
-class _Receiver(HTTPMessageDelegate):
+class _ReplyReceiver(HTTPMessageDelegate):
     """Collects one answer; ``accept(status, headers)`` returns a reason to refuse it."""
 
     def __init__(self, accept, on_data):
         self._accept = accept
         self._on_data = on_data
-        self._pieces = []
+        self._body_chunks = []
         self.close = lambda: None
         self.status = 0
         self.headers = None
-        self.refused = ""
-        self.whole = False
+        self.refusal_reason = ""
+        self.is_complete = False
 
     @property
     def body(self):
-        return b"".join(self._pieces)
+        return b"".join(self._body_chunks)
 
     def headers_received(self, start_line, headers):
         self.status = start_line.code
         self.headers = headers
         if start_line.code >= 200 and self._accept is not None:
-            self.refused = self._accept(start_line.code, headers) or ""
-        if self.refused:
+            self.refusal_reason = self._accept(start_line.code, headers) or ""
+        if self.refusal_reason:
             self.close()
 
     def data_received(self, chunk):
         # A closed connection still delivers the bytes that it has buffered.
-        if self.refused:
+        if self.refusal_reason:
             return None
         if self._on_data is not None and self.status == 200:
             return self._on_data(chunk)
-        self._pieces.append(chunk)
+        self._body_chunks.append(chunk)
         return None
 
     def finish(self):
-        self.whole = True
+        self.is_complete = True
 
 
-class _Idle:
+class _IdleConnection:
     """A connection that may be reused until ``deadline``."""
 
     __slots__ = ("deadline", "stream")
@@ -121,7 +121,9 @@
     def __init__(self):
         self._idle = {}
         self._parameters = HTTP1ConnectionParameters(
-            max_header_size=MAX_HEADER, max_body_size=MAX_BODY, chunk_size=READ_CHUNK
+            max_header_size=MAX_HEADER_BYTES,
+            max_body_size=MAX_BODY_BYTES,
+            chunk_size=READ_CHUNK_BYTES,
         )
 
     def close(self):
@@ -131,12 +133,12 @@
                 one.stream.close()
         self._idle.clear()
 
-    def forget(self, address):
+    def close_idle(self, address):
         """Close the idle connections to ``address``."""
         for one in self._idle.pop(address, ()):
             one.stream.close()
 
-    async def reach(self, address):
+    async def try_connect(self, address):
         """Return True if a connection can be opened, else ``Refused`` or ``Broken``."""
         stream = await self._open(address)
         if not stream:
@@ -153,7 +155,7 @@
         """
         try:
             async with asyncio.timeout_at(request.deadline):
-                stream = None if request.fresh else self._take(address)
+                stream = None if request.fresh else self._take_idle(address)
                 if stream is None:
                     stream = await self._open(address)
                 if not stream:
@@ -162,7 +164,7 @@
         except TimeoutError:
             return Broken("timeout", began=True)
 
-    def _take(self, address):
+    def _take_idle(self, address):
         kept = self._idle.get(address)
         while kept:
             one = kept.pop()
@@ -174,7 +176,7 @@
 
     async def _open(self, address):
         host, _, port = address.rpartition(":")
-        stream = IOStream(_socket(), max_buffer_size=2 * MAX_BODY)
+        stream = IOStream(_create_socket(), max_buffer_size=2 * MAX_BODY_BYTES)
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT):
                 await stream.connect((host, int(port)))
@@ -186,7 +188,7 @@
             stream.close()
             OPENED.inc({"result": "refused"})
             reason = f"not connected: {error}"
-            if isinstance(_cause(error), ConnectionRefusedError):
+            if isinstance(_system_error(error), ConnectionRefusedError):
                 return Refused(reason)
             return Broken(reason, began=False)
         except asyncio.CancelledError:
@@ -196,7 +198,7 @@
         return stream
 
     async def _exchange(self, address, stream, request, accept, on_data):
-        receiver = _Receiver(accept, on_data)
+        receiver = _ReplyReceiver(accept, on_data)
         receiver.close = stream.close
         connection = HTTP1Connection(stream, True, self._parameters)
         kept = False
@@ -207,21 +209,23 @@
             connection.write_headers(start, headers, request.body or None)
             connection.finish()
             await connection.read_response(receiver)
-            broken = self._broken(stream, receiver)
+            broken = self._reply_error(stream, receiver)
             if broken is not None:
                 return broken
-            kept = self._keep(address, stream, receiver.headers)
+            kept = self._keep_idle(address, stream, receiver.headers)
             return Reply(receiver.status, receiver.headers, receiver.body)
         except (StreamClosedError, HTTPInputError, OSError) as error:
-            return Broken(receiver.refused or f"connection lost: {error}", began=True)
+            return Broken(
+                receiver.refusal_reason or f"connection lost: {error}", began=True
+            )
         finally:
             if not kept:
                 stream.close()
 
-    def _broken(self, stream, receiver):
-        if receiver.refused:
-            return Broken(receiver.refused, began=True)
-        if not receiver.whole:
+    def _reply_error(self, stream, receiver):
+        if receiver.refusal_reason:
+            return Broken(receiver.refusal_reason, began=True)
+        if not receiver.is_complete:
             return Broken("reply cut or not understood", began=True)
         # A reply without length ends with its connection, and the protocol reader
         # can't tell a reset from that end.
@@ -229,7 +233,7 @@
             return Broken(f"connection reset: {stream.error}", began=True)
         return None
 
-    def _keep(self, address, stream, headers):
+    def _keep_idle(self, address, stream, headers):
         if stream.closed() or stream.writing():
             # The answer came before the request was sent completely; its remaining
             # bytes would be read as the next request.
@@ -237,18 +241,18 @@
         if "close" in headers.get("Connection", "").lower():
             return False
         kept = self._idle.setdefault(address, [])
-        if len(kept) >= MAX_IDLE:
+        if len(kept) >= MAX_IDLE_CONNECTIONS:
             return False
-        kept.append(_Idle(stream, deadline_in(_idle_timeout(headers))))
+        kept.append(_IdleConnection(stream, deadline_in(_idle_timeout(headers))))
         return True
 
 
-def _cause(error):
+def _system_error(error):
     """Return the system's error behind a stream's."""
     return getattr(error, "real_error", None) or error
 
 
-def _socket():
+def _create_socket():
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     sock.setblocking(False)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -279,5 +283,5 @@
     for part in headers.get("Keep-Alive", "").split(","):
         name, _, value = part.strip().partition("=")
         if name.lower() == "timeout" and value.isdigit():
-            return max(0.0, int(value) - IDLE_MARGIN)
+            return max(0.0, int(value) - IDLE_TIMEOUT_MARGIN)
     return DEFAULT_IDLE_TIMEOUT
--- a/sassafrasdoor/backends/http.py
+++ b/sassafrasdoor/backends/http.py
@@ -20,9 +20,9 @@
 
 SHORT_CALL_TIMEOUT = 2.0
 JSON_HEADERS = {"Content-Type": "application/json"}
-OK, REFUSED_FENCE = 200, 409
+OK, STALE_FENCE = 200, 409
 
-NOT_FORWARDED = ONE_HOP | {"x-http-reason"}  # the latter is Tornado's own
+NON_FORWARDED_HEADERS = ONE_HOP | {"x-http-reason"}  # the latter is Tornado's own
 
 
 class _Adapter:
@@ -56,7 +56,7 @@
         """Return the ``StreamState``s under a prefix, or ``Unavailable``."""
         query = urllib.parse.urlencode({"prefix": prefix})
         document = await self._call(backend, "GET", f"/streams?{query}")
-        return decoded(_streams_from, document)
+        return decode_document(_decode_streams, document)
 
     async def cancel(self, backend, stream):
         """Cancel and forget a stream; return None, or ``Unavailable``."""
@@ -66,7 +66,7 @@
 
     async def load(self, backend):
         """Return the engine's ``Load``, or ``Unavailable``."""
-        return await read_load(self._client, backend)
+        return await fetch_load(self._client, backend)
 
     async def order(self, backend, order):
         """Return the engine's versions, ``Stale``, ``Unavailable`` or ``ReplyLost``."""
@@ -88,20 +88,20 @@
         if isinstance(response, Broken):
             kind = ReplyLost if response.began else Unavailable
             return kind(response.reason)
-        read = ORDER_REPLIES.get(response.code)
+        read = ORDER_REPLY_DECODERS.get(response.code)
         if read is None:
             return Unavailable(f"order failed with status {response.code}")
-        return decoded(read, json_object(response))
+        return decode_document(read, json_object(response))
 
     async def cache_events(self, backend, first):
         """Return ``(events, next number)``, or ``Unavailable``."""
         document = await self._call(backend, "GET", f"/cache-events?from={first}")
-        return decoded(_cache_events_from, document)
+        return decode_document(_decode_cache_events, document)
 
     async def export_kv(self, backend, stream):
         """Return the KV cache of a stream (a string), or ``Unavailable``."""
         document = await self._call(backend, "POST", "/kv/export", {"stream": stream})
-        return decoded(lambda found: found["kv"], document)
+        return decode_document(lambda found: found["kv"], document)
 
     async def import_kv(self, backend, stream, kv):
         """Give an engine the KV cache of a stream; return None or ``Unavailable``."""
@@ -123,7 +123,7 @@
         headers = {
             name: value
             for name, value in call.headers.items()
-            if name.lower() not in NOT_FORWARDED
+            if name.lower() not in NON_FORWARDED_HEADERS
         }
         headers["X-Request-Id"] = call.request_id
         request = Request(
@@ -139,29 +139,31 @@
         response = await self._client.fetch(backend, request)
         if isinstance(response, Broken):
             return response
-        return Answer(response.code, forwarded(response.headers), response.body)
+        return Answer(
+            response.code, end_to_end_headers(response.headers), response.body
+        )
 
     async def load(self, backend):
         """Return the service's ``Load``, or ``Unavailable``."""
-        return await read_load(self._client, backend)
+        return await fetch_load(self._client, backend)
 
 
-def forwarded(headers):
+def end_to_end_headers(headers):
     """Return a reply's headers without the hop-by-hop ones."""
     kept = headers.copy()
     for name in headers:
-        if name.lower() in NOT_FORWARDED:
+        if name.lower() in NON_FORWARDED_HEADERS:
             del kept[name]
     return kept
 
 
-async def read_load(client, backend):
+async def fetch_load(client, backend):
     """Return a backend server's ``Load``, or ``Unavailable``."""
     document = await call_json(client, backend, "GET", "/load")
-    return decoded(_load_from, document)
+    return decode_document(_decode_load, document)
 
 
-def decoded(read, document):
+def decode_document(read, document):
     """Return ``read(document)``, or ``Unavailable`` for a malformed document.
 
     An ``Outcome`` is returned as it is. An exception here would end the task that polls
@@ -175,34 +177,34 @@
         return Unavailable("reply not understood")
 
 
-def _load_from(document):
+def _decode_load(document):
     return Load(
         document["running"],
         document["queued"],
         document["capacity"],
         document["age_ms"] / 1000,
-        _versions_from(document),
+        _decode_versions(document),
         document["role"],
         document["leaving"],
     )
 
 
-def _versions_from(document):
+def _decode_versions(document):
     return {name: int(version) for name, version in document["versions"].items()}
 
 
-def _stale_from(document):
+def _decode_stale(document):
     return Stale("stale fencing number", document["fence"])
 
 
-def _streams_from(document):
+def _decode_streams(document):
     return [
         StreamState(one["stream"], one["offset"], one["done"])
         for one in document["streams"]
     ]
 
 
-def _cache_events_from(document):
+def _decode_cache_events(document):
     events = [
         CacheEvent(one["number"], one["prefix"], one["stored"])
         for one in document["events"]
@@ -210,7 +212,7 @@
     return events, document["next"]
 
 
-ORDER_REPLIES = {OK: _versions_from, REFUSED_FENCE: _stale_from}
+ORDER_REPLY_DECODERS = {OK: _decode_versions, STALE_FENCE: _decode_stale}
 
 
 async def call_json(client, backend, method, path, body=None):
--- a/sassafrasdoor/backends/replicas.py
+++ b/sassafrasdoor/backends/replicas.py
@@ -110,15 +110,15 @@
         """Return the ``Answer``, ``NotRun``, ``WrongReplica`` or ``Broken``."""
 
     @abstractmethod
-    async def reach(self, replica):
+    async def try_connect(self, replica):
         """Return True if it can be connected to, else ``Refused`` or ``Broken``."""
 
     @abstractmethod
-    async def stream(self, replica, call, passing):
+    async def stream(self, replica, call, relay):
         """Relay events; return True when complete, or as ``call`` does.
 
-        ``passing.head(pairs)`` takes the headers of a stream that succeeds, and
-        ``await passing.event(number, block)`` each complete event unchanged.
+        ``relay.head(pairs)`` takes the headers of a stream that succeeds, and
+        ``await relay.event(number, block)`` each complete event unchanged.
         """
 
     @abstractmethod
--- a/sassafrasdoor/backends/stream.py
+++ b/sassafrasdoor/backends/stream.py
@@ -8,9 +8,9 @@
 from sassafrasdoor.clock import deadline_in, passed, remaining
 from sassafrasdoor.outcomes import NotRun
 
-NOT_ADMITTED = 429
-ENDED = b""
-SILENT = None
+TOO_MANY_REQUESTS = 429
+END_OF_DATA = b""
+NO_DATA = None
 RETRY_AFTER = 0.5
 HEADERS = {"Content-Type": "application/json"}
 
@@ -18,37 +18,44 @@
 class StreamReader:
     """One connection to a stream. Use it once."""
 
-    __slots__ = ("_backend", "_client", "_data", "_offset", "_order", "_rest")
+    __slots__ = (
+        "_backend",
+        "_client",
+        "_received",
+        "_offset",
+        "_order",
+        "_incomplete_line",
+    )
 
     def __init__(self, client, backend, order):
         self._client = client
         self._backend = backend
         self._order = order
-        self._data = asyncio.Queue()
+        self._received = asyncio.Queue()
         self._offset = order.offset
-        self._rest = b""
+        self._incomplete_line = b""
 
     async def read(self):
         """Yield ``Chunk``s and then one ``Finished``, ``Broken`` or ``NotRun``."""
         transfer = self._client.start(
-            self._backend, self._request(), on_data=self._data.put_nowait
+            self._backend, self._request(), on_data=self._received.put_nowait
         )
-        transfer.add_done_callback(lambda: self._data.put_nowait(ENDED))
+        transfer.add_done_callback(lambda: self._received.put_nowait(END_OF_DATA))
         try:
             timeout = self._order.first_byte_timeout
-            while data := await self._next(timeout):
+            while data := await self._next_data(timeout):
                 timeout = self._order.gap_timeout
-                for line in self._lines(data):
-                    item = self._item(line)
+                for line in self._split_lines(data):
+                    item = self._parse_line(line)
                     if item is not None:
                         yield item
                     if not isinstance(item, Chunk | None):
                         return
-            yield await self._end(transfer, data)
+            yield await self._failure(transfer, data)
         finally:
             transfer.abort()
 
-    async def _next(self, timeout):
+    async def _next_data(self, timeout):
         """Return the next bytes, ``ENDED``, or ``SILENT`` after the timeout."""
         limit = deadline_in(timeout)
         if self._order.deadline is not None:
@@ -56,42 +63,42 @@
         # Python 3.11's ``wait_for`` loses a cancellation that coincides with a chunk.
         try:
             async with asyncio.timeout(remaining(limit)):
-                return await self._data.get()
+                return await self._received.get()
         except TimeoutError:
-            return SILENT
+            return NO_DATA
 
-    async def _end(self, transfer, data):
+    async def _failure(self, transfer, data):
         """Return why no further line came."""
-        if data is SILENT:
-            self._client.distrust(self._backend)
+        if data is NO_DATA:
+            self._client.bypass_pool(self._backend)
             late = self._order.deadline is not None and passed(self._order.deadline)
             return Broken("deadline passed" if late else "silent", transfer.began)
         response = await transfer.response()
         if isinstance(response, Broken):
             return response
-        if response.code == NOT_ADMITTED:
-            return NotRun(self._refusal(), RETRY_AFTER)
+        if response.code == TOO_MANY_REQUESTS:
+            return NotRun(self._refusal_reason(), RETRY_AFTER)
         if response.code != 200:
             return Broken(f"status {response.code}")
         return Broken("reply ended without its last line")
 
-    def _lines(self, data):
-        *lines, self._rest = (self._rest + data).split(b"\n")
+    def _split_lines(self, data):
+        *lines, self._incomplete_line = (self._incomplete_line + data).split(b"\n")
         return [line for line in lines if line]
 
-    def _item(self, line):
+    def _parse_line(self, line):
         """Return a line's ``Chunk``, ``Finished`` or ``Broken``; None for other lines."""
         try:
             document = json.loads(line)
             if document.get("done"):
-                return self._finished(document)
+                return self._parse_end(document)
             if "offset" in document:
-                return self._chunk(document)
+                return self._parse_chunk(document)
         except (ValueError, TypeError, KeyError, AttributeError):
             return Broken("line not understood")
         return None
 
-    def _chunk(self, document):
+    def _parse_chunk(self, document):
         chunk = Chunk(
             document["offset"],
             document["text"],
@@ -104,15 +111,15 @@
         self._offset += chunk.tokens
         return chunk
 
-    def _finished(self, document):
+    def _parse_end(self, document):
         if document["length"] != self._offset:
             return Broken("end before the last token")
         spans = [Span(*span) for span in document["spans"]]
         return Finished(document["length"], spans)
 
-    def _refusal(self):
+    def _refusal_reason(self):
         try:
-            return json.loads(self._rest)["reason"]
+            return json.loads(self._incomplete_line)["reason"]
         except (ValueError, TypeError, KeyError):
             return "not admitted"
 
--- a/sassafrasdoor/backends/tests/fixtures.py
+++ b/sassafrasdoor/backends/tests/fixtures.py
@@ -63,12 +63,12 @@
     return StreamOrder(stream, MODEL, "how full is level two", max_tokens, **options)
 
 
-def text_of(chunks):
+def joined_text(chunks):
     """Return the text of chunks."""
     return "".join(chunk.text for chunk in chunks)
 
 
-def versions_of(finished):
+def span_lists(finished):
     """Return the spans of a finished stream as lists."""
     assert isinstance(finished, Finished), finished
     return [span.as_list() for span in finished.spans]
--- a/sassafrasdoor/backends/tests/test_affinity.py
+++ b/sassafrasdoor/backends/tests/test_affinity.py
@@ -23,21 +23,21 @@
 
 
 class AffinityTest(BackendsTestCase):
-    async def test_a_late_event_reaches_the_hint(self):
+    async def test_delayed_event_updates_the_hint(self):
         _, backend = self.start_engine(cache_delay=0.05, cache_loss=0.0)
         affinity = Affinity(self.engine, lambda: View(backends=[backend]))
         prefix = prefix_key(stream_order().prompt)
         await affinity.poll()
-        self.assertEqual(affinity.affinity(prefix), [])
+        self.assertEqual(affinity.engines_with(prefix), [])
         await self.read(backend, stream_order())
 
         async def known():
             await affinity.poll()
-            return affinity.affinity(prefix) == [backend.name]
+            return affinity.engines_with(prefix) == [backend.name]
 
         await until(known, what="the event")
 
-    async def test_gaps_silence_and_restarts(self):
+    async def test_event_gaps_outages_and_restarts(self):
         """Guards against trust in prefixes after lost events or an engine's restart."""
         script = ScriptedEvents(
             ([CacheEvent(1, "a", True)], 2),
@@ -50,14 +50,14 @@
         affinity = Affinity(script, lambda: View(backends=[backend]))
         for prefix, holders in (("a", ["e"]), ("a", ["e"]), ("a", []), ("b", ["e"])):
             await affinity.poll()
-            self.assertEqual(affinity.affinity(prefix), holders)
+            self.assertEqual(affinity.engines_with(prefix), holders)
         affinity._caches["e"].resync_deadline = 0.0
         await affinity.poll()
-        self.assertEqual(affinity.affinity("c"), ["e"])
+        self.assertEqual(affinity.engines_with("c"), ["e"])
         self.assertEqual(script.asked, [0, 2, 2, 6, 0])
-        affinity.used("e", "d")
-        affinity.used("unknown", "d")
-        self.assertEqual(affinity.affinity("d"), ["e"])
+        affinity.record_use("e", "d")
+        affinity.record_use("unknown", "d")
+        self.assertEqual(affinity.engines_with("d"), ["e"])
 
 
 if __name__ == "__main__":
--- a/sassafrasdoor/backends/tests/test_connections.py
+++ b/sassafrasdoor/backends/tests/test_connections.py
@@ -5,25 +5,27 @@
 import struct
 import unittest
 
-from sassafrasdoor.backends.connections import Connections, Outgoing, Reply
+from sassafrasdoor.backends.connections import Connections, OutgoingRequest, Reply
 from sassafrasdoor.backends.interface import Broken, Refused
 from sassafrasdoor.clock import deadline_in
 
-WHOLE = b"HTTP/1.1 200 OK\r\nId: {id}\r\nContent-Length: 2\r\n\r\nok"
-KEPT = WHOLE.replace(b"\r\nContent", b"\r\nKeep-Alive: timeout=10\r\nContent")
-CHUNKED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-UNFRAMED = b"HTTP/1.1 200 OK\r\nId: {id}\r\n\r\nwhole"
+COMPLETE_REPLY = b"HTTP/1.1 200 OK\r\nId: {id}\r\nContent-Length: 2\r\n\r\nok"
+KEEP_ALIVE_REPLY = COMPLETE_REPLY.replace(
+    b"\r\nContent", b"\r\nKeep-Alive: timeout=10\r\nContent"
+)
+CHUNKED_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+UNFRAMED_REPLY = b"HTTP/1.1 200 OK\r\nId: {id}\r\n\r\nwhole"
 CLOSE, RESET, OPEN = "close", "reset", "open"
 
 
-class Server:
-    """Answers the requests of its connections by a script of ``(bytes, then)``."""
+class ScriptedServer:
+    """Answers the requests of its connections by a script of ``(bytes, ending)``."""
 
     def __init__(self, *script):
         self.script = list(script)
         self.connections = 0
         self.requests = 0
-        self.left = asyncio.Event()
+        self.client_closed = asyncio.Event()
 
     async def start(self):
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
@@ -39,21 +41,21 @@
             while self.script:
                 head = await reader.readuntil(b"\r\n\r\n")
                 self.requests += 1
-                data, then = self.script.pop(0)
+                data, ending = self.script.pop(0)
                 name = head.partition(b"\r\nId: ")[2].partition(b"\r\n")[0]
                 writer.write(data.replace(b"{id}", name))
                 await writer.drain()
-                if then != OPEN:
-                    self._end(writer, then)
+                if ending != OPEN:
+                    self._end(writer, ending)
                     return
             await reader.read()
-            self.left.set()
+            self.client_closed.set()
             writer.close()
         except (asyncio.IncompleteReadError, ConnectionError, asyncio.CancelledError):
             writer.close()
 
-    def _end(self, writer, then):
-        if then == RESET:
+    def _end(self, writer, ending):
+        if ending == RESET:
             sock = writer.get_extra_info("socket")
             linger = struct.pack("ii", 1, 0)
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
@@ -62,39 +64,39 @@
 
 class ConnectionsTest(unittest.IsolatedAsyncioTestCase):
     async def start(self, *script):
-        self.server = Server(*script)
+        self.server = ScriptedServer(*script)
         self.address = await self.server.start()
         self.addCleanup(self.server.stop)
         self.connections = Connections()
         self.addCleanup(self.connections.close)
 
     async def send(self, name="1", seconds=20.0, on_data=None, fresh=False):
-        def own(status, headers):
+        def accept(status, headers):
             found = headers.get("Id")
             return "" if found in (None, name) else "answer to another request"
 
         deadline = deadline_in(seconds)
-        request = Outgoing("GET", "/", {"Id": name}, b"", deadline, fresh)
-        return await self.connections.send(self.address, request, own, on_data)
+        request = OutgoingRequest("GET", "/", {"Id": name}, b"", deadline, fresh)
+        return await self.connections.send(self.address, request, accept, on_data)
 
-    async def test_what_is_a_whole_answer(self):
+    async def test_complete_and_truncated_replies(self):
         cases = [
-            (WHOLE, OPEN, b"ok"),
-            (WHOLE, CLOSE, b"ok"),
-            (WHOLE[:-1], CLOSE, None),
-            (WHOLE[:-1], RESET, None),
-            (UNFRAMED, CLOSE, b"whole"),
-            (UNFRAMED, RESET, None),
-            (CHUNKED + b"2\r\nok\r\n0\r\n\r\n", CLOSE, b"ok"),
-            (CHUNKED + b"2\r\nok\r\n", CLOSE, None),
+            (COMPLETE_REPLY, OPEN, b"ok"),
+            (COMPLETE_REPLY, CLOSE, b"ok"),
+            (COMPLETE_REPLY[:-1], CLOSE, None),
+            (COMPLETE_REPLY[:-1], RESET, None),
+            (UNFRAMED_REPLY, CLOSE, b"whole"),
+            (UNFRAMED_REPLY, RESET, None),
+            (CHUNKED_HEAD + b"2\r\nok\r\n0\r\n\r\n", CLOSE, b"ok"),
+            (CHUNKED_HEAD + b"2\r\nok\r\n", CLOSE, None),
             (b"HTTP/1.1 200 OK\r\nContent-Le", CLOSE, None),
             (b"no protocol at all\r\n\r\n", CLOSE, None),
             (b"", CLOSE, None),
             (b"", RESET, None),
         ]
-        for data, then, body in cases:
-            with self.subTest(data=data, then=then):
-                await self.start((data, then))
+        for data, ending, body in cases:
+            with self.subTest(data=data, ending=ending):
+                await self.start((data, ending))
                 reply = await self.send()
                 if body is None:
                     self.assertIsInstance(reply, Broken)
@@ -102,66 +104,70 @@
                 else:
                     self.assertEqual(reply.body, body)
 
-    async def test_connection_is_used_again(self):
-        await self.start((KEPT, OPEN), (KEPT, OPEN))
+    async def test_connection_is_reused(self):
+        await self.start((KEEP_ALIVE_REPLY, OPEN), (KEEP_ALIVE_REPLY, OPEN))
         for name in "12":
             self.assertIsInstance(await self.send(name), Reply)
         self.assertEqual(self.server.connections, 1)
 
-    async def test_fresh_request_uses_no_kept_connection(self):
-        await self.start((KEPT, OPEN), (KEPT, OPEN))
+    async def test_fresh_request_uses_no_pooled_connection(self):
+        await self.start((KEEP_ALIVE_REPLY, OPEN), (KEEP_ALIVE_REPLY, OPEN))
         await self.send("1")
         await self.send("2", fresh=True)
         self.assertEqual(self.server.connections, 2)
 
-    async def test_extra_answer_reaches_nobody(self):
+    async def test_duplicate_reply_is_discarded(self):
         """Guards against a duplicate answer taken for the next request's."""
-        for extra in (KEPT.replace(b"{id}", b"1"), b"junk"):
+        for extra in (KEEP_ALIVE_REPLY.replace(b"{id}", b"1"), b"junk"):
             with self.subTest(extra=extra):
-                await self.start((KEPT + extra, OPEN), (KEPT, OPEN), (KEPT, OPEN))
+                await self.start(
+                    (KEEP_ALIVE_REPLY + extra, OPEN),
+                    (KEEP_ALIVE_REPLY, OPEN),
+                    (KEEP_ALIVE_REPLY, OPEN),
+                )
                 self.assertEqual((await self.send("1")).headers["Id"], "1")
                 reply = await self.send("2")
                 if isinstance(reply, Broken):
                     reply = await self.send("2")
                 self.assertEqual(reply.headers["Id"], "2")
 
-    async def test_late_extra_answer_is_noticed_before_reuse(self):
-        await self.start((KEPT, OPEN), (KEPT, OPEN))
+    async def test_late_duplicate_reply_is_detected_before_reuse(self):
+        await self.start((KEEP_ALIVE_REPLY, OPEN), (KEEP_ALIVE_REPLY, OPEN))
         await self.send("1")
         (idle,) = self.connections._idle[self.address]
         server_side = socket.socketpair()
         self.addCleanup(server_side[0].close)
         self.addCleanup(server_side[1].close)
         server_side[0].setblocking(False)
-        server_side[1].send(KEPT)
+        server_side[1].send(KEEP_ALIVE_REPLY)
         idle.stream.socket, real = server_side[0], idle.stream.socket
         self.addCleanup(real.close)
         self.assertIsInstance(await self.send("2"), Reply)
         self.assertEqual(self.server.connections, 2)
 
     async def test_connection_closed_while_idle_is_replaced(self):
-        await self.start((KEPT, CLOSE), (KEPT, OPEN))
+        await self.start((KEEP_ALIVE_REPLY, CLOSE), (KEEP_ALIVE_REPLY, OPEN))
         await self.send("1")
         await asyncio.sleep(0.05)
         self.assertIsInstance(await self.send("2"), Reply)
 
-    async def test_silent_server_is_left_at_the_deadline(self):
+    async def test_connection_to_silent_server_is_closed_at_the_deadline(self):
         await self.start((b"", OPEN))
         reply = await self.send(seconds=0.2)
         self.assertEqual((reply.reason, reply.began), ("timeout", True))
         async with asyncio.timeout(20):
-            await self.server.left.wait()
+            await self.server.client_closed.wait()
 
-    async def test_server_that_is_gone_is_told_from_one_that_listens(self):
+    async def test_refused_connection_differs_from_a_listening_server(self):
         await self.start()
-        self.assertIs(await self.connections.reach(self.address), True)
+        self.assertIs(await self.connections.try_connect(self.address), True)
         with socket.socket() as unused:
             unused.bind(("127.0.0.1", 0))
             address = f"127.0.0.1:{unused.getsockname()[1]}"
-            reached = await self.connections.reach(address)
+            reached = await self.connections.try_connect(address)
         self.assertIsInstance(reached, Refused)
 
-    async def test_nothing_was_sent_where_nobody_listens(self):
+    async def test_nothing_is_sent_without_a_listener(self):
         await self.start()
         self.server.stop()
         with socket.socket() as unused:
@@ -179,11 +185,11 @@
             await asyncio.sleep(0.005)
         calling.cancel()
         async with asyncio.timeout(20):
-            await self.server.left.wait()
+            await self.server.client_closed.wait()
 
-    async def test_body_is_handed_on_piece_by_piece(self):
+    async def test_body_is_passed_on_in_chunks(self):
         pieces = []
-        data = CHUNKED + b"2\r\nab\r\n2\r\ncd\r\n0\r\n\r\n"
+        data = CHUNKED_HEAD + b"2\r\nab\r\n2\r\ncd\r\n0\r\n\r\n"
         await self.start((data, OPEN))
         reply = await self.send(on_data=pieces.append)
         self.assertEqual((b"".join(pieces), reply.body), (b"abcd", b""))
--- a/sassafrasdoor/backends/tests/test_service.py
+++ b/sassafrasdoor/backends/tests/test_service.py
@@ -59,7 +59,7 @@
                 else:
                     self.assertEqual(result.status, status)
 
-    async def test_a_call_that_may_not_be_repeated_runs_once(self):
+    async def test_non_repeatable_call_runs_once(self):
         """Guards against libcurl's own retry on a reused connection."""
         for repeatable, executions, kind in ((False, 1, Broken), (True, 2, Answer)):
             with self.subTest(repeatable=repeatable):
@@ -71,7 +71,7 @@
                 self.assertIsInstance(result, kind)
                 self.assertEqual(stand_in.executions.count("second"), executions)
 
-    async def test_only_the_callers_own_headers_reach_the_service(self):
+    async def test_only_caller_headers_are_forwarded(self):
         """Guards against libcurl's ``Expect`` and the environment's proxy."""
         _, backend = self.start_service()
         sent = {"Expect": "100-continue", "Connection": "upgrade", "X-Board": "7"}
@@ -111,7 +111,7 @@
             await task
         await until(lambda: stand_in.abandoned, timeout=3, what="the close")
 
-    async def test_a_call_cancelled_in_the_clients_queue_never_runs(self):
+    async def test_call_cancelled_in_the_client_queue_never_runs(self):
         """Guards against a call sent after it was cancelled in the client's queue."""
         client = Client(max_transfers=1)
         self.addCleanup(client.close)
@@ -131,7 +131,7 @@
         self.assertEqual((result.reason, result.began), ("deadline passed", False))
         self.assertEqual(stand_in.executions, [])
 
-    async def test_every_method_passes_and_head_has_no_body(self):
+    async def test_every_method_is_forwarded_and_head_has_no_body(self):
         _, backend = self.start_service()
         for method in ("GET", "HEAD", "DELETE", "OPTIONS", "PUT", "PATCH"):
             with self.subTest(method=method):
@@ -140,16 +140,16 @@
                 self.assertEqual(answer.status, 200)
                 self.assertEqual(method == "HEAD", not answer.body)
 
-    async def test_after_a_timeout_pooled_connections_are_left_alone(self):
+    async def test_pool_is_bypassed_after_a_timeout(self):
         """Guards against calls on pooled connections that are dead without a reset."""
         stand_in, backend = self.start_service()
         stand_in.set_faults({"silent": 1})
         broken = await self.service.call(backend, call("lost", True, seconds=0.2))
         self.assertEqual((broken.reason, broken.began), ("timeout", True))
         client = self.service._client
-        self.assertTrue(client._is_distrusted(backend))
+        self.assertTrue(client._bypasses_pool(backend))
         other = Backend("other", "127.0.0.1:9", "service", "service")
-        self.assertFalse(client._is_distrusted(other))
+        self.assertFalse(client._bypasses_pool(other))
 
 
 if __name__ == "__main__":
--- a/sassafrasdoor/backends/tests/test_stream.py
+++ b/sassafrasdoor/backends/tests/test_stream.py
@@ -18,9 +18,9 @@
 from sassafrasdoor.backends.tests.fixtures import (
     MODEL,
     BackendsTestCase,
+    joined_text,
+    span_lists,
     stream_order,
-    text_of,
-    versions_of,
 )
 from sassafrasdoor.clock import deadline_in, passed
 from sassafrasdoor.outcomes import NotRun, ReplyLost, Unavailable
@@ -49,7 +49,7 @@
 
 
 class StreamContractTest(BackendsTestCase):
-    async def test_each_fault_has_its_end(self):
+    async def test_each_fault_ends_the_stream_with_its_outcome(self):
         """Guards against a truncated stream taken for a complete one."""
         for faults, kind, reason, chunks_came in STREAM_CONTRACT:
             with self.subTest(faults=faults):
@@ -83,7 +83,7 @@
         for _, end in await asyncio.gather(*waiting):
             self.assertIsInstance(end, Finished)
 
-    async def test_a_stream_resumed_elsewhere_on_the_wire_is_the_same(self):
+    async def test_resumed_stream_neither_repeats_nor_loses_tokens(self):
         """Guards against repeated or missing tokens in a resumed stream."""
         for faults in ({"fail_after": 1}, {"silence": True}):
             with self.subTest(faults=faults):
@@ -96,9 +96,9 @@
                 rest, end = await self.read(
                     backend, stream_order("w/1", 200, offset=offset)
                 )
-                self.assertEqual(text_of(got + rest), text_of(whole))
+                self.assertEqual(joined_text(got + rest), joined_text(whole))
                 truth = stand_in.truth()["streams"]["w/1"]
-                self.assertEqual(versions_of(end), truth["spans"])
+                self.assertEqual(span_lists(end), truth["spans"])
                 self.assertEqual((truth["starts"], truth["connections"]), (2, 2))
 
     async def _first_chunk_then(self, stand_in, backend, faults):
@@ -116,14 +116,14 @@
                     stand_in.set_faults(faults)
         return chunks, None
 
-    async def test_a_stream_that_is_done_can_still_be_read(self):
+    async def test_completed_stream_can_be_read_again(self):
         _, backend = self.start_engine()
         whole, _ = await self.read(backend, stream_order("s/1", 200))
         again, end = await self.read(backend, stream_order("s/1", 200, offset=2))
-        self.assertEqual(text_of(whole).split()[2:], text_of(again).split())
+        self.assertEqual(joined_text(whole).split()[2:], joined_text(again).split())
         self.assertEqual(end.spans[0].first, 0)
 
-    async def test_a_swap_in_the_middle_is_labelled_with_both_versions(self):
+    async def test_weight_swap_within_a_stream_yields_both_versions(self):
         """Guards against a label that omits the version of a swap in the stream."""
         stand_in, backend = self.start_engine(initial_version=1, swap_seconds=0.05)
         reading = asyncio.create_task(self.read(backend, stream_order("s/1", 400)))
@@ -131,7 +131,7 @@
         await until(lambda: stand_in.batch.streams["s/1"].offset)
         await self.engine.order(backend, Order(1, MODEL, 2, "", deadline_in(20)))
         chunks, end = await reading
-        spans = versions_of(end)
+        spans = span_lists(end)
         self.assertEqual([span[0] for span in spans], [1, 2])
         self.assertEqual(spans, stand_in.truth()["streams"]["s/1"]["spans"])
         told = {(chunk.version, chunk.offset) for chunk in chunks}
@@ -139,7 +139,7 @@
             within = {v for v, offset in told if first <= offset < last}
             self.assertEqual(within, {version})
 
-    async def test_leaving_the_loop_frees_the_connection(self):
+    async def test_closing_the_iterator_ends_the_transfer(self):
         """Guards against a transfer that goes on after its reader has left."""
         far = mock.patch.object(transfer, "CONNECT_TIMEOUT", 600.0)
         far.start()
@@ -155,21 +155,21 @@
         self.assertIsNone(await self.engine.cancel(backend, "s/1"))
         self.assertEqual(await self.engine.streams(backend, "s/"), [])
 
-    async def test_a_cancelled_reader_stays_cancelled(self):
+    async def test_cancellation_of_a_reader_is_not_lost(self):
         """Guards against ``asyncio.wait_for`` of Python 3.11 losing a cancellation."""
         for turns in range(5):
             with self.subTest(turns=turns):
                 reader = StreamReader(None, None, stream_order())
-                task = asyncio.create_task(reader._next(20))
+                task = asyncio.create_task(reader._next_data(20))
                 await asyncio.sleep(0)
-                reader._data.put_nowait(b"chunk")
+                reader._received.put_nowait(b"chunk")
                 for _ in range(turns):
                     await asyncio.sleep(0)
                 if task.cancel():
                     with self.assertRaises(asyncio.CancelledError):
                         await task
 
-    async def test_lines_that_do_not_fit_end_the_stream(self):
+    async def test_inconsistent_lines_end_the_stream(self):
         """Guards against chunks joined in spite of a gap between their offsets."""
         start = b'{"offset":0,"text":"a ","tokens":1,"version":1}\n'
         for lines, reason in (
@@ -184,13 +184,13 @@
                 self.assertEqual(end.reason, reason)
 
     async def _raw_reply(self, body):
-        server, backend = await raw_server(body)
+        server, backend = await start_raw_server(body)
         _, end = await self.read(backend, stream_order())
         server.close()
         return end
 
 
-async def raw_server(body):
+async def start_raw_server(body):
     """Start a server that answers any request with ``body``."""
 
     async def reply(reader, writer):
@@ -224,11 +224,11 @@
     async def _reports(self, backend, version):
         return (await self.engine.load(backend)).versions[MODEL] == version
 
-    async def test_replies_of_another_form_are_no_replies(self):
+    async def test_malformed_replies_are_unavailable(self):
         """Guards against a malformed reply that ends the task of its engine."""
         for body in (b'{"versions": 7}', b"[]", b"{}", b"not JSON"):
             with self.subTest(body=body):
-                server, backend = await raw_server(body)
+                server, backend = await start_raw_server(body)
                 order = Order(1, MODEL, 3, "", deadline_in(20))
                 for outcome in (
                     await self.engine.load(backend),
@@ -240,7 +240,7 @@
                     self.assertIsInstance(outcome, Unavailable)
                 server.close()
 
-    async def test_nobody_there(self):
+    async def test_calls_to_a_stopped_engine_are_unavailable(self):
         stand_in, backend = self.start_engine()
         await stand_in.close()
         order = Order(1, MODEL, 3, "", deadline_in(20))
@@ -248,7 +248,7 @@
         self.assertIsInstance(await self.engine.load(backend), Unavailable)
         self.assertIsInstance(await self.engine.cancel(backend, "s"), Unavailable)
 
-    async def test_cache_events_come_late_and_cached_prefixes_start_sooner(self):
+    async def test_cache_events_are_delayed_and_cached_prefixes_skip_prefill(self):
         stand_in, backend = self.start_engine(
             prefill_per_token=0.05, cache_delay=0.05, cache_loss=0.0
         )
@@ -264,7 +264,7 @@
         told = [(event.number, event.prefix, event.stored) for event in events]
         self.assertEqual((told, following), ([(1, prefix, True)], 2))
 
-    async def test_a_stream_moves_with_its_kv_cache(self):
+    async def test_stream_resumes_on_another_engine_with_its_kv_cache(self):
         source, backend = self.start_engine("engine-1")
         target, other = self.start_engine("engine-2")
         await self.read(backend, stream_order("s/1"))
@@ -273,9 +273,9 @@
         self.assertIn("s/1", target.batch.imported)
         missing = await self.engine.export_kv(backend, "unknown")
         self.assertEqual(missing, Unavailable("status 404"))
-        whole = text_of((await self.read(backend, stream_order("s/1")))[0])
+        whole = joined_text((await self.read(backend, stream_order("s/1")))[0])
         rest, end = await self.read(other, stream_order("s/1", offset=3))
-        self.assertEqual(text_of(rest).split(), whole.split()[3:])
+        self.assertEqual(joined_text(rest).split(), whole.split()[3:])
         self.assertEqual(end.spans[0].first, 3)
         self.assertEqual(source.truth()["streams"]["s/1"]["starts"], 1)
 
--- a/sassafrasdoor/backends/transfer.py
+++ b/sassafrasdoor/backends/transfer.py
@@ -55,7 +55,7 @@
         self.began = False
 
     @property
-    def finished(self):
+    def is_finished(self):
         """Whether it has ended, so that the client may reuse its handle."""
         return self._future is not None and self._future.done()
 
@@ -79,8 +79,8 @@
             curl.setopt(pycurl.FRESH_CONNECT, 1)
             curl.setopt(pycurl.FORBID_REUSE, 1)
         curl.setopt(pycurl.NOPROGRESS, 0)
-        curl.setopt(pycurl.XFERINFOFUNCTION, self._progress)
-        curl.setopt(pycurl.PREREQFUNCTION, self._connected)
+        curl.setopt(pycurl.XFERINFOFUNCTION, self._on_progress)
+        curl.setopt(pycurl.PREREQFUNCTION, self._on_connected)
 
     def abort(self):
         """End the transfer now; without effect on a finished one.
@@ -90,7 +90,7 @@
         continuing makes it ask at once.
         """
         self._aborted = True
-        if self._curl is None or self.finished:
+        if self._curl is None or self.is_finished:
             return
         with contextlib.suppress(pycurl.error):
             self._curl.pause(pycurl.PAUSE_ALL)
@@ -113,10 +113,10 @@
         """Call ``callback()`` once the transfer has ended."""
         self._future.add_done_callback(lambda _: callback())
 
-    def _progress(self, *counts):
+    def _on_progress(self, *counts):
         return int(self._aborted)
 
-    def _connected(self, *ends):
+    def _on_connected(self, *ends):
         # Called after connecting, before the first byte of the request is sent. A
         # transfer aborted while it waited for a handle or a connection ends here.
         if self._aborted:
@@ -128,13 +128,13 @@
 class Client:
     """Makes transfers; bypasses the connection pool of servers that went silent."""
 
-    __slots__ = ("_client", "_distrusted")
+    __slots__ = ("_client", "_pool_bypass_deadlines")
 
     def __init__(self, max_transfers=MAX_TRANSFERS, max_body=100_000_000):
         self._client = CurlAsyncHTTPClient(
             force_instance=True, max_clients=max_transfers, max_body_size=max_body
         )
-        self._distrusted = {}
+        self._pool_bypass_deadlines = {}
 
     def close(self):
         """Close the client and all its connections."""
@@ -142,7 +142,7 @@
 
     def start(self, backend, request, on_header=None, on_data=None):
         """Start a ``Transfer``; ``on_data`` takes the body chunk by chunk."""
-        transfer = Transfer(request.fresh or self._is_distrusted(backend))
+        transfer = Transfer(request.fresh or self._bypasses_pool(backend))
         timeout = 0 if request.deadline is None else remaining(request.deadline)
         if timeout == 0 and request.deadline is not None:
             timeout = MIN_TIMEOUT
@@ -172,30 +172,30 @@
         response = await self.start(backend, request).response()
         if isinstance(response, Broken):
             if response.reason == REASONS[TIMED_OUT]:
-                self.distrust(backend)
+                self.bypass_pool(backend)
             return response
-        if not framed(response, request.method):
+        if not is_framed(response, request.method):
             return Broken("reply without length or chunks", began=True)
         return response
 
-    def distrust(self, backend):
+    def bypass_pool(self, backend):
         """Use no pooled connection to that server until its idle ones are closed.
 
         A pooled connection may be dead without a reset, and calls on it time out.
         """
-        self._distrusted[backend.address] = deadline_in(2 * IDLE_TIMEOUT)
+        self._pool_bypass_deadlines[backend.address] = deadline_in(2 * IDLE_TIMEOUT)
 
-    def _is_distrusted(self, backend):
-        limit = self._distrusted.get(backend.address)
+    def _bypasses_pool(self, backend):
+        limit = self._pool_bypass_deadlines.get(backend.address)
         if limit is None:
             return False
         if passed(limit):
-            del self._distrusted[backend.address]
+            del self._pool_bypass_deadlines[backend.address]
             return False
         return True
 
 
-def framed(response, method):
+def is_framed(response, method):
     """Say whether a reply has a length or chunks.
 
     One with neither ends with its connection, so a truncated one can't be told.
--- a/sassafrasdoor/entry/parts.py
+++ b/sassafrasdoor/entry/components.py
@@ -20,7 +20,7 @@
 REPORT_INTERVAL = 0.2
 
 
-class Parts:
+class Components:
     """Everything the callers' server needs; ``link`` supplies the view."""
 
     __slots__ = (
@@ -84,11 +84,11 @@
                 await task
         self.log.close()
 
-    def unready(self):
+    def not_ready_reason(self):
         """Return why this instance takes no new work, or an empty string."""
-        return "leaving" if self.leaving else self.without_table()
+        return "leaving" if self.leaving else self.table_unusable_reason()
 
-    def without_table(self):
+    def table_unusable_reason(self):
         """Return why no table can be gone by here, or an empty string.
 
         An instance that reaches neither the log nor a peer may be the only one
@@ -113,7 +113,7 @@
             "instance": self._settings.instance.name,
             "leaving": self.leaving,
             "revision": view.revision,
-            "unconfirmed_seconds": _age(view),
+            "unconfirmed_seconds": _confirmation_age(view),
             "weights": view.weights,
             "members": [_member(member) for member in view.members],
             "backends": [
@@ -132,7 +132,7 @@
             await asyncio.sleep(REPORT_INTERVAL)
 
 
-def _age(view):
+def _confirmation_age(view):
     """Return seconds since the log confirmed the view; None: it never did.
 
     Infinity is no JSON: strict readers failed on the page of an instance that
--- a/sassafrasdoor/entry/process.py
+++ b/sassafrasdoor/entry/process.py
@@ -7,14 +7,14 @@
 from sassafrasdoor import logs
 from sassafrasdoor.clock import deadline_in, passed, remaining
 from sassafrasdoor.control.link import ControlLink
-from sassafrasdoor.entry.parts import Parts
+from sassafrasdoor.entry.components import Components
 from sassafrasdoor.entry.server import EntryServer
 from sassafrasdoor.events import EVENTS
 from sassafrasdoor.peers.server import PeerServer
 from sassafrasdoor.requests.peer import capability
 from sassafrasdoor.stopping import planned_stop, say_ready
 
-DRAIN_POLL = 0.05
+DRAIN_POLL_INTERVAL = 0.05
 
 
 async def run(settings, control_address):
@@ -27,29 +27,29 @@
 
 async def _serve(settings, control_address):
     link = ControlLink(settings, control_address)
-    parts = Parts(settings, link)
-    server = EntryServer(settings, parts)
+    components = Components(settings, link)
+    server = EntryServer(settings, components)
     address = server.listen()
     peers = PeerServer(
         settings,
         settings.instance.host,
         settings.instance.peer_port,
-        capability(parts.requests),
+        capability(components.requests),
     )
     await peers.start()
     link.set_addresses(address, peers.address)
-    parts.start()
+    components.start()
     stop = planned_stop()
     say_ready(settings.instance.name, entry=address, peer=peers.address)
     await stop.wait()
-    await _drain(settings, parts)
+    await _drain(settings, components)
     await peers.close()
-    await parts.close()
+    await components.close()
     await server.close()
     logs.changed("entry:stopped")
 
 
-async def _drain(settings, parts):
+async def _drain(settings, components):
     """Leave without cutting a request off.
 
     Callers keep a discovery answer for ``discovery_valid`` seconds and connect
@@ -59,15 +59,15 @@
     Other instances go on naming it until the news has reached them, which is
     what ``drain.spread`` allows for: without it, calls are cut just before the end.
     """
-    parts.leaving = True
+    components.leaving = True
     logs.changed("entry:leaving")
     EVENTS.add("drain-started")
-    await parts.link.leave()
+    await components.link.leave()
     lapsed = deadline_in(settings.routing.discovery_valid + settings.drain.spread)
     await asyncio.sleep(remaining(lapsed))
-    parts.requests.refuse_new()
-    await parts.steps.drain()
+    components.requests.refuse_new()
+    await components.steps.drain()
     limit = deadline_in(settings.drain.deadline)
-    while parts.requests.in_progress() and not passed(limit):  # noqa: ASYNC110
-        await asyncio.sleep(DRAIN_POLL)
-    EVENTS.add("drain-finished", left=parts.requests.in_progress())
+    while components.requests.in_progress() and not passed(limit):  # noqa: ASYNC110
+        await asyncio.sleep(DRAIN_POLL_INTERVAL)
+    EVENTS.add("drain-finished", left=components.requests.in_progress())
--- a/sassafrasdoor/entry/server.py
+++ b/sassafrasdoor/entry/server.py
@@ -14,11 +14,11 @@
 BEARER = "Bearer "
 MAX_HEADER_BYTES = 16_384
 MAX_KEY_LENGTH = 256
-EVENTS_PAGE = 1000
+MAX_EVENTS_PER_REPLY = 1000
 MAX_STAMP_DIGITS = 20
 # So much of a body that is too large is read and thrown away, so that its sender
 # gets to read the refusal.
-DISCARDED_BODIES = 16
+DISCARD_LIMIT_FACTOR = 16
 
 REFUSED_KEYS = metrics.counter(
     "sassafrasdoor_refused_keys_total", "Calls whose key did not match their row."
@@ -26,13 +26,13 @@
 
 
 class EntryServer:
-    """Serves callers; ``parts`` is what ``entry.process`` put together."""
+    """Serves callers; ``components`` is what ``entry.process`` put together."""
 
-    __slots__ = ("_http", "_settings", "address", "parts")
+    __slots__ = ("_http", "_settings", "address", "components")
 
-    def __init__(self, settings, parts):
+    def __init__(self, settings, components):
         self._settings = settings
-        self.parts = parts
+        self.components = components
         self._http = None
         self.address = ""
 
@@ -57,7 +57,7 @@
 
     def application(self):
         """Return the application over all slices."""
-        own = {"parts": self.parts}
+        own = {"parts": self.components}
         pages = [
             ("/healthz", HealthHandler, own),
             ("/readyz", ReadyHandler, own),
@@ -67,10 +67,10 @@
             ("/v1/events", EventsHandler, own),
         ]
         return BoundedApplication(
-            pages + self.parts.handlers(),
+            pages + self.components.handlers(),
             body_limit=self._settings.requests.body_limit,
             default_handler_class=NotFoundHandler,
-            authorize=Authorization(self.parts),
+            authorize=Authorization(self.components),
             log_function=count_request,
         )
 
@@ -105,14 +105,14 @@
     cannot be listed by trying names.
     """
 
-    __slots__ = ("_parts",)
+    __slots__ = ("_components",)
 
-    def __init__(self, parts):
-        self._parts = parts
+    def __init__(self, components):
+        self._components = components
 
     def __call__(self, handler, row_name):
         """Return the row whose key the caller showed, or None."""
-        view, reason = self._parts.view(), self._parts.without_table()
+        view, reason = self._components.view(), self._components.table_unusable_reason()
         if reason:
             refuse(handler, 503, "not-run", reason, retry=1)
             return None
@@ -140,7 +140,7 @@
     """Base of the pages about the instance itself."""
 
     def initialize(self, parts):
-        self._parts = parts
+        self._components = parts
 
     def write_error(self, status_code, **kwargs):
         """Answer a failure without a traceback."""
@@ -163,7 +163,7 @@
 
     def prepare(self):
         limit = self.application.settings["body_limit"]
-        self.request.connection.set_max_body_size(limit * DISCARDED_BODIES)
+        self.request.connection.set_max_body_size(limit * DISCARD_LIMIT_FACTOR)
         refuse(self, 413, "rejected", f"the body is longer than {limit} bytes")
 
     def data_received(self, chunk):
@@ -181,7 +181,7 @@
     """``GET /readyz``: a table is known and the instance is not leaving."""
 
     def get(self):
-        reason = self._parts.unready()
+        reason = self._components.not_ready_reason()
         if reason:
             self.set_status(503)
         self.write({"ready": not reason, "reason": reason})
@@ -205,7 +205,7 @@
     """
 
     async def get(self):
-        text = await self._parts.link.metrics()
+        text = await self._components.link.metrics()
         if not text:
             refuse(self, 503, "not-run", f"control: {text.reason}", retry=1)
             return
@@ -218,7 +218,7 @@
 
     def get(self):
         self.set_header("Content-Type", "application/json")
-        self.write(json.dumps(self._parts.status()))
+        self.write(json.dumps(self._components.status()))
 
 
 class EventsHandler(PageHandler):
@@ -230,5 +230,5 @@
             found = [Finding("since", "not a stamp")]
             refuse(self, 400, "rejected", "the query is invalid", findings=found)
             return
-        events = EVENTS.since(int(text))[:EVENTS_PAGE]
+        events = EVENTS.since(int(text))[:MAX_EVENTS_PER_REPLY]
         self.write({"events": [event.as_dict() for event in events]})
--- a/sassafrasdoor/entry/tests/test_bad_input.py
+++ b/sassafrasdoor/entry/tests/test_bad_input.py
@@ -32,10 +32,10 @@
 TRAINER = KEYS["trainer"]
 MANY_DIGITS = "9" * 5000
 LONE_SURROGATE = b'{"prompt": "\\ud800", "max_tokens": 2}'
-DEEP = b"[" * 9000
+DEEPLY_NESTED = b"[" * 9000
 
 
-def with_(document, **changes):
+def merge(document, **changes):
     return {**document, **changes}
 
 
@@ -77,30 +77,30 @@
     ("POST", GENERATE, OK, {}, b"", 400, "(root)"),
     ("POST", GENERATE, OK, {}, b"{", 400, "(root)"),
     ("POST", GENERATE, OK, {}, b"\xff\xfe", 400, "(root)"),
-    ("POST", GENERATE, OK, {}, DEEP, 400, "(root)"),
+    ("POST", GENERATE, OK, {}, DEEPLY_NESTED, 400, "(root)"),
     ("POST", GENERATE, OK, {}, LONE_SURROGATE, 400, "(root)"),
     ("POST", GENERATE, OK, {}, [], 400, "(root)"),
-    ("POST", GENERATE, OK, {}, with_(PROMPT, prompt=1), 400, "prompt"),
-    ("POST", GENERATE, OK, {}, with_(PROMPT, max_tokens="2"), 400, "max_tokens"),
-    ("POST", GENERATE, OK, {}, with_(PROMPT, max_tokens=10**30), 400, "max_tokens"),
-    ("POST", GENERATE, OK, {}, with_(PROMPT, colour=1), 400, "colour"),
+    ("POST", GENERATE, OK, {}, merge(PROMPT, prompt=1), 400, "prompt"),
+    ("POST", GENERATE, OK, {}, merge(PROMPT, max_tokens="2"), 400, "max_tokens"),
+    ("POST", GENERATE, OK, {}, merge(PROMPT, max_tokens=10**30), 400, "max_tokens"),
+    ("POST", GENERATE, OK, {}, merge(PROMPT, colour=1), 400, "colour"),
     ("POST", STEPS, TRAINER, {}, b"{", 400, "(root)"),
-    ("POST", STEPS, TRAINER, {}, DEEP, 400, "(root)"),
-    ("POST", STEPS, TRAINER, {}, with_(STEP, step="a/b"), 400, "step"),
-    ("POST", STEPS, TRAINER, {}, with_(STEP, attach=0), 400, "attach"),
-    ("POST", STEPS, TRAINER, {}, with_(STEP, attach="1"), 400, "attach"),
-    ("POST", STEPS, TRAINER, {}, with_(STEP, groups=[]), 400, "groups"),
-    ("POST", STEPS, TRAINER, {}, with_(STEP, groups=[{}]), 400, "groups.0.prompt"),
-    ("POST", STEPS, TRAINER, {}, with_(STEP, token="*"), 400, "token"),
-    ("POST", STEPS, TRAINER, {}, with_(STEP, token="AAAA"), 400, "token"),
-    ("POST", STEPS, TRAINER, {}, with_(STEP, token="/w=="), 400, "token"),
-    ("POST", STEPS, TRAINER, {}, with_(STEP, seed=-1), 400, "seed"),
+    ("POST", STEPS, TRAINER, {}, DEEPLY_NESTED, 400, "(root)"),
+    ("POST", STEPS, TRAINER, {}, merge(STEP, step="a/b"), 400, "step"),
+    ("POST", STEPS, TRAINER, {}, merge(STEP, attach=0), 400, "attach"),
+    ("POST", STEPS, TRAINER, {}, merge(STEP, attach="1"), 400, "attach"),
+    ("POST", STEPS, TRAINER, {}, merge(STEP, groups=[]), 400, "groups"),
+    ("POST", STEPS, TRAINER, {}, merge(STEP, groups=[{}]), 400, "groups.0.prompt"),
+    ("POST", STEPS, TRAINER, {}, merge(STEP, token="*"), 400, "token"),
+    ("POST", STEPS, TRAINER, {}, merge(STEP, token="AAAA"), 400, "token"),
+    ("POST", STEPS, TRAINER, {}, merge(STEP, token="/w=="), 400, "token"),
+    ("POST", STEPS, TRAINER, {}, merge(STEP, seed=-1), 400, "seed"),
     (
         "POST",
         STEPS,
         TRAINER,
         {},
-        with_(STEP, samples_per_group=10**6),
+        merge(STEP, samples_per_group=10**6),
         400,
         "samples_per_group",
     ),
@@ -135,10 +135,10 @@
     "a frame cut short": b"\x00\x00\x00\x00\x10\x00\x00\x00\x00",
 }
 DATAGRAMS = [b"", b"\x00", b"\xff", b"\x10" + b"x" * 40, os.urandom(1200), b"x" * 9000]
-TRACES = ("Traceback", "Exception", "Error:", 'File "')
+TRACEBACK_MARKERS = ("Traceback", "Exception", "Error:", 'File "')
 
 
-class OneInstance:
+class SingleInstanceCluster:
     """A cluster of one instance, one engine and one service."""
 
     async def start(self, **settings):
@@ -147,25 +147,25 @@
         self.instance = self.cluster.instances[0]
         self.address = self.instance.address
 
-    async def answered(self):
+    async def serves_calls(self):
         """Whether a good call is answered, so that the instance serves on."""
         status, _ = await self.cluster.post(self.address, CALL, {}, OK)
         return status == 200
 
-    def assert_quiet(self):
+    def assert_no_tracebacks(self):
         for process in (self.instance.entry, self.instance.control):
             self.assertIsNone(process.returncode)
             for line in process.output:
-                self.assertFalse([t for t in TRACES if t in line], line)
+                self.assertFalse([t for t in TRACEBACK_MARKERS if t in line], line)
 
-    async def counted(self, name):
+    async def counter_sum(self, name):
         """The sum of a counter on the entry's page."""
         page = await self.cluster.raw("GET", self.address, "/metrics")
         lines = page.body.decode().splitlines()
         return sum(float(x.split()[-1]) for x in lines if x.startswith(name))
 
 
-async def sent(address, data, half_close=True):
+async def send_raw(address, data, half_close=True):
     """Send raw bytes; return all that comes back until the other end closes."""
     host, port = address.split(":")
     reader, writer = await asyncio.open_connection(host, int(port))
@@ -186,24 +186,26 @@
     return received
 
 
-class BadInputTest(OneInstance, unittest.IsolatedAsyncioTestCase):
-    async def test_callers_port(self):
+class BadInputTest(SingleInstanceCluster, unittest.IsolatedAsyncioTestCase):
+    async def test_malformed_requests_are_refused(self):
         """Guards against malformed requests that end a process or show a traceback."""
         await self.start(requests={"body_limit": BODY_LIMIT})
         status, _ = await self.cluster.post(self.address, STEPS, STEP, TRAINER)
         self.assertEqual(status, 202)
         for method, path, key, headers, body, status, place in CASES:
             with self.subTest(f"{method} {path[:40]}", sent=str((headers, body))[:60]):
-                await self.refused(method, path, key, headers, body, status, place)
+                await self.assert_refused(
+                    method, path, key, headers, body, status, place
+                )
         for name, data in GARBAGE.items():
             with self.subTest(name):
-                answer = await sent(self.address, data)
+                answer = await send_raw(self.address, data)
                 self.assertNotIn(b"Traceback", answer)
                 self.assertIn(answer[:12], (b"", b"HTTP/1.1 400"), answer)
-        self.assertTrue(await self.answered())
-        self.assert_quiet()
+        self.assertTrue(await self.serves_calls())
+        self.assert_no_tracebacks()
 
-    async def refused(self, method, path, key, headers, body, status, place):
+    async def assert_refused(self, method, path, key, headers, body, status, place):
         document = body if isinstance(body, dict | list) else None
         raw = json.dumps(body).encode() if document is not None else body
         reply = await self.request(method, path, key, headers, raw)
@@ -226,7 +228,7 @@
         if body is not None:
             lines.append(f"Content-Length: {len(body)}")
         head = "\r\n".join(lines) + "\r\n\r\n"
-        answer = await sent(self.address, head.encode() + (body or b""), False)
+        answer = await send_raw(self.address, head.encode() + (body or b""), False)
         return Reply(answer)
 
 
@@ -240,8 +242,8 @@
         self.headers = dict(line.split(": ", 1) for line in lines)
 
 
-class KeyRotationTest(OneInstance, unittest.IsolatedAsyncioTestCase):
-    async def test_old_key_ends_with_the_table(self):
+class KeyRotationTest(SingleInstanceCluster, unittest.IsolatedAsyncioTestCase):
+    async def test_replaced_key_is_refused_under_the_new_table(self):
         """Guards against a key that outlives the table that named it."""
         await self.start()
         status, seen = await self.cluster.get(self.address, "/v1/status")
@@ -255,18 +257,18 @@
             table = copy.deepcopy(TABLE)
             table["rows"][1]["key_hashes"] = [key_hash(key) for key in keys]
             base = await self.cluster.propose(table, base, f"rotation-{number}")
-            await until(lambda base=base: self.in_force(base), what="the new table")
+            await until(lambda base=base: self.is_in_force(base), what="the new table")
             for key, code in expected.items():
                 status, _ = await self.cluster.post(self.address, CALL, {}, key)
                 self.assertEqual(status, code, (keys, key))
 
-    async def in_force(self, revision):
+    async def is_in_force(self, revision):
         _, seen = await self.cluster.get(self.address, "/v1/status")
         return seen["revision"] == revision
 
 
-class PeerPortsTest(OneInstance, unittest.IsolatedAsyncioTestCase):
-    async def test_garbage_ends_its_connection_only(self):
+class PeerPortsTest(SingleInstanceCluster, unittest.IsolatedAsyncioTestCase):
+    async def test_malformed_frames_close_only_their_connection(self):
         """Guards against malformed frames and datagrams that end a process."""
         await self.start()
         ready = self.instance.control.ready
@@ -274,8 +276,8 @@
         for port in (peer, ready["control"]):
             for name, frame in FRAMES.items():
                 with self.subTest(name, port=port):
-                    self.assertNotIn(b"Traceback", await sent(port, frame))
-        self.assertGreater(await self.counted("peer_broken_total"), 0)
+                    self.assertNotIn(b"Traceback", await send_raw(port, frame))
+        self.assertGreater(await self.counter_sum("peer_broken_total"), 0)
         loop = asyncio.get_running_loop()
         host, port = ready["gossip"].split(":")
         transport, _ = await loop.create_datagram_endpoint(
@@ -293,5 +295,5 @@
             )
             async with capnp.kj_loop():
                 self.assertIsInstance(await link.open(), Unavailable)
-        self.assertTrue(await self.answered())
-        self.assert_quiet()
+        self.assertTrue(await self.serves_calls())
+        self.assert_no_tracebacks()
--- a/sassafrasdoor/entry/tests/test_drain.py
+++ b/sassafrasdoor/entry/tests/test_drain.py
@@ -57,7 +57,7 @@
 
 
 class RollingRestartTest(unittest.IsolatedAsyncioTestCase):
-    async def test_no_request_is_cut(self):
+    async def test_rolling_restart_interrupts_no_request(self):
         """Guards against an instance that stops serving before discovery drops it."""
         http = SimpleAsyncHTTPClient(force_instance=True, max_clients=100)
         async with Cluster() as cluster:
--- a/sassafrasdoor/entry/tests/test_entry_gone.py
+++ b/sassafrasdoor/entry/tests/test_entry_exit.py
@@ -7,7 +7,7 @@
 
 
 class EntryGoneTest(unittest.IsolatedAsyncioTestCase):
-    async def test_discovery_forgets_it_and_takes_it_back(self):
+    async def test_discovery_withdraws_the_instance_until_its_entry_restarts(self):
         """Guards against discovery of an instance whose entry process has ended."""
         async with Cluster() as cluster:
             await cluster.start(instances=3, engines=1)
--- a/sassafrasdoor/entry/tests/test_isolated.py
+++ b/sassafrasdoor/entry/tests/test_isolated.py
@@ -3,12 +3,12 @@
 import unittest
 
 from sassafrasdoor.clock import now
-from sassafrasdoor.entry.parts import Parts
+from sassafrasdoor.entry.components import Components
 from sassafrasdoor.requests.tests.fakes import settings, view
 from sassafrasdoor.view import State
 
 
-class SeenLink:
+class FixedViewLink:
     """A link to control that has delivered one view."""
 
     def __init__(self, seen):
@@ -16,7 +16,7 @@
 
 
 class IsolatedTest(unittest.IsolatedAsyncioTestCase):
-    async def test_who_goes_on_with_an_unconfirmed_table(self):
+    async def test_isolated_instance_with_an_unconfirmed_table_is_not_ready(self):
         """Guards against an isolated instance that serves by an old table for ever."""
         chosen = settings(
             instance={"name": "entry-1"}, table={"unconfirmed_grace": 60.0}
@@ -32,6 +32,6 @@
                 seen = view(members=abs(members), confirmed_at=now() - age)
                 for member in seen.members[1:] if members < 0 else ():
                     member.state = State.SUSPECT
-                parts = Parts(chosen, SeenLink(seen))
-                self.assertEqual(parts.unready() == "", serves)
-                await parts.close()
+                components = Components(chosen, FixedViewLink(seen))
+                self.assertEqual(components.not_ready_reason() == "", serves)
+                await components.close()
--- a/sassafrasdoor/entry/tests/test_openapi.py
+++ b/sassafrasdoor/entry/tests/test_openapi.py
@@ -5,7 +5,7 @@
 import unittest
 
 from sassafrasdoor.control.link import ControlLink
-from sassafrasdoor.entry.parts import Parts
+from sassafrasdoor.entry.components import Components
 from sassafrasdoor.entry.server import EntryServer
 from sassafrasdoor.settings import from_document
 from sassafrasdoor.support import ROOT
@@ -14,15 +14,17 @@
 
 
 class OpenApiTest(unittest.IsolatedAsyncioTestCase):
-    async def test_paths_agree(self):
+    async def test_documented_paths_match_the_served_paths(self):
         settings = from_document({})
-        parts = Parts(settings, ControlLink(settings, "127.0.0.1:1"))
+        components = Components(settings, ControlLink(settings, "127.0.0.1:1"))
         served = {
             GROUP.sub("{}", rule.matcher.regex.pattern.rstrip("$"))
-            for rule in EntryServer(settings, parts).application().wildcard_router.rules
+            for rule in EntryServer(settings, components)
+            .application()
+            .wildcard_router.rules
         }
         page = json.loads((ROOT / "docs" / "openapi.json").read_text("utf-8"))
         named = {re.sub(r"\{[^}]*\}", "{}", path) for path in page["paths"]}
         named = {path.replace("/v1/call/{}/{}", "/v1/call/{}{}") for path in named}
         self.assertEqual(named, {one for one in served if one != ".*"})
-        await parts.close()
+        await components.close()
--- a/sassafrasdoor/entry/tests/test_replacement.py
+++ b/sassafrasdoor/entry/tests/test_replacement.py
@@ -16,13 +16,13 @@
         _, status = await cluster.get(instance.address, "/v1/status")
         return status.get("revision", 0)
 
-    async def answers(self, cluster, instance):
+    async def serves_calls(self, cluster, instance):
         status, _ = await cluster.post(
             instance.address, "/v1/call/idempotent/work", {}, KEYS["idempotent"]
         )
         return status == 200
 
-    async def test_all_replaced_while_the_log_is_down(self):
+    async def test_table_survives_replacement_during_a_log_outage(self):
         """Guards against an earlier table in force after all were replaced."""
         async with Cluster() as cluster:
             await cluster.start(instances=3, engines=1, services=1)
@@ -31,7 +31,7 @@
             edited["rows"][0]["weight"] = 5
             second = await cluster.propose(edited, base=first, proposal="second")
             for instance in cluster.instances:
-                await until(lambda one=instance: self.reached(cluster, one, second))
+                await until(lambda one=instance: self.is_in_force(cluster, one, second))
             await cluster.platform_faults(down=True)
             for number, old in enumerate(list(cluster.instances)):
                 await asyncio.to_thread(old.kill)
@@ -39,14 +39,14 @@
                 fresh = await asyncio.to_thread(
                     cluster.start_instance, f"fresh-{number}", ZONES[number]
                 )
-                await until(lambda one=fresh: self.reached(cluster, one, second))
-                await until(lambda one=fresh: self.answers(cluster, one))
+                await until(lambda one=fresh: self.is_in_force(cluster, one, second))
+                await until(lambda one=fresh: self.serves_calls(cluster, one))
             await cluster.platform_faults(down=False)
             third = await cluster.propose(TABLE, base=second, proposal="third")
             for instance in cluster.instances:
-                await until(lambda one=instance: self.reached(cluster, one, third))
+                await until(lambda one=instance: self.is_in_force(cluster, one, third))
 
-    async def reached(self, cluster, instance, wanted):
+    async def is_in_force(self, cluster, instance, wanted):
         """Say whether ``wanted`` is in force; what was reached never goes back."""
         revision = await self.revision(cluster, instance)
         highest = max(self.highest.get(instance.name, 0), revision)
--- a/sassafrasdoor/entry/tests/test_secrets.py
+++ b/sassafrasdoor/entry/tests/test_secrets.py
@@ -25,7 +25,7 @@
 
 
 class SecretsTest(unittest.IsolatedAsyncioTestCase):
-    async def test_secrets_stay_inside(self):
+    async def test_secrets_are_not_exposed(self):
         """Guards against keys in logs, metrics or answers."""
         folder = tempfile.TemporaryDirectory(prefix="sassafrasdoor-secrets-")
         self.addCleanup(folder.cleanup)
--- a/sassafrasdoor/entry/tests/test_status.py
+++ b/sassafrasdoor/entry/tests/test_status.py
@@ -6,14 +6,14 @@
 
 from sassafrasdoor.backends.interface import Load
 from sassafrasdoor.clock import LONG_AGO, deadline_in
-from sassafrasdoor.entry.parts import Parts
+from sassafrasdoor.entry.components import Components
 from sassafrasdoor.requests.tests.fakes import row_document, settings, view
 from sassafrasdoor.support import until
 from sassafrasdoor.tools.status_view import status_grids, status_line
 from sassafrasdoor.view import Grant, View
 
 
-class Link:
+class FixedViewLink:
     """A link to the control process that has one view."""
 
     def __init__(self, seen):
@@ -26,20 +26,20 @@
         self.seen = view(
             row_document("app"), grants=grants, weights={"m": 3}, revision=5
         )
-        self.parts = Parts(settings(), Link(self.seen))
-        self.addAsyncCleanup(self.parts.close)
+        self.components = Components(settings(), FixedViewLink(self.seen))
+        self.addAsyncCleanup(self.components.close)
 
-    async def test_it_names_what_an_operator_asks_for(self):
+    async def test_status_shows_versions_load_and_quota(self):
         """Guards against a status page that hides an old version or a busy row."""
         first, second = self.seen.backends
-        self.parts.chooser.report(first, Load(4, capacity=8, versions={"m": 2}))
-        row, admission = self.seen.row("app"), self.parts.admission
+        self.components.chooser.report(first, Load(4, capacity=8, versions={"m": 2}))
+        row, admission = self.seen.row("app"), self.components.admission
         await admission.admit(self.seen, row, deadline_in(60.0))
         waiting = asyncio.ensure_future(
             admission.admit(self.seen, row, deadline_in(60.0))
         )
         await until(lambda: admission.demand().get("app") == 2)
-        seen = json.loads(json.dumps(self.parts.status(), allow_nan=False))
+        seen = json.loads(json.dumps(self.components.status(), allow_nan=False))
         waiting.cancel()
         self.assertEqual((seen["revision"], seen["weights"]), (5, {"m": 3}))
         self.assertEqual([one["name"] for one in seen["members"]], ["entry-1"])
@@ -66,10 +66,10 @@
                 self.assertTrue(rows)
                 self.assertEqual({len(one) for one in rows}, {len(heads)})
 
-    async def test_an_instance_that_knows_nothing_yet(self):
+    async def test_status_before_the_first_view_is_valid_json(self):
         """Guards against an infinite age, which is not valid JSON."""
-        self.parts.link.view = View(confirmed_at=LONG_AGO, grants={})
-        seen = json.loads(json.dumps(self.parts.status(), allow_nan=False))
+        self.components.link.view = View(confirmed_at=LONG_AGO, grants={})
+        seen = json.loads(json.dumps(self.components.status(), allow_nan=False))
         self.assertIsNone(seen["unconfirmed_seconds"])
         self.assertIn("never confirmed", status_line(seen))
 
@@ -82,9 +82,9 @@
         ]
         for name, grants, granted, allowed in cases:
             with self.subTest(name):
-                self.parts.admission.update_view(
+                self.components.admission.update_view(
                     view(row_document("app"), grants=grants)
                 )
-                found = self.parts.admission.status()["app"]
+                found = self.components.admission.status()["app"]
                 self.assertEqual(found["granted"], granted)
                 self.assertEqual(found["allowed"] > 0, allowed)
--- a/sassafrasdoor/entry/tests/test_tls.py
+++ b/sassafrasdoor/entry/tests/test_tls.py
@@ -44,7 +44,7 @@
             blob.write_to_path(path)
         return [str(path) for path in paths]
 
-    async def test_listener_and_programs(self):
+    async def test_listener_and_tools_use_tls(self):
         """Guards against plain HTTP where TLS is set."""
         cluster = Cluster({"tls": self.tls}, self.ca_file)
         async with cluster:
@@ -105,7 +105,7 @@
         found = await survey.ask(1)
         return found if found and found.everywhere else None
 
-    def test_files_are_findings(self):
+    def test_invalid_files_are_reported_as_findings(self):
         """Guards against TLS files that are first read when the port is bound."""
         other_key = self.issue("other", "127.0.0.1")[2]
         text = self.folder / "text.pem"
--- a/sassafrasdoor/platform/front.py
+++ b/sassafrasdoor/platform/front.py
@@ -7,7 +7,7 @@
 from tornado.iostream import StreamClosedError
 from tornado.web import Application
 
-from sassafrasdoor.backends.connections import Outgoing, Reply
+from sassafrasdoor.backends.connections import OutgoingRequest, Reply
 from sassafrasdoor.backends.interface import Answer, Broken
 from sassafrasdoor.clock import deadline_in
 from sassafrasdoor.decisions import note
@@ -230,7 +230,7 @@
     async def _ask(self, peer, deadline):
         pairs = wire.header_pairs(self.request.headers, wire.NOT_SENT_ON)
         headers = {**dict(pairs), HANDED_ON: "1"}
-        call = Outgoing(
+        call = OutgoingRequest(
             self.request.method,
             self.request.uri,
             headers,
--- a/sassafrasdoor/platform/measure.py
+++ b/sassafrasdoor/platform/measure.py
@@ -15,7 +15,7 @@
 
 import typer
 
-from sassafrasdoor.backends.connections import Connections, Outgoing
+from sassafrasdoor.backends.connections import Connections, OutgoingRequest
 from sassafrasdoor.clock import deadline_in
 from sassafrasdoor.platform import configuration, wire
 from sassafrasdoor.platform.local import LocalInstance
@@ -62,7 +62,7 @@
 
     async def _send(self, method, path, address, body=b"", request_id="r"):
         headers = {"Host": HOST, wire.REQUEST_ID: request_id}
-        request = Outgoing(method, path, headers, body, deadline_in(20))
+        request = OutgoingRequest(method, path, headers, body, deadline_in(20))
         return await self._connections.send(address, request)
 
     async def _status(self, method, path, address, body=b"", request_id="r"):
--- a/sassafrasdoor/platform/servers.py
+++ b/sassafrasdoor/platform/servers.py
@@ -4,7 +4,7 @@
 
 from tornado.httputil import HTTPHeaders
 
-from sassafrasdoor.backends.connections import Connections, Outgoing
+from sassafrasdoor.backends.connections import Connections, OutgoingRequest
 from sassafrasdoor.backends.interface import Answer, Broken, Stale
 from sassafrasdoor.backends.replicas import (
     Event,
@@ -40,7 +40,7 @@
 
     def forget(self, replica):
         """Close the kept connections of an incarnation that is gone."""
-        self._connections.forget(replica.listing.address)
+        self._connections.close_idle(replica.listing.address)
 
     async def call(self, replica, call):
         """Return the ``Answer``, ``NotRun``, ``WrongReplica`` or ``Broken``."""
@@ -49,11 +49,11 @@
         )
         return _whole_answer(reply)
 
-    async def reach(self, replica):
+    async def try_connect(self, replica):
         """Return True if it can be connected to, else ``Refused`` or ``Broken``."""
-        return await self._connections.reach(replica.listing.address)
+        return await self._connections.try_connect(replica.listing.address)
 
-    async def stream(self, replica, call, passing):
+    async def stream(self, replica, call, relay):
         """Pass events on; return True when whole, or as ``call`` does."""
         blocks = _Blocks()
         own = _own(call.request_id)
@@ -63,12 +63,12 @@
             if not refused and status == 200:
                 if wire.STAMP not in answered:
                     return NO_STAMP
-                passing.head(wire.header_pairs(answered, wire.NOT_SENT_BACK))
+                relay.head(wire.header_pairs(answered, wire.NOT_SENT_BACK))
             return refused
 
         async def take(data):
             for block in blocks.feed(data):
-                await passing.event(_event_number(block), block + EVENT_END)
+                await relay.event(_event_number(block), block + EVENT_END)
 
         reply = await self._send(replica, _outgoing(replica, call), accept, take)
         if isinstance(reply, Broken) or reply.status != 200:
@@ -83,7 +83,9 @@
         headers[wire.EXPECT_INSTANCE] = replica.identity
         if order.after is not None:
             headers[wire.LAST_EVENT] = str(order.after)
-        request = Outgoing("POST", order.path, headers, order.body, order.deadline)
+        request = OutgoingRequest(
+            "POST", order.path, headers, order.body, order.deadline
+        )
         events = _EventReader(on_event)
         own = _own(order.item_id)
 
@@ -119,7 +121,7 @@
             wire.EXPECT_INSTANCE: replica.identity,
         }
         body = json.dumps(document).encode()
-        request = Outgoing("POST", "/-/order", headers, body, order.deadline)
+        request = OutgoingRequest("POST", "/-/order", headers, body, order.deadline)
         reply = await self._send(replica, request, None)
         if isinstance(reply, Broken):
             return (ReplyLost if reply.began else Unavailable)(reply.reason)
@@ -134,7 +136,7 @@
         reply = await self._connections.send(address, request, accept, on_data)
         if isinstance(reply, Broken):
             if reply.reason == "timeout":
-                self._connections.forget(address)
+                self._connections.close_idle(address)
             return reply
         _take_load(replica, reply.headers)
         return reply
@@ -207,7 +209,7 @@
     headers[wire.DEADLINE] = str(max(1, int(remaining(call.deadline) * 1000)))
     if call.after is not None:
         headers[wire.LAST_EVENT] = str(call.after)
-    return Outgoing(
+    return OutgoingRequest(
         call.method, call.path, headers, call.body, call.deadline, call.fresh
     )
 
--- a/sassafrasdoor/platform/soak_callers.py
+++ b/sassafrasdoor/platform/soak_callers.py
@@ -6,7 +6,7 @@
 
 from tornado.httpclient import HTTPRequest
 
-from sassafrasdoor.backends.connections import Outgoing, Reply
+from sassafrasdoor.backends.connections import OutgoingRequest, Reply
 from sassafrasdoor.clock import deadline_in, passed
 from sassafrasdoor.fetch import reply_to
 from sassafrasdoor.platform import wire
@@ -57,7 +57,7 @@
             wire.REQUEST_ID: request_id,
             wire.DEADLINE: str(int(ROUTE_TIME * 1000)),
         }
-        request = Outgoing(
+        request = OutgoingRequest(
             "POST",
             "/plain/once/x" if once else "/plain/x",
             headers,
--- a/sassafrasdoor/platform/store.py
+++ b/sassafrasdoor/platform/store.py
@@ -5,7 +5,7 @@
 import struct
 import urllib.parse
 
-from sassafrasdoor.backends.connections import Connections, Outgoing
+from sassafrasdoor.backends.connections import Connections, OutgoingRequest
 from sassafrasdoor.backends.interface import Broken
 from sassafrasdoor.clock import deadline_in
 from sassafrasdoor.log.demand import CallCounter
@@ -113,13 +113,13 @@
         if query:
             path += "?" + urllib.parse.urlencode(query)
         headers = {"Host": self._address, **(JSON_HEADERS if body else {})}
-        request = Outgoing(method, path, headers, body, deadline)
+        request = OutgoingRequest(method, path, headers, body, deadline)
         purpose = self._demand.begin(name)
         reply, size = None, 0
         try:
             reply = await self._connections.send(self._address, request)
             if isinstance(reply, Broken):
-                self._connections.forget(self._address)
+                self._connections.close_idle(self._address)
             else:
                 size = len(reply.body)
         finally:
--- a/sassafrasdoor/requests/crash_watch.py
+++ b/sassafrasdoor/requests/crash_watch.py
@@ -245,7 +245,7 @@
         confirm_deadline = deadline_in(CRASH_CONFIRM_TIMEOUT)
         for probe_delay in PROBE_DELAYS:
             await asyncio.sleep(probe_delay)
-            probe_result = await self._client.reach(replica)
+            probe_result = await self._client.try_connect(replica)
             if isinstance(probe_result, Refused):
                 return True
         if probe_result is True:
--- a/sassafrasdoor/requests/tests/test_crash_watch.py
+++ b/sassafrasdoor/requests/tests/test_crash_watch.py
@@ -33,7 +33,7 @@
         self.answers = list(answers)
         self.probes = 0
 
-    async def reach(self, replica):
+    async def try_connect(self, replica):
         self.probes += 1
         return self.answers.pop(0) if len(self.answers) > 1 else self.answers[0]
 
--- a/sassafrasdoor/requests/tests/test_direct.py
+++ b/sassafrasdoor/requests/tests/test_direct.py
@@ -30,7 +30,7 @@
         self.calls = []
         self.cancelled = 0
 
-    async def reach(self, replica):
+    async def try_connect(self, replica):
         return True
 
     async def call(self, replica, call):
@@ -118,7 +118,7 @@
 
     async def test_request_that_crashes_replicas_is_refused_without_a_send(self):
         client = Client(LOST, LOST, LOST, OK)
-        client.reach = refuse_connection
+        client.try_connect = refuse_connection
         service = DirectService(client, replicas(6))
         sends = []
         for at in range(5):
@@ -131,7 +131,7 @@
 
     async def test_suspect_is_sent_once_and_not_hedged(self):
         client = Client(LOST, LOST, HANG, OK)
-        client.reach = refuse_connection
+        client.try_connect = refuse_connection
         service = DirectService(client, replicas(6))
         short_route = route(repeat=Repeat.SAFE, attempts=2, target=0.01)
         await service.answer(direct_request(short_route))
--- a/sassafrasdoor/requests/tests/test_streaming.py
+++ b/sassafrasdoor/requests/tests/test_streaming.py
@@ -29,7 +29,7 @@
         self.script = list(script)
         self.calls = []
 
-    async def reach(self, replica):
+    async def try_connect(self, replica):
         return True
 
     async def stream(self, replica, call, relay):
--- a/sassafrasdoor/steps/durable/tests/fixtures.py
+++ b/sassafrasdoor/steps/durable/tests/fixtures.py
@@ -109,7 +109,7 @@
         self.calls = []
         self.cancelled = 0
 
-    async def reach(self, replica):
+    async def try_connect(self, replica):
         """Report every replica as reachable."""
         return True
 
--- a/sassafrasdoor/steps/durable/tests/test_runner.py
+++ b/sassafrasdoor/steps/durable/tests/test_runner.py
@@ -261,7 +261,7 @@
     async def test_item_that_crashes_replicas_is_delayed_between_attempts(self):
         """Guards against an item that crashes one replica after another."""
         client = ScriptedClient(*[BROKEN] * 6)
-        client.reach = refuse_connection
+        client.try_connect = refuse_connection
         await self.start(client, replicas(8), items=1)
         await self.until(lambda: len(client.sent) >= 3)
         await asyncio.sleep(1.0)
--- a/sassafrasdoor/tests/test_fuzz.py
+++ b/sassafrasdoor/tests/test_fuzz.py
@@ -22,7 +22,7 @@
 from sassafrasdoor.steps.token import DeliveryToken
 from sassafrasdoor.table import sheets
 from sassafrasdoor.table.rows import Table, table_from
-from sassafrasdoor.timeline.sources import UNREADABLE, event_from
+from sassafrasdoor.timeline.sources import PARSE_ERRORS, event_from
 
 fuzzed = run_settings(derandomize=True, deadline=None, max_examples=150)
 
@@ -220,7 +220,7 @@
     def test_event(self, document):
         try:
             event = event_from(document)
-        except UNREADABLE:
+        except PARSE_ERRORS:
             return
         self.assertIsInstance(event.stamp, int)
 
--- a/sassafrasdoor/timeline/collector.py
+++ b/sassafrasdoor/timeline/collector.py
@@ -10,7 +10,7 @@
 
 # While following, events younger than this wait for the next round: another
 # process, read a moment earlier, may have older ones still to come.
-HOLD_MS = 300
+REORDER_WINDOW_MS = 300
 FOLLOW_INTERVAL = 0.5
 
 
@@ -30,16 +30,16 @@
         self._instance = instance
         self._kind = kind
 
-    def keeps(self, event):
+    def matches(self, event):
         """Say whether the event passes."""
         return (
             event.kind.startswith(self._kind)
             and self._instance in ("", event.process.partition("/")[0])
-            and self._names(event, "request", self._request)
-            and self._names(event, "step", self._step)
+            and self._matches_field(event, "request", self._request)
+            and self._matches_field(event, "step", self._step)
         )
 
-    def _names(self, event, field, wanted):
+    def _matches_field(self, event, field, wanted):
         if not wanted:
             return True
         named = str(event.fields.get(field, ""))
@@ -54,23 +54,23 @@
     line that lacks a process must say so.
     """
 
-    __slots__ = ("_held", "_seen", "_sources", "unavailable")
+    __slots__ = ("_pending", "_last_stamps", "_sources", "unavailable")
 
     def __init__(self, sources, since=0):
         self._sources = list(sources)
-        self._seen = dict.fromkeys(self._sources, since)
-        self._held = []
+        self._last_stamps = dict.fromkeys(self._sources, since)
+        self._pending = []
         self.unavailable = {}
 
     async def collect(self):
         """Read what is new everywhere; return it sorted."""
-        pages = await asyncio.gather(*map(self._drain, self._sources))
+        pages = await asyncio.gather(*map(self._read_new, self._sources))
         return sorted(sum(pages, []), key=lambda event: event.stamp)
 
-    async def _drain(self, source):
+    async def _read_new(self, source):
         events = []
         while True:
-            page = await source.read(self._seen[source])
+            page = await source.read(self._last_stamps[source])
             if isinstance(page, list):
                 self.unavailable.pop(source.name, None)
             else:
@@ -80,20 +80,20 @@
             newest = max(event.stamp for event in page)
             # A source that goes on sending what was read already would keep us
             # here for ever, with a list that grows.
-            if newest <= self._seen[source]:
+            if newest <= self._last_stamps[source]:
                 return events
-            self._seen[source] = newest
+            self._last_stamps[source] = newest
             events += page
 
     async def follow(self):
         """Yield sorted lists of events as they come, until cancelled."""
         clock = HybridClock()
         while True:
-            settled = clock.stamp() - (HOLD_MS << HybridClock.COUNTER_BITS)
-            events = self._held + await self.collect()
+            cutoff = clock.stamp() - (REORDER_WINDOW_MS << HybridClock.COUNTER_BITS)
+            events = self._pending + await self.collect()
             events.sort(key=lambda event: event.stamp)
-            self._held = [event for event in events if event.stamp > settled]
-            yield [event for event in events if event.stamp <= settled]
+            self._pending = [event for event in events if event.stamp > cutoff]
+            yield [event for event in events if event.stamp <= cutoff]
             await asyncio.sleep(FOLLOW_INTERVAL)
 
     def close(self):
--- a/sassafrasdoor/timeline/export.py
+++ b/sassafrasdoor/timeline/export.py
@@ -3,7 +3,7 @@
 from sassafrasdoor.clock import HybridClock
 
 COUNTER = (1 << HybridClock.COUNTER_BITS) - 1
-SPANNING = ("request", "step")
+SPAN_FIELDS = ("request", "step")
 
 
 def microseconds(stamp):
@@ -11,7 +11,7 @@
     return (stamp >> HybridClock.COUNTER_BITS) * 1000 + min(stamp & COUNTER, 999)
 
 
-def line(event):
+def format_event(event):
     """Return one event as a line of text."""
     fields = " ".join(f"{key}={item}" for key, item in event.fields.items())
     seconds = microseconds(event.stamp) / 1e6
@@ -26,14 +26,14 @@
     return {
         "displayTimeUnit": "ms",
         "traceEvents": [
-            *_names(numbers),
-            *(_instant(event, numbers) for event in events),
-            *_spans(events, numbers),
+            *_process_names(numbers),
+            *(_instant_event(event, numbers) for event in events),
+            *_span_events(events, numbers),
         ],
     }
 
 
-def _names(numbers):
+def _process_names(numbers):
     for process, number in numbers.items():
         yield {
             "name": "process_name",
@@ -44,7 +44,7 @@
         }
 
 
-def _instant(event, numbers):
+def _instant_event(event, numbers):
     return {
         "name": event.kind,
         "cat": event.kind.partition("-")[0],
@@ -57,11 +57,11 @@
     }
 
 
-def _spans(events, numbers):
+def _span_events(events, numbers):
     """Yield one span for each request and step that more than one event names."""
     spans = {}
     for event in events:
-        for field in SPANNING:
+        for field in SPAN_FIELDS:
             if field in event.fields:
                 spans.setdefault((field, str(event.fields[field])), []).append(event)
     for (field, name), named in spans.items():
--- a/sassafrasdoor/timeline/lines.py
+++ b/sassafrasdoor/timeline/lines.py
@@ -26,7 +26,7 @@
         self.kind = kind
         self.fields = fields
 
-    def names(self, wanted):
+    def mentions(self, wanted):
         """Say whether any of its fields is, or holds, this id."""
         return any(
             value == wanted or (isinstance(value, list) and wanted in value)
@@ -38,13 +38,17 @@
         return f"{self.at:.6f} {self.process} {self.kind} {shown}"
 
     @property
-    def explains(self):
+    def has_explanation(self):
         """Whether it says why something was not done, or who ended it."""
-        return bool(self.fields.get("reason")) or self.kind in SAYS_WHO_ENDED_IT
+        return bool(self.fields.get("reason")) or self.kind in SELF_EXPLANATORY_KINDS
 
 
-SAYS_WHO_ENDED_IT = {"request.caller_left", "request.cut_by_stop", "request.no_route"}
-NOT_SHOWN = {
+SELF_EXPLANATORY_KINDS = {
+    "request.caller_left",
+    "request.cut_by_stop",
+    "request.no_route",
+}
+OMITTED_FIELDS = {
     "timestamp",
     "steady",
     "process",
@@ -61,7 +65,7 @@
         return None
     try:
         document = json.loads(text[start:])
-        fields = {key: document[key] for key in document if key not in NOT_SHOWN}
+        fields = {key: document[key] for key in document if key not in OMITTED_FIELDS}
         return Line(
             float(document["timestamp"]),
             str(document["process"]),
@@ -76,16 +80,16 @@
 def select(texts, wanted="", kind=""):
     """Return the lines that name an id and whose kind begins so, in order of time."""
     found = [line for line in map(parse, texts) if line is not None]
-    _straighten(found)
+    _correct_times(found)
     kept = [
         line
         for line in found
-        if line.kind.startswith(kind) and (not wanted or line.names(wanted))
+        if line.kind.startswith(kind) and (not wanted or line.mentions(wanted))
     ]
     return sorted(kept, key=lambda line: line.at)
 
 
-def _straighten(lines):
+def _correct_times(lines):
     """Set the time of each line by its process's steady clock.
 
     A jump of the time of day would put a cause behind its effect. Most lines of a
@@ -105,8 +109,8 @@
     """Return by id the last line that explains what became of it, or None."""
     found = dict.fromkeys(wanted)
     for line in select(texts):
-        if line.explains:
+        if line.has_explanation:
             for one in found:
-                if line.names(one):
+                if line.mentions(one):
                     found[one] = line
     return found
--- a/sassafrasdoor/timeline/sources.py
+++ b/sassafrasdoor/timeline/sources.py
@@ -12,8 +12,8 @@
 from sassafrasdoor.peers.link import PeerLink
 
 READ_TIMEOUT = 5.0
-OWN_FIELDS = ("stamp", "process", "kind")
-UNREADABLE = (ValueError, KeyError, TypeError, AttributeError, RecursionError)
+ENVELOPE_FIELDS = ("stamp", "process", "kind")
+PARSE_ERRORS = (ValueError, KeyError, TypeError, AttributeError, RecursionError)
 
 
 class EntrySource:
@@ -45,7 +45,7 @@
             return [event_from(document) for document in documents]
         except (HTTPError, OSError) as error:
             return Unavailable(str(error))
-        except UNREADABLE as error:
+        except PARSE_ERRORS as error:
             return Unavailable(f"unreadable: {type(error).__name__}")
 
     def close(self):
@@ -88,7 +88,7 @@
                 )
                 for event in answer.events
             ]
-        except UNREADABLE as error:
+        except PARSE_ERRORS as error:
             return Unavailable(f"unreadable: {type(error).__name__}")
 
     def close(self):
@@ -99,12 +99,12 @@
 def event_from(document):
     """Return the ``Event`` in a mapping made by its ``as_dict``.
 
-    Raises one of ``UNREADABLE`` if it is none: a stamp that is no number could
+    Raises one of ``PARSE_ERRORS`` if it is none: a stamp that is no number could
     not be put in order with the others.
     """
     if type(document["stamp"]) is not int:
         raise TypeError("stamp")
-    fields = {key: item for key, item in document.items() if key not in OWN_FIELDS}
+    fields = {key: item for key, item in document.items() if key not in ENVELOPE_FIELDS}
     return Event(
         document["stamp"], str(document["process"]), str(document["kind"]), fields
     )
--- a/sassafrasdoor/timeline/tests/test_walk.py
+++ b/sassafrasdoor/timeline/tests/test_adopted_step.py
@@ -16,8 +16,8 @@
 SLOW = ("--capacity", "24", "--token-rate", "60")
 
 
-class WalkTest(unittest.IsolatedAsyncioTestCase):
-    async def test_the_time_line_tells_what_happened_to_a_step(self):
+class AdoptedStepTest(unittest.IsolatedAsyncioTestCase):
+    async def test_timeline_shows_the_adoption_of_a_step(self):
         """Guards against events of a step's adoption without the step's name."""
         async with capnp.kj_loop(), Cluster() as cluster:
             await cluster.start(engine_options=SLOW)
@@ -27,7 +27,7 @@
             events += await collector.collect()
             collector.close()
         events.sort(key=lambda event: event.stamp)
-        of_step = [event for event in events if Filter(step=STEP).keeps(event)]
+        of_step = [event for event in events if Filter(step=STEP).matches(event)]
         walk = [
             (event.kind, event.process.partition("/")[0] == killed) for event in of_step
         ]
--- a/sassafrasdoor/timeline/tests/test_lines.py
+++ b/sassafrasdoor/timeline/tests/test_lines.py
@@ -36,10 +36,10 @@
     def test_an_id_inside_a_list_is_found(self):
         self.assertEqual([one.at for one in select(TEXTS, "e2")], [2.0])
 
-    def test_kinds_are_selected_by_their_beginning(self):
+    def test_kinds_are_selected_by_prefix(self):
         self.assertEqual(len(select(TEXTS, kind="request.")), 4)
 
-    def test_the_program_reads_files_and_standard_input(self):
+    def test_tool_reads_files_and_standard_input(self):
         with tempfile.TemporaryDirectory() as folder:
             path = pathlib.Path(folder) / "log"
             path.write_text("\n".join(TEXTS), "utf-8")
@@ -49,7 +49,7 @@
                 self.assertEqual(result.exit_code, 0)
                 self.assertEqual(len(result.output.splitlines()), 3)
 
-    def test_jump_of_the_time_of_day_keeps_the_order(self):
+    def test_wall_clock_jump_keeps_the_order(self):
         """Guards against lines ordered by the time of day alone."""
         wall = [(1.0, 51.0), (2.0, 52.0), (3.0, 50.0), (4.0, 54.0)]
         texts = [
--- a/sassafrasdoor/timeline/tests/test_timeline.py
+++ b/sassafrasdoor/timeline/tests/test_timeline.py
@@ -40,7 +40,7 @@
 
 
 class CollectorTests(unittest.IsolatedAsyncioTestCase):
-    async def test_merges_pages_in_order_and_names_who_is_missing(self):
+    async def test_merges_pages_in_order_and_reports_unavailable_sources(self):
         one = FakeSource("one", *map(event, (1, 4, 5, 9)))
         two = FakeSource("two", *map(event, (2, 3, 7)))
         collector = Collector([one, two])
@@ -71,7 +71,9 @@
         cause = ring.clock.stamp() - 100 * MS
         effect = cause + 1
         two.events.append(event(effect))
-        await until(lambda: collector._seen[two] == effect, what="the effect read")
+        await until(
+            lambda: collector._last_stamps[two] == effect, what="the effect read"
+        )
         one.events.append(event(cause))
         await until(lambda: len(seen) == 2, what="both events")
         self.assertEqual(seen, [cause, effect])
@@ -96,8 +98,8 @@
         ]
         for criteria, expected in cases:
             with self.subTest(criteria):
-                keeps = Filter(**criteria).keeps
-                self.assertEqual([e.stamp for e in events if keeps(e)], expected)
+                matches = Filter(**criteria).matches
+                self.assertEqual([e.stamp for e in events if matches(e)], expected)
 
 
 class ExportTests(unittest.TestCase):
@@ -115,14 +117,14 @@
         self.assertEqual([r["pid"] for r in records[2:5]], [1, 2, 1])
         self.assertEqual([r["ts"] for r in records[5:]], [5000, 7000])
 
-    def test_events_survive_the_wire(self):
+    def test_events_round_trip_through_json(self):
         original = event(9, "a/entry", "x", request="r", left=0)
         copy = event_from(json.loads(json.dumps(original.as_dict())))
         self.assertEqual(copy.as_dict(), original.as_dict())
-        self.assertIn("request=r", export.line(copy))
+        self.assertIn("request=r", export.format_event(copy))
 
 
-class ProgramTests(unittest.IsolatedAsyncioTestCase):
+class ToolTests(unittest.IsolatedAsyncioTestCase):
     async def run_program(self, *arguments):
         process = await asyncio.create_subprocess_exec(
             sys.executable,
--- a/sassafrasdoor/tools/timeline.py
+++ b/sassafrasdoor/tools/timeline.py
@@ -64,7 +64,7 @@
     if not (entry or control or discover):
         typer.echo("name --entry, --control or --discover", err=True)
         raise typer.Exit(USAGE_ERROR)
-    keep = Filter(request, step, instance, kind).keeps
+    keep = Filter(request, step, instance, kind).matches
     write = _print_json if as_json else _print_line
     job = _run(checked, entry, control, discover, keep, write, follow, trace)
     try:
@@ -152,7 +152,7 @@
 
 
 def _print_line(event):
-    typer.echo(export.line(event))
+    typer.echo(export.format_event(event))
 
 
 def _print_json(event):
