--- a/sassafrasdoor/backends/affinity.py
+++ b/sassafrasdoor/backends/affinity.py
@@ -66,9 +66,9 @@
             for backend in self._view().backends
             if backend.kind is BackendKind.ENGINE and backend.state is State.ALIVE
         ]
-        known, self._caches = self._caches, {}
+        previous, self._caches = self._caches, {}
         for backend in engines:
-            cache = known.get(backend.name)
+            cache = previous.get(backend.name)
             if cache is None or cache.address != backend.address:
                 cache = EngineCache(backend.address)
             self._caches[backend.name] = cache
@@ -80,10 +80,10 @@
             # A restarted engine numbers its events from zero again.
             cache.next_event = 0
         async with self._poll_slots:
-            answer = await self._client.cache_events(backend, cache.next_event)
-        if not answer:
+            reply = await self._client.cache_events(backend, cache.next_event)
+        if not reply:
             return
-        events, cache.next_event = answer
+        events, cache.next_event = reply
         if events or not cache.next_event:
             cache.resync_deadline = deadline_in(RESYNC_INTERVAL)
         for event in events:
--- a/sassafrasdoor/backends/connections.py
+++ b/sassafrasdoor/backends/connections.py
@@ -128,15 +128,15 @@
 
     def close(self):
         """Close all idle connections."""
-        for kept in self._idle.values():
-            for one in kept:
-                one.stream.close()
+        for pool in self._idle.values():
+            for connection in pool:
+                connection.stream.close()
         self._idle.clear()
 
     def close_idle(self, address):
         """Close the idle connections to ``address``."""
-        for one in self._idle.pop(address, ()):
-            one.stream.close()
+        for connection in self._idle.pop(address, ()):
+            connection.stream.close()
 
     async def try_connect(self, address):
         """Return True if a connection can be opened, else ``Refused`` or ``Broken``."""
@@ -165,13 +165,13 @@
             return Broken("timeout", began=True)
 
     def _take_idle(self, address):
-        kept = self._idle.get(address)
-        while kept:
-            one = kept.pop()
-            if not passed(one.deadline) and _is_reusable(one.stream):
+        pool = self._idle.get(address)
+        while pool:
+            connection = pool.pop()
+            if not passed(connection.deadline) and _is_reusable(connection.stream):
                 REUSED.inc({})
-                return one.stream
-            one.stream.close()
+                return connection.stream
+            connection.stream.close()
         return None
 
     async def _open(self, address):
@@ -201,25 +201,25 @@
         receiver = _ReplyReceiver(accept, on_data)
         receiver.close = stream.close
         connection = HTTP1Connection(stream, True, self._parameters)
-        kept = False
+        pooled = False
         try:
             headers = HTTPHeaders(request.headers)
             headers["Content-Length"] = str(len(request.body))
-            start = RequestStartLine(request.method, request.path, "HTTP/1.1")
-            connection.write_headers(start, headers, request.body or None)
+            start_line = RequestStartLine(request.method, request.path, "HTTP/1.1")
+            connection.write_headers(start_line, headers, request.body or None)
             connection.finish()
             await connection.read_response(receiver)
-            broken = self._reply_error(stream, receiver)
-            if broken is not None:
-                return broken
-            kept = self._keep_idle(address, stream, receiver.headers)
+            failure = self._reply_error(stream, receiver)
+            if failure is not None:
+                return failure
+            pooled = self._keep_idle(address, stream, receiver.headers)
             return Reply(receiver.status, receiver.headers, receiver.body)
         except (StreamClosedError, HTTPInputError, OSError) as error:
             return Broken(
                 receiver.refusal_reason or f"connection lost: {error}", began=True
             )
         finally:
-            if not kept:
+            if not pooled:
                 stream.close()
 
     def _reply_error(self, stream, receiver):
@@ -240,10 +240,10 @@
             return False
         if "close" in headers.get("Connection", "").lower():
             return False
-        kept = self._idle.setdefault(address, [])
-        if len(kept) >= MAX_IDLE_CONNECTIONS:
+        pool = self._idle.setdefault(address, [])
+        if len(pool) >= MAX_IDLE_CONNECTIONS:
             return False
-        kept.append(_IdleConnection(stream, deadline_in(_idle_timeout(headers))))
+        pool.append(_IdleConnection(stream, deadline_in(_idle_timeout(headers))))
         return True
 
 
--- a/sassafrasdoor/backends/http.py
+++ b/sassafrasdoor/backends/http.py
@@ -86,12 +86,12 @@
         )
         response = await self._client.fetch(backend, request)
         if isinstance(response, Broken):
-            kind = ReplyLost if response.began else Unavailable
-            return kind(response.reason)
-        read = ORDER_REPLY_DECODERS.get(response.code)
-        if read is None:
+            outcome = ReplyLost if response.began else Unavailable
+            return outcome(response.reason)
+        decode = ORDER_REPLY_DECODERS.get(response.code)
+        if decode is None:
             return Unavailable(f"order failed with status {response.code}")
-        return decode_document(read, json_object(response))
+        return decode_document(decode, json_object(response))
 
     async def cache_events(self, backend, first):
         """Return ``(events, next number)``, or ``Unavailable``."""
@@ -101,7 +101,7 @@
     async def export_kv(self, backend, stream):
         """Return the KV cache of a stream (a string), or ``Unavailable``."""
         document = await self._call(backend, "POST", "/kv/export", {"stream": stream})
-        return decode_document(lambda found: found["kv"], document)
+        return decode_document(lambda reply: reply["kv"], document)
 
     async def import_kv(self, backend, stream, kv):
         """Give an engine the KV cache of a stream; return None or ``Unavailable``."""
@@ -150,11 +150,11 @@
 
 def end_to_end_headers(headers):
     """Return a reply's headers without the hop-by-hop ones."""
-    kept = headers.copy()
+    forwarded = headers.copy()
     for name in headers:
         if name.lower() in NON_FORWARDED_HEADERS:
-            del kept[name]
-    return kept
+            del forwarded[name]
+    return forwarded
 
 
 async def fetch_load(client, backend):
@@ -163,7 +163,7 @@
     return decode_document(_decode_load, document)
 
 
-def decode_document(read, document):
+def decode_document(decode, document):
     """Return ``read(document)``, or ``Unavailable`` for a malformed document.
 
     An ``Outcome`` is returned as it is. An exception here would end the task that polls
@@ -172,7 +172,7 @@
     if isinstance(document, Outcome):
         return document
     try:
-        return read(document)
+        return decode(document)
     except (KeyError, TypeError, ValueError, AttributeError):
         return Unavailable("reply not understood")
 
@@ -199,15 +199,15 @@
 
 def _decode_streams(document):
     return [
-        StreamState(one["stream"], one["offset"], one["done"])
-        for one in document["streams"]
+        StreamState(stream["stream"], stream["offset"], stream["done"])
+        for stream in document["streams"]
     ]
 
 
 def _decode_cache_events(document):
     events = [
-        CacheEvent(one["number"], one["prefix"], one["stored"])
-        for one in document["events"]
+        CacheEvent(event["number"], event["prefix"], event["stored"])
+        for event in document["events"]
     ]
     return events, document["next"]
 
--- a/sassafrasdoor/backends/interface.py
+++ b/sassafrasdoor/backends/interface.py
@@ -15,8 +15,8 @@
 def prefix_key(prompt, prefix_tokens=0):
     """Return the key of a prompt's prefix: its first ``prefix_tokens`` words (0: all)."""
     words = prompt.split()
-    head = " ".join(words[:prefix_tokens] if prefix_tokens else words)
-    return hashlib.sha256(head.encode()).hexdigest()[:PREFIX_KEY_LENGTH]
+    prefix = " ".join(words[:prefix_tokens] if prefix_tokens else words)
+    return hashlib.sha256(prefix.encode()).hexdigest()[:PREFIX_KEY_LENGTH]
 
 
 class Broken(Outcome):
--- a/sassafrasdoor/backends/stream.py
+++ b/sassafrasdoor/backends/stream.py
@@ -57,12 +57,12 @@
 
     async def _next_data(self, timeout):
         """Return the next bytes, ``ENDED``, or ``SILENT`` after the timeout."""
-        limit = deadline_in(timeout)
+        deadline = deadline_in(timeout)
         if self._order.deadline is not None:
-            limit = min(limit, self._order.deadline)
+            deadline = min(deadline, self._order.deadline)
         # Python 3.11's ``wait_for`` loses a cancellation that coincides with a chunk.
         try:
-            async with asyncio.timeout(remaining(limit)):
+            async with asyncio.timeout(remaining(deadline)):
                 return await self._received.get()
         except TimeoutError:
             return NO_DATA
@@ -71,8 +71,12 @@
         """Return why no further line came."""
         if data is NO_DATA:
             self._client.bypass_pool(self._backend)
-            late = self._order.deadline is not None and passed(self._order.deadline)
-            return Broken("deadline passed" if late else "silent", transfer.began)
+            deadline_passed = self._order.deadline is not None and passed(
+                self._order.deadline
+            )
+            return Broken(
+                "deadline passed" if deadline_passed else "silent", transfer.began
+            )
         response = await transfer.response()
         if isinstance(response, Broken):
             return response
--- a/sassafrasdoor/backends/tests/test_affinity.py
+++ b/sassafrasdoor/backends/tests/test_affinity.py
@@ -31,11 +31,11 @@
         self.assertEqual(affinity.engines_with(prefix), [])
         await self.read(backend, stream_order())
 
-        async def known():
+        async def has_hint():
             await affinity.poll()
             return affinity.engines_with(prefix) == [backend.name]
 
-        await until(known, what="the event")
+        await until(has_hint, what="the event")
 
     async def test_event_gaps_outages_and_restarts(self):
         """Guards against trust in prefixes after lost events or an engine's restart."""
--- a/sassafrasdoor/backends/tests/test_connections.py
+++ b/sassafrasdoor/backends/tests/test_connections.py
@@ -72,8 +72,8 @@
 
     async def send(self, name="1", seconds=20.0, on_data=None, fresh=False):
         def accept(status, headers):
-            found = headers.get("Id")
-            return "" if found in (None, name) else "answer to another request"
+            request_id = headers.get("Id")
+            return "" if request_id in (None, name) else "answer to another request"
 
         deadline = deadline_in(seconds)
         request = OutgoingRequest("GET", "/", {"Id": name}, b"", deadline, fresh)
@@ -164,8 +164,8 @@
         with socket.socket() as unused:
             unused.bind(("127.0.0.1", 0))
             address = f"127.0.0.1:{unused.getsockname()[1]}"
-            reached = await self.connections.try_connect(address)
-        self.assertIsInstance(reached, Refused)
+            result = await self.connections.try_connect(address)
+        self.assertIsInstance(result, Refused)
 
     async def test_nothing_is_sent_without_a_listener(self):
         await self.start()
@@ -180,16 +180,16 @@
     async def test_cancelled_call_closes_its_connection(self):
         """Guards against a transfer that goes on after its call was cancelled."""
         await self.start((b"", OPEN))
-        calling = asyncio.ensure_future(self.send())
+        task = asyncio.ensure_future(self.send())
         while not self.server.requests:  # noqa: ASYNC110
             await asyncio.sleep(0.005)
-        calling.cancel()
+        task.cancel()
         async with asyncio.timeout(20):
             await self.server.client_closed.wait()
 
     async def test_body_is_passed_on_in_chunks(self):
-        pieces = []
+        chunks = []
         data = CHUNKED_HEAD + b"2\r\nab\r\n2\r\ncd\r\n0\r\n\r\n"
         await self.start((data, OPEN))
-        reply = await self.send(on_data=pieces.append)
-        self.assertEqual((b"".join(pieces), reply.body), (b"abcd", b""))
+        reply = await self.send(on_data=chunks.append)
+        self.assertEqual((b"".join(chunks), reply.body), (b"abcd", b""))
--- a/sassafrasdoor/backends/tests/test_service.py
+++ b/sassafrasdoor/backends/tests/test_service.py
@@ -99,9 +99,9 @@
 
     async def test_cancelling_ends_the_transfer(self):
         """Guards against a silent transfer that outlives its cancelled call."""
-        far = mock.patch.object(transfer, "CONNECT_TIMEOUT", 600.0)
-        far.start()
-        self.addCleanup(far.stop)
+        patcher = mock.patch.object(transfer, "CONNECT_TIMEOUT", 600.0)
+        patcher.start()
+        self.addCleanup(patcher.stop)
         stand_in, backend = self.start_service()
         stand_in.set_faults({"silent": 1})
         task = asyncio.create_task(self.service.call(backend, call(seconds=600)))
@@ -135,8 +135,8 @@
         _, backend = self.start_service()
         for method in ("GET", "HEAD", "DELETE", "OPTIONS", "PUT", "PATCH"):
             with self.subTest(method=method):
-                made = Call(method, "/x", request_id="r", deadline=deadline_in(20))
-                answer = await self.service.call(backend, made)
+                request = Call(method, "/x", request_id="r", deadline=deadline_in(20))
+                answer = await self.service.call(backend, request)
                 self.assertEqual(answer.status, 200)
                 self.assertEqual(method == "HEAD", not answer.body)
 
--- a/sassafrasdoor/backends/tests/test_stream.py
+++ b/sassafrasdoor/backends/tests/test_stream.py
@@ -27,10 +27,10 @@
 from sassafrasdoor.support import until
 from sassafrasdoor.view import Backend
 
-WHOLE = Finished
+COMPLETE = Finished
 STREAM_CONTRACT = (
     # faults, kind of the end, its reason, whether chunks came before it
-    ({}, WHOLE, None, True),
+    ({}, COMPLETE, None, True),
     ({"fail_before": 1}, Broken, "connection closed without a reply", False),
     ({"fail_after": 1}, Broken, "reply cut", True),
     ({"truncate": 1}, Broken, "reply ended without its last line", True),
@@ -51,7 +51,7 @@
 class StreamContractTest(BackendsTestCase):
     async def test_each_fault_ends_the_stream_with_its_outcome(self):
         """Guards against a truncated stream taken for a complete one."""
-        for faults, kind, reason, chunks_came in STREAM_CONTRACT:
+        for faults, kind, reason, has_chunks in STREAM_CONTRACT:
             with self.subTest(faults=faults):
                 stand_in, backend = self.start_engine()
                 stand_in.set_faults(faults)
@@ -59,7 +59,7 @@
                 chunks, end = await self.read(backend, order)
                 self.assertIsInstance(end, kind)
                 self.assertEqual(getattr(end, "reason", None), reason)
-                self.assertEqual(bool(chunks), chunks_came)
+                self.assertEqual(bool(chunks), has_chunks)
                 self.assertTrue(getattr(end, "began", True))
 
     async def test_a_refused_connection_never_began(self):
@@ -71,7 +71,7 @@
     async def test_a_full_queue_refuses_and_runs_nothing(self):
         stand_in, backend = self.start_engine(capacity=1, queue_size=1)
         stand_in.set_faults({"freeze": True})
-        waiting = [
+        admitted = [
             asyncio.create_task(self.read(backend, stream_order(f"s/{number}")))
             for number in range(2)
         ]
@@ -80,7 +80,7 @@
         self.assertEqual(end, NotRun("queue full"))
         self.assertNotIn("s/3", stand_in.truth()["streams"])
         stand_in.set_faults({"freeze": False})
-        for _, end in await asyncio.gather(*waiting):
+        for _, end in await asyncio.gather(*admitted):
             self.assertIsInstance(end, Finished)
 
     async def test_resumed_stream_neither_repeats_nor_loses_tokens(self):
@@ -88,20 +88,20 @@
         for faults in ({"fail_after": 1}, {"silence": True}):
             with self.subTest(faults=faults):
                 stand_in, backend = self.start_engine()
-                whole, _ = await self.read(backend, stream_order("w/1", 200))
+                complete, _ = await self.read(backend, stream_order("w/1", 200))
                 stand_in.batch.cancel("w/1")
-                got, end = await self._first_chunk_then(stand_in, backend, faults)
+                received, end = await self._read_until_broken(stand_in, backend, faults)
                 self.assertFalse(end)
-                offset = got[-1].offset + got[-1].tokens
+                offset = received[-1].offset + received[-1].tokens
                 rest, end = await self.read(
                     backend, stream_order("w/1", 200, offset=offset)
                 )
-                self.assertEqual(joined_text(got + rest), joined_text(whole))
+                self.assertEqual(joined_text(received + rest), joined_text(complete))
                 truth = stand_in.truth()["streams"]["w/1"]
                 self.assertEqual(span_lists(end), truth["spans"])
                 self.assertEqual((truth["starts"], truth["connections"]), (2, 2))
 
-    async def _first_chunk_then(self, stand_in, backend, faults):
+    async def _read_until_broken(self, stand_in, backend, faults):
         """Read the first chunk, set the faults, read until the stream breaks."""
         if "fail_after" in faults:
             stand_in.set_faults(faults)
@@ -118,9 +118,11 @@
 
     async def test_completed_stream_can_be_read_again(self):
         _, backend = self.start_engine()
-        whole, _ = await self.read(backend, stream_order("s/1", 200))
-        again, end = await self.read(backend, stream_order("s/1", 200, offset=2))
-        self.assertEqual(joined_text(whole).split()[2:], joined_text(again).split())
+        first_read, _ = await self.read(backend, stream_order("s/1", 200))
+        second_read, end = await self.read(backend, stream_order("s/1", 200, offset=2))
+        self.assertEqual(
+            joined_text(first_read).split()[2:], joined_text(second_read).split()
+        )
         self.assertEqual(end.spans[0].first, 0)
 
     async def test_weight_swap_within_a_stream_yields_both_versions(self):
@@ -134,16 +136,16 @@
         spans = span_lists(end)
         self.assertEqual([span[0] for span in spans], [1, 2])
         self.assertEqual(spans, stand_in.truth()["streams"]["s/1"]["spans"])
-        told = {(chunk.version, chunk.offset) for chunk in chunks}
+        labels = {(chunk.version, chunk.offset) for chunk in chunks}
         for version, first, last in spans:
-            within = {v for v, offset in told if first <= offset < last}
-            self.assertEqual(within, {version})
+            versions = {v for v, offset in labels if first <= offset < last}
+            self.assertEqual(versions, {version})
 
     async def test_closing_the_iterator_ends_the_transfer(self):
         """Guards against a transfer that goes on after its reader has left."""
-        far = mock.patch.object(transfer, "CONNECT_TIMEOUT", 600.0)
-        far.start()
-        self.addCleanup(far.stop)
+        patcher = mock.patch.object(transfer, "CONNECT_TIMEOUT", 600.0)
+        patcher.start()
+        self.addCleanup(patcher.stop)
         stand_in, backend = self.start_engine()
         items = self.engine.stream(backend, stream_order("s/1", 4000))
         self.assertIsInstance(await anext(items), Chunk)
@@ -157,13 +159,13 @@
 
     async def test_cancellation_of_a_reader_is_not_lost(self):
         """Guards against ``asyncio.wait_for`` of Python 3.11 losing a cancellation."""
-        for turns in range(5):
-            with self.subTest(turns=turns):
+        for loop_iterations in range(5):
+            with self.subTest(loop_iterations=loop_iterations):
                 reader = StreamReader(None, None, stream_order())
                 task = asyncio.create_task(reader._next_data(20))
                 await asyncio.sleep(0)
                 reader._received.put_nowait(b"chunk")
-                for _ in range(turns):
+                for _ in range(loop_iterations):
                     await asyncio.sleep(0)
                 if task.cancel():
                     with self.assertRaises(asyncio.CancelledError):
@@ -219,9 +221,9 @@
                 outcome = await self.engine.order(backend, order)
                 self.assertIsInstance(outcome, kind)
                 self.assertEqual(stand_in.batch.versions[MODEL], version)
-                await until(lambda b=backend, v=version: self._reports(b, v))
+                await until(lambda b=backend, v=version: self._is_reported(b, v))
 
-    async def _reports(self, backend, version):
+    async def _is_reported(self, backend, version):
         return (await self.engine.load(backend)).versions[MODEL] == version
 
     async def test_malformed_replies_are_unavailable(self):
@@ -260,9 +262,9 @@
             stream = stand_in.admit({"stream": name, **document})
             self.assertEqual(passed(stream.prefill_deadline), cached)
         await until(lambda: stand_in.batch.cache.events(0))
-        events, following = await self.engine.cache_events(backend, 0)
-        told = [(event.number, event.prefix, event.stored) for event in events]
-        self.assertEqual((told, following), ([(1, prefix, True)], 2))
+        events, next_number = await self.engine.cache_events(backend, 0)
+        received = [(event.number, event.prefix, event.stored) for event in events]
+        self.assertEqual((received, next_number), ([(1, prefix, True)], 2))
 
     async def test_stream_resumes_on_another_engine_with_its_kv_cache(self):
         source, backend = self.start_engine("engine-1")
@@ -273,9 +275,9 @@
         self.assertIn("s/1", target.batch.imported)
         missing = await self.engine.export_kv(backend, "unknown")
         self.assertEqual(missing, Unavailable("status 404"))
-        whole = joined_text((await self.read(backend, stream_order("s/1")))[0])
+        complete = joined_text((await self.read(backend, stream_order("s/1")))[0])
         rest, end = await self.read(other, stream_order("s/1", offset=3))
-        self.assertEqual(joined_text(rest).split(), whole.split()[3:])
+        self.assertEqual(joined_text(rest).split(), complete.split()[3:])
         self.assertEqual(end.spans[0].first, 3)
         self.assertEqual(source.truth()["streams"]["s/1"]["starts"], 1)
 
--- a/sassafrasdoor/backends/transfer.py
+++ b/sassafrasdoor/backends/transfer.py
@@ -116,7 +116,7 @@
     def _on_progress(self, *counts):
         return int(self._aborted)
 
-    def _on_connected(self, *ends):
+    def _on_connected(self, *addresses):
         # Called after connecting, before the first byte of the request is sent. A
         # transfer aborted while it waited for a handle or a connection ends here.
         if self._aborted:
@@ -186,10 +186,10 @@
         self._pool_bypass_deadlines[backend.address] = deadline_in(2 * IDLE_TIMEOUT)
 
     def _bypasses_pool(self, backend):
-        limit = self._pool_bypass_deadlines.get(backend.address)
-        if limit is None:
+        deadline = self._pool_bypass_deadlines.get(backend.address)
+        if deadline is None:
             return False
-        if passed(limit):
+        if passed(deadline):
             del self._pool_bypass_deadlines[backend.address]
             return False
         return True
--- a/sassafrasdoor/entry/components.py
+++ b/sassafrasdoor/entry/components.py
@@ -48,10 +48,10 @@
         self.admission = Admission(settings)
         self.chooser = Chooser(settings)
         self.loads = LoadPoller(settings, self.view, self.engine, self.chooser)
-        work = (settings, self.view, self.admission, self.chooser)
+        shared = (settings, self.view, self.admission, self.chooser)
         self.log = HttpLog(settings)
-        self.requests = RequestsService(*work, self.engine, self.service, self.log)
-        self.steps = StepsService(*work, self.engine, self.service)
+        self.requests = RequestsService(*shared, self.engine, self.service, self.log)
+        self.steps = StepsService(*shared, self.engine, self.service)
 
     def view(self):
         """Return the newest view."""
@@ -67,13 +67,13 @@
 
     def start(self):
         """Start the tasks that run beside the calls."""
-        jobs = [
+        coroutines = [
             self.link.run(),
             self.loads.run(),
             self.admission.run(self.view),
             self._send_report(),
         ]
-        self._tasks = lasting(jobs)
+        self._tasks = lasting(coroutines)
 
     async def close(self):
         """End all tasks and the work they hold."""
@@ -100,9 +100,9 @@
             return "no table known"
         if view.age <= self._settings.table.unconfirmed_grace:
             return ""
-        own = self._settings.instance.name
-        others = [one for one in view.members if one.name != own]
-        if any(one.state is State.ALIVE for one in others):
+        own_name = self._settings.instance.name
+        peers = [peer for peer in view.members if peer.name != own_name]
+        if any(peer.state is State.ALIVE for peer in peers):
             return ""
         return "alone with a table that nobody has confirmed for long"
 
@@ -115,9 +115,9 @@
             "revision": view.revision,
             "unconfirmed_seconds": _confirmation_age(view),
             "weights": view.weights,
-            "members": [_member(member) for member in view.members],
+            "members": [_member_status(member) for member in view.members],
             "backends": [
-                _backend(backend) | self.chooser.status(backend)
+                _backend_status(backend) | self.chooser.status(backend)
                 for backend in view.backends
             ],
             "steps": self.steps.status(),
@@ -141,7 +141,7 @@
     return round(view.age, 3) if math.isfinite(view.age) else None
 
 
-def _member(member):
+def _member_status(member):
     return {
         "name": member.name,
         "state": str(member.state),
@@ -150,7 +150,7 @@
     }
 
 
-def _backend(backend):
+def _backend_status(backend):
     return {
         "name": backend.name,
         "service": backend.service,
--- a/sassafrasdoor/entry/process.py
+++ b/sassafrasdoor/entry/process.py
@@ -30,20 +30,20 @@
     components = Components(settings, link)
     server = EntryServer(settings, components)
     address = server.listen()
-    peers = PeerServer(
+    peer_server = PeerServer(
         settings,
         settings.instance.host,
         settings.instance.peer_port,
         capability(components.requests),
     )
-    await peers.start()
-    link.set_addresses(address, peers.address)
+    await peer_server.start()
+    link.set_addresses(address, peer_server.address)
     components.start()
-    stop = planned_stop()
-    say_ready(settings.instance.name, entry=address, peer=peers.address)
-    await stop.wait()
+    stop_requested = planned_stop()
+    say_ready(settings.instance.name, entry=address, peer=peer_server.address)
+    await stop_requested.wait()
     await _drain(settings, components)
-    await peers.close()
+    await peer_server.close()
     await components.close()
     await server.close()
     logs.changed("entry:stopped")
@@ -63,11 +63,13 @@
     logs.changed("entry:leaving")
     EVENTS.add("drain-started")
     await components.link.leave()
-    lapsed = deadline_in(settings.routing.discovery_valid + settings.drain.spread)
-    await asyncio.sleep(remaining(lapsed))
+    discovery_expiry = deadline_in(
+        settings.routing.discovery_valid + settings.drain.spread
+    )
+    await asyncio.sleep(remaining(discovery_expiry))
     components.requests.refuse_new()
     await components.steps.drain()
-    limit = deadline_in(settings.drain.deadline)
-    while components.requests.in_progress() and not passed(limit):  # noqa: ASYNC110
+    deadline = deadline_in(settings.drain.deadline)
+    while components.requests.in_progress() and not passed(deadline):  # noqa: ASYNC110
         await asyncio.sleep(DRAIN_POLL_INTERVAL)
     EVENTS.add("drain-finished", left=components.requests.in_progress())
--- a/sassafrasdoor/entry/server.py
+++ b/sassafrasdoor/entry/server.py
@@ -57,17 +57,17 @@
 
     def application(self):
         """Return the application over all slices."""
-        own = {"parts": self.components}
-        pages = [
-            ("/healthz", HealthHandler, own),
-            ("/readyz", ReadyHandler, own),
-            ("/metrics", MetricsHandler, own),
-            ("/metrics/control", ControlMetricsHandler, own),
-            ("/v1/status", StatusHandler, own),
-            ("/v1/events", EventsHandler, own),
+        arguments = {"parts": self.components}
+        routes = [
+            ("/healthz", HealthHandler, arguments),
+            ("/readyz", ReadyHandler, arguments),
+            ("/metrics", MetricsHandler, arguments),
+            ("/metrics/control", ControlMetricsHandler, arguments),
+            ("/v1/status", StatusHandler, arguments),
+            ("/v1/events", EventsHandler, arguments),
         ]
         return BoundedApplication(
-            pages + self.components.handlers(),
+            routes + self.components.handlers(),
             body_limit=self._settings.requests.body_limit,
             default_handler_class=NotFoundHandler,
             authorize=Authorization(self.components),
@@ -132,8 +132,8 @@
     handler.set_header("X-Outcome", outcome)
     if retry is not None:
         handler.set_header("Retry-After", str(retry))
-    listed = [finding.as_dict() for finding in findings]
-    handler.finish({"outcome": outcome, "reason": reason, "findings": listed})
+    documents = [finding.as_dict() for finding in findings]
+    handler.finish({"outcome": outcome, "reason": reason, "findings": documents})
 
 
 class PageHandler(tornado.web.RequestHandler):
@@ -225,10 +225,10 @@
     """``GET /v1/events?since=STAMP``: recent events for the time line."""
 
     def get(self):
-        text = self.get_query_argument("since", "0")
-        if not text.isdecimal() or len(text) > MAX_STAMP_DIGITS:
-            found = [Finding("since", "not a stamp")]
-            refuse(self, 400, "rejected", "the query is invalid", findings=found)
+        since = self.get_query_argument("since", "0")
+        if not since.isdecimal() or len(since) > MAX_STAMP_DIGITS:
+            findings = [Finding("since", "not a stamp")]
+            refuse(self, 400, "rejected", "the query is invalid", findings=findings)
             return
-        events = EVENTS.since(int(text))[:MAX_EVENTS_PER_REPLY]
+        events = EVENTS.since(int(since))[:MAX_EVENTS_PER_REPLY]
         self.write({"events": [event.as_dict() for event in events]})
--- a/sassafrasdoor/entry/tests/test_bad_input.py
+++ b/sassafrasdoor/entry/tests/test_bad_input.py
@@ -156,13 +156,15 @@
         for process in (self.instance.entry, self.instance.control):
             self.assertIsNone(process.returncode)
             for line in process.output:
-                self.assertFalse([t for t in TRACEBACK_MARKERS if t in line], line)
+                self.assertFalse(
+                    [marker for marker in TRACEBACK_MARKERS if marker in line], line
+                )
 
     async def counter_sum(self, name):
         """The sum of a counter on the entry's page."""
         page = await self.cluster.raw("GET", self.address, "/metrics")
         lines = page.body.decode().splitlines()
-        return sum(float(x.split()[-1]) for x in lines if x.startswith(name))
+        return sum(float(line.split()[-1]) for line in lines if line.startswith(name))
 
 
 async def send_raw(address, data, half_close=True):
@@ -246,9 +248,9 @@
     async def test_replaced_key_is_refused_under_the_new_table(self):
         """Guards against a key that outlives the table that named it."""
         await self.start()
-        status, seen = await self.cluster.get(self.address, "/v1/status")
+        status, document = await self.cluster.get(self.address, "/v1/status")
         self.assertEqual(status, 200)
-        base = seen["revision"]
+        base = document["revision"]
         steps = [
             ([OK, "new-key"], {OK: 200, "new-key": 200}),
             (["new-key"], {OK: 401, "new-key": 200}),
@@ -263,8 +265,8 @@
                 self.assertEqual(status, code, (keys, key))
 
     async def is_in_force(self, revision):
-        _, seen = await self.cluster.get(self.address, "/v1/status")
-        return seen["revision"] == revision
+        _, document = await self.cluster.get(self.address, "/v1/status")
+        return document["revision"] == revision
 
 
 class PeerPortsTest(SingleInstanceCluster, unittest.IsolatedAsyncioTestCase):
--- a/sassafrasdoor/entry/tests/test_drain.py
+++ b/sassafrasdoor/entry/tests/test_drain.py
@@ -62,9 +62,9 @@
         http = SimpleAsyncHTTPClient(force_instance=True, max_clients=100)
         async with Cluster() as cluster:
             await cluster.start(engines=2, services=1, engine_options=SLOW_ENGINE)
-            seeds = [one.address for one in cluster.instances]
+            seeds = [instance.address for instance in cluster.instances]
             callers = [Caller(http, seeds, number) for number in range(CALLERS)]
-            calling = [asyncio.ensure_future(one.run()) for one in callers]
+            calls = [asyncio.ensure_future(caller.run()) for caller in callers]
             step = asyncio.ensure_future(self._step(seeds))
             for instance in list(cluster.instances):
                 stream = asyncio.ensure_future(streamed(http, instance.address))
@@ -81,7 +81,7 @@
             run = await step
             for caller in callers:
                 caller.stop = True
-            await asyncio.gather(*calling)
+            await asyncio.gather(*calls)
         codes = [code for caller in callers for code in caller.codes]
         self.assertEqual(codes.count(NO_REPLY), 0, f"of {len(codes)} calls")
         self.assertGreater(codes.count(200), 0)
--- a/sassafrasdoor/entry/tests/test_entry_exit.py
+++ b/sassafrasdoor/entry/tests/test_entry_exit.py
@@ -11,27 +11,27 @@
         """Guards against discovery of an instance whose entry process has ended."""
         async with Cluster() as cluster:
             await cluster.start(instances=3, engines=1)
-            other, gone = cluster.instances[:2]
+            other, stopped = cluster.instances[:2]
 
-            async def named():
-                path = f"/v1/addresses?row=chat&zone={gone.name}"
+            async def listed():
+                path = f"/v1/addresses?row=chat&zone={stopped.name}"
                 _, answer = await cluster.get(other.address, path)
-                return {one["instance"] for one in answer["addresses"]}
+                return {address["instance"] for address in answer["addresses"]}
 
-            async def withdrawn():
-                return gone.name not in await named()
+            async def is_withdrawn():
+                return stopped.name not in await listed()
 
-            async def back():
-                return gone.name in await named()
+            async def is_listed():
+                return stopped.name in await listed()
 
-            await until(back, what="all instances in discovery")
-            gone.entry.kill()
-            await until(withdrawn, what="the dead entry to be withdrawn")
-            gone.entry = cluster.processes.serve(
+            await until(is_listed, what="all instances in discovery")
+            stopped.entry.kill()
+            await until(is_withdrawn, what="the dead entry to be withdrawn")
+            stopped.entry = cluster.processes.serve(
                 "entry",
                 "--settings",
-                gone.settings_path,
+                stopped.settings_path,
                 "--control",
-                gone.control.ready["control"],
+                stopped.control.ready["control"],
             )
-            await until(back, what="the new entry in discovery")
+            await until(is_listed, what="the new entry in discovery")
--- a/sassafrasdoor/entry/tests/test_isolated.py
+++ b/sassafrasdoor/entry/tests/test_isolated.py
@@ -11,14 +11,14 @@
 class FixedViewLink:
     """A link to control that has delivered one view."""
 
-    def __init__(self, seen):
-        self.view = seen
+    def __init__(self, view):
+        self.view = view
 
 
 class IsolatedTest(unittest.IsolatedAsyncioTestCase):
     async def test_isolated_instance_with_an_unconfirmed_table_is_not_ready(self):
         """Guards against an isolated instance that serves by an old table for ever."""
-        chosen = settings(
+        configured = settings(
             instance={"name": "entry-1"}, table={"unconfirmed_grace": 60.0}
         )
         cases = [
@@ -27,11 +27,11 @@
             ("unconfirmed for long, alone", 600, 1, False),
             ("unconfirmed for long, the peer is suspected", 600, -2, False),
         ]
-        for name, age, members, serves in cases:
+        for name, age, members, is_ready in cases:
             with self.subTest(name):
-                seen = view(members=abs(members), confirmed_at=now() - age)
-                for member in seen.members[1:] if members < 0 else ():
+                current_view = view(members=abs(members), confirmed_at=now() - age)
+                for member in current_view.members[1:] if members < 0 else ():
                     member.state = State.SUSPECT
-                components = Components(chosen, FixedViewLink(seen))
-                self.assertEqual(components.not_ready_reason() == "", serves)
+                components = Components(configured, FixedViewLink(current_view))
+                self.assertEqual(components.not_ready_reason() == "", is_ready)
                 await components.close()
--- a/sassafrasdoor/entry/tests/test_openapi.py
+++ b/sassafrasdoor/entry/tests/test_openapi.py
@@ -24,7 +24,9 @@
             .wildcard_router.rules
         }
         page = json.loads((ROOT / "docs" / "openapi.json").read_text("utf-8"))
-        named = {re.sub(r"\{[^}]*\}", "{}", path) for path in page["paths"]}
-        named = {path.replace("/v1/call/{}/{}", "/v1/call/{}{}") for path in named}
-        self.assertEqual(named, {one for one in served if one != ".*"})
+        documented = {re.sub(r"\{[^}]*\}", "{}", path) for path in page["paths"]}
+        documented = {
+            path.replace("/v1/call/{}/{}", "/v1/call/{}{}") for path in documented
+        }
+        self.assertEqual(documented, {path for path in served if path != ".*"})
         await components.close()
--- a/sassafrasdoor/entry/tests/test_replacement.py
+++ b/sassafrasdoor/entry/tests/test_replacement.py
@@ -31,7 +31,11 @@
             edited["rows"][0]["weight"] = 5
             second = await cluster.propose(edited, base=first, proposal="second")
             for instance in cluster.instances:
-                await until(lambda one=instance: self.is_in_force(cluster, one, second))
+                await until(
+                    lambda instance=instance: self.is_in_force(
+                        cluster, instance, second
+                    )
+                )
             await cluster.platform_faults(down=True)
             for number, old in enumerate(list(cluster.instances)):
                 await asyncio.to_thread(old.kill)
@@ -39,17 +43,21 @@
                 fresh = await asyncio.to_thread(
                     cluster.start_instance, f"fresh-{number}", ZONES[number]
                 )
-                await until(lambda one=fresh: self.is_in_force(cluster, one, second))
-                await until(lambda one=fresh: self.serves_calls(cluster, one))
+                await until(
+                    lambda fresh=fresh: self.is_in_force(cluster, fresh, second)
+                )
+                await until(lambda fresh=fresh: self.serves_calls(cluster, fresh))
             await cluster.platform_faults(down=False)
             third = await cluster.propose(TABLE, base=second, proposal="third")
             for instance in cluster.instances:
-                await until(lambda one=instance: self.is_in_force(cluster, one, third))
+                await until(
+                    lambda instance=instance: self.is_in_force(cluster, instance, third)
+                )
 
-    async def is_in_force(self, cluster, instance, wanted):
+    async def is_in_force(self, cluster, instance, expected):
         """Say whether ``wanted`` is in force; what was reached never goes back."""
         revision = await self.revision(cluster, instance)
         highest = max(self.highest.get(instance.name, 0), revision)
         self.assertEqual(revision, highest, f"{instance.name} went back")
         self.highest[instance.name] = highest
-        return revision == wanted
+        return revision == expected
--- a/sassafrasdoor/entry/tests/test_secrets.py
+++ b/sassafrasdoor/entry/tests/test_secrets.py
@@ -50,20 +50,22 @@
             first.kill()
             await cluster.announce(MODEL, 2)
             await until(lambda: self.noticed(cluster, second), what="the death")
-            seen = [line for one in cluster.processes.all for line in one.output]
+            texts = [
+                line for process in cluster.processes.all for line in process.output
+            ]
             for page in PAGES:
                 reply = await cluster.raw("GET", second.address, page)
                 self.assertEqual(reply.code, 200, page)
-                seen.append(reply.body.decode())
-            seen += await asyncio.to_thread(self.timeline, cluster, second)
-        self.assertGreater(len(seen), len(PAGES))
-        for text in seen:
+                texts.append(reply.body.decode())
+            texts += await asyncio.to_thread(self.timeline, cluster, second)
+        self.assertGreater(len(texts), len(PAGES))
+        for text in texts:
             for secret in secrets:
                 self.assertNotIn(secret, text)
 
     async def noticed(self, cluster, instance):
         _, status = await cluster.get(instance.address, "/v1/status")
-        states = {one["name"]: one["state"] for one in status["members"]}
+        states = {member["name"]: member["state"] for member in status["members"]}
         return states.get("entry-1") != "alive" and status["weights"][MODEL] == 2
 
     def timeline(self, cluster, instance):
--- a/sassafrasdoor/entry/tests/test_tls.py
+++ b/sassafrasdoor/entry/tests/test_tls.py
@@ -91,19 +91,19 @@
 
     async def table_tool(self, cluster):
         platform = {"instances_url": cluster.platform_url}
-        for ca_file, seen in ((self.ca_file, True), ("", False)):
+        for ca_file, is_trusted in ((self.ca_file, True), ("", False)):
             document = {"platform": platform, "tls": {"ca_certificate": ca_file}}
             survey = Survey(settings_module.from_document(document))
-            if seen:  # The instance list lags: at first it lacks the address.
-                found = await until(lambda survey=survey: self.all_seen(survey))
+            if is_trusted:  # The instance list lags: at first it lacks the address.
+                result = await until(lambda survey=survey: self.all_seen(survey))
             else:
-                found = await survey.ask(1)
+                result = await survey.ask(1)
             survey.close()
-            self.assertEqual(found.everywhere, seen)
+            self.assertEqual(result.everywhere, is_trusted)
 
     async def all_seen(self, survey):
-        found = await survey.ask(1)
-        return found if found and found.everywhere else None
+        result = await survey.ask(1)
+        return result if result and result.everywhere else None
 
     def test_invalid_files_are_reported_as_findings(self):
         """Guards against TLS files that are first read when the port is bound."""
@@ -132,5 +132,7 @@
                 path = self.folder / "settings.json"
                 path.write_text(json.dumps({"tls": tls}))
                 loaded = settings_module.load(path, listens=True)
-                found = [finding.place for finding in getattr(loaded, "findings", ())]
-                self.assertEqual(found, places)
+                reported = [
+                    finding.place for finding in getattr(loaded, "findings", ())
+                ]
+                self.assertEqual(reported, places)
--- a/sassafrasdoor/timeline/collector.py
+++ b/sassafrasdoor/timeline/collector.py
@@ -42,9 +42,9 @@
     def _matches_field(self, event, field, wanted):
         if not wanted:
             return True
-        named = str(event.fields.get(field, ""))
+        value = str(event.fields.get(field, ""))
         parts = str(event.fields.get("stream", "")).split("/")
-        return wanted in (named, *named.split("/"), *parts)
+        return wanted in (value, *value.split("/"), *parts)
 
 
 class Collector:
--- a/sassafrasdoor/timeline/export.py
+++ b/sassafrasdoor/timeline/export.py
@@ -13,66 +13,66 @@
 
 def format_event(event):
     """Return one event as a line of text."""
-    fields = " ".join(f"{key}={item}" for key, item in event.fields.items())
+    fields = " ".join(f"{key}={value}" for key, value in event.fields.items())
     seconds = microseconds(event.stamp) / 1e6
     return f"{seconds:.6f} {event.process:<24} {event.kind:<20} {fields}".rstrip()
 
 
 def trace(events):
     """Return the trace-event document of events in the order of their stamps."""
-    numbers = {}
+    pids = {}
     for event in events:
-        numbers.setdefault(event.process, len(numbers) + 1)
+        pids.setdefault(event.process, len(pids) + 1)
     return {
         "displayTimeUnit": "ms",
         "traceEvents": [
-            *_process_names(numbers),
-            *(_instant_event(event, numbers) for event in events),
-            *_span_events(events, numbers),
+            *_process_names(pids),
+            *(_instant_event(event, pids) for event in events),
+            *_span_events(events, pids),
         ],
     }
 
 
-def _process_names(numbers):
-    for process, number in numbers.items():
+def _process_names(pids):
+    for process, pid in pids.items():
         yield {
             "name": "process_name",
             "ph": "M",
-            "pid": number,
+            "pid": pid,
             "tid": 1,
             "args": {"name": process},
         }
 
 
-def _instant_event(event, numbers):
+def _instant_event(event, pids):
     return {
         "name": event.kind,
         "cat": event.kind.partition("-")[0],
         "ph": "i",
         "s": "t",
         "ts": microseconds(event.stamp),
-        "pid": numbers[event.process],
+        "pid": pids[event.process],
         "tid": 1,
         "args": {**event.fields, "stamp": str(event.stamp)},
     }
 
 
-def _span_events(events, numbers):
+def _span_events(events, pids):
     """Yield one span for each request and step that more than one event names."""
     spans = {}
     for event in events:
         for field in SPAN_FIELDS:
             if field in event.fields:
                 spans.setdefault((field, str(event.fields[field])), []).append(event)
-    for (field, name), named in spans.items():
-        if len(named) > 1:
-            for phase, event in (("b", named[0]), ("e", named[-1])):
+    for (field, name), span in spans.items():
+        if len(span) > 1:
+            for phase, event in (("b", span[0]), ("e", span[-1])):
                 yield {
                     "name": f"{field} {name}",
                     "cat": field,
                     "ph": phase,
                     "id": name,
                     "ts": microseconds(event.stamp),
-                    "pid": numbers[named[0].process],
+                    "pid": pids[span[0].process],
                     "tid": 1,
                 }
--- a/sassafrasdoor/timeline/lines.py
+++ b/sassafrasdoor/timeline/lines.py
@@ -34,8 +34,8 @@
         )
 
     def __str__(self):
-        shown = " ".join(f"{name}={value}" for name, value in self.fields.items())
-        return f"{self.at:.6f} {self.process} {self.kind} {shown}"
+        fields = " ".join(f"{name}={value}" for name, value in self.fields.items())
+        return f"{self.at:.6f} {self.process} {self.kind} {fields}"
 
     @property
     def has_explanation(self):
@@ -79,14 +79,14 @@
 
 def select(texts, wanted="", kind=""):
     """Return the lines that name an id and whose kind begins so, in order of time."""
-    found = [line for line in map(parse, texts) if line is not None]
-    _correct_times(found)
-    kept = [
+    lines = [line for line in map(parse, texts) if line is not None]
+    _correct_times(lines)
+    selected = [
         line
-        for line in found
+        for line in lines
         if line.kind.startswith(kind) and (not wanted or line.mentions(wanted))
     ]
-    return sorted(kept, key=lambda line: line.at)
+    return sorted(selected, key=lambda line: line.at)
 
 
 def _correct_times(lines):
@@ -95,22 +95,24 @@
     A jump of the time of day would put a cause behind its effect. Most lines of a
     process are written outside a jump, so the usual distance of both clocks holds.
     """
-    distances = {}
+    offsets = {}
     for line in lines:
         if line.steady is not None:
-            distances.setdefault(line.process, []).append(line.at - line.steady)
-    usual = {name: statistics.median(found) for name, found in distances.items()}
+            offsets.setdefault(line.process, []).append(line.at - line.steady)
+    median_offsets = {
+        name: statistics.median(values) for name, values in offsets.items()
+    }
     for line in lines:
         if line.steady is not None:
-            line.at = line.steady + usual[line.process]
+            line.at = line.steady + median_offsets[line.process]
 
 
 def reasons(texts, wanted):
     """Return by id the last line that explains what became of it, or None."""
-    found = dict.fromkeys(wanted)
+    explanations = dict.fromkeys(wanted)
     for line in select(texts):
         if line.has_explanation:
-            for one in found:
-                if line.mentions(one):
-                    found[one] = line
-    return found
+            for identifier in explanations:
+                if line.mentions(identifier):
+                    explanations[identifier] = line
+    return explanations
--- a/sassafrasdoor/timeline/sources.py
+++ b/sassafrasdoor/timeline/sources.py
@@ -69,13 +69,13 @@
     async def read(self, since):
         """Return a page of events above a stamp, or ``Unavailable``."""
         if not self._link.connected:
-            failed = await self._link.open()
-            if failed is not None:
-                return failed
+            failure = await self._link.open()
+            if failure is not None:
+                return failure
         stamp = EVENTS.clock.stamp()
-        answer = await self._link.call("events", since=since, stamp=stamp)
-        if not answer:
-            return answer
+        reply = await self._link.call("events", since=since, stamp=stamp)
+        if not reply:
+            return reply
         try:
             return [
                 event_from(
@@ -86,7 +86,7 @@
                         "kind": event.kind,
                     }
                 )
-                for event in answer.events
+                for event in reply.events
             ]
         except PARSE_ERRORS as error:
             return Unavailable(f"unreadable: {type(error).__name__}")
@@ -104,7 +104,9 @@
     """
     if type(document["stamp"]) is not int:
         raise TypeError("stamp")
-    fields = {key: item for key, item in document.items() if key not in ENVELOPE_FIELDS}
+    fields = {
+        key: value for key, value in document.items() if key not in ENVELOPE_FIELDS
+    }
     return Event(
         document["stamp"], str(document["process"]), str(document["kind"]), fields
     )
--- a/sassafrasdoor/timeline/tests/test_adopted_step.py
+++ b/sassafrasdoor/timeline/tests/test_adopted_step.py
@@ -27,9 +27,10 @@
             events += await collector.collect()
             collector.close()
         events.sort(key=lambda event: event.stamp)
-        of_step = [event for event in events if Filter(step=STEP).matches(event)]
-        walk = [
-            (event.kind, event.process.partition("/")[0] == killed) for event in of_step
+        step_events = [event for event in events if Filter(step=STEP).matches(event)]
+        history = [
+            (event.kind, event.process.partition("/")[0] == killed)
+            for event in step_events
         ]
         expected = [
             ("step-started", True),
@@ -37,9 +38,9 @@
             ("step-adopted", False),
             ("step-forgotten", False),
         ]
-        self.assertEqual([one for one in walk if one in expected], expected)
-        self.assertEqual(of_step[0].fields["attach"], 1)
-        adopted = next(event for event in of_step if event.kind == "step-adopted")
+        self.assertEqual([entry for entry in history if entry in expected], expected)
+        self.assertEqual(step_events[0].fields["attach"], 1)
+        adopted = next(event for event in step_events if event.kind == "step-adopted")
         self.assertGreater(adopted.fields["streams"], 0)
         kinds = {event.kind for event in events}
         self.assertLessEqual(
@@ -55,16 +56,16 @@
 
     def _collector(self, cluster):
         configured = from_document({"membership": {"peer_keys": [PEER_KEY]}})
-        entries = [EntrySource(one.address) for one in cluster.instances]
+        entries = [EntrySource(instance.address) for instance in cluster.instances]
         controls = [
-            ControlSource(configured, one.control.ready["control"])
-            for one in cluster.instances
+            ControlSource(configured, instance.control.ready["control"])
+            for instance in cluster.instances
         ]
         return Collector(entries + controls)
 
     async def _step_with_a_kill(self, cluster, collector, events):
         """Run the step, kill its owner on the way; return the owner's name."""
-        addresses = [one.address for one in cluster.instances]
+        addresses = [instance.address for instance in cluster.instances]
         trainer = Trainer(addresses, "trainer", KEYS["trainer"], newest_version=1)
         step = trainer.run(
             {
@@ -90,5 +91,5 @@
     def _kill_owner(self, cluster, events):
         started = next(event for event in events if event.kind == "step-started")
         name = started.process.partition("/")[0]
-        next(one for one in cluster.instances if one.name == name).kill()
+        next(instance for instance in cluster.instances if instance.name == name).kill()
         return name
--- a/sassafrasdoor/timeline/tests/test_lines.py
+++ b/sassafrasdoor/timeline/tests/test_lines.py
@@ -29,12 +29,12 @@
 
 class LinesTest(unittest.TestCase):
     def test_one_request_over_all_processes_in_order(self):
-        found = select(TEXTS, "r1")
-        self.assertEqual([one.at for one in found], [1.0, 2.0, 3.0])
-        self.assertEqual([one.process for one in found], ["one", "one", "two"])
+        selected = select(TEXTS, "r1")
+        self.assertEqual([entry.at for entry in selected], [1.0, 2.0, 3.0])
+        self.assertEqual([entry.process for entry in selected], ["one", "one", "two"])
 
     def test_an_id_inside_a_list_is_found(self):
-        self.assertEqual([one.at for one in select(TEXTS, "e2")], [2.0])
+        self.assertEqual([entry.at for entry in select(TEXTS, "e2")], [2.0])
 
     def test_kinds_are_selected_by_prefix(self):
         self.assertEqual(len(select(TEXTS, kind="request.")), 4)
@@ -43,20 +43,23 @@
         with tempfile.TemporaryDirectory() as folder:
             path = pathlib.Path(folder) / "log"
             path.write_text("\n".join(TEXTS), "utf-8")
-            for arguments, given in (([str(path)], ""), (["-"], "\n".join(TEXTS))):
-                words = ["--request", "r1", "--lines", *arguments]
-                result = CliRunner().invoke(app, words, input=given)
+            for arguments, standard_input in (
+                ([str(path)], ""),
+                (["-"], "\n".join(TEXTS)),
+            ):
+                options = ["--request", "r1", "--lines", *arguments]
+                result = CliRunner().invoke(app, options, input=standard_input)
                 self.assertEqual(result.exit_code, 0)
                 self.assertEqual(len(result.output.splitlines()), 3)
 
     def test_wall_clock_jump_keeps_the_order(self):
         """Guards against lines ordered by the time of day alone."""
-        wall = [(1.0, 51.0), (2.0, 52.0), (3.0, 50.0), (4.0, 54.0)]
+        clocks = [(1.0, 51.0), (2.0, 52.0), (3.0, 50.0), (4.0, 54.0)]
         texts = [
             line(at, "one", f"k{number}", steady=steady, request="r")
-            for number, (steady, at) in enumerate(wall)
+            for number, (steady, at) in enumerate(clocks)
         ]
-        kinds = [one.kind for one in select(texts[::-1], "r")]
+        kinds = [entry.kind for entry in select(texts[::-1], "r")]
         self.assertEqual(kinds, ["k0", "k1", "k2", "k3"])
 
     def test_ids_without_a_reason_are_counted(self):
@@ -65,11 +68,11 @@
         with tempfile.TemporaryDirectory() as folder:
             log, ids = pathlib.Path(folder) / "log", pathlib.Path(folder) / "ids"
             log.write_text("\n".join(texts), "utf-8")
-            for wanted, left, code in (("r1\nr2\nr3", 2, 1), ("r1\n", 0, 0)):
+            for wanted, unexplained, code in (("r1\nr2\nr3", 2, 1), ("r1\n", 0, 0)):
                 ids.write_text(wanted, "utf-8")
-                words = ["--lines", str(log), "--reasons-for", str(ids)]
-                result = CliRunner().invoke(app, words)
+                options = ["--lines", str(log), "--reasons-for", str(ids)]
+                result = CliRunner().invoke(app, options)
                 *_, last = result.output.splitlines()
                 count = len(wanted.split())
-                self.assertEqual(last, f"{left} of {count} without a reason")
+                self.assertEqual(last, f"{unexplained} of {count} without a reason")
                 self.assertEqual(result.exit_code, code)
--- a/sassafrasdoor/timeline/tests/test_timeline.py
+++ b/sassafrasdoor/timeline/tests/test_timeline.py
@@ -41,42 +41,42 @@
 
 class CollectorTests(unittest.IsolatedAsyncioTestCase):
     async def test_merges_pages_in_order_and_reports_unavailable_sources(self):
-        one = FakeSource("one", *map(event, (1, 4, 5, 9)))
-        two = FakeSource("two", *map(event, (2, 3, 7)))
-        collector = Collector([one, two])
-        stamps = [e.stamp for e in await collector.collect()]
+        first = FakeSource("one", *map(event, (1, 4, 5, 9)))
+        second = FakeSource("two", *map(event, (2, 3, 7)))
+        collector = Collector([first, second])
+        stamps = [item.stamp for item in await collector.collect()]
         self.assertEqual(stamps, [1, 2, 3, 4, 5, 7, 9])
         self.assertEqual(await collector.collect(), [])
-        two.down = True
-        one.events.append(event(10))
-        self.assertEqual([e.stamp for e in await collector.collect()], [10])
+        second.down = True
+        first.events.append(event(10))
+        self.assertEqual([item.stamp for item in await collector.collect()], [10])
         self.assertEqual(collector.unavailable, {"two": "down"})
-        two.down = False
-        two.events.append(event(11))
-        self.assertEqual([e.stamp for e in await collector.collect()], [11])
+        second.down = False
+        second.events.append(event(11))
+        self.assertEqual([item.stamp for item in await collector.collect()], [11])
         self.assertEqual(collector.unavailable, {})
 
     async def test_following_waits_for_late_older_events(self):
         """Guards against an effect that is printed before its cause."""
         ring = EventRing()
-        one, two = FakeSource("one"), FakeSource("two")
-        collector = Collector([one, two])
-        seen = []
+        first, second = FakeSource("one"), FakeSource("two")
+        collector = Collector([first, second])
+        stamps = []
 
         async def follow():
             async for events in collector.follow():
-                seen.extend(e.stamp for e in events)
+                stamps.extend(item.stamp for item in events)
 
         task = asyncio.create_task(follow())
         cause = ring.clock.stamp() - 100 * MS
         effect = cause + 1
-        two.events.append(event(effect))
+        second.events.append(event(effect))
         await until(
-            lambda: collector._last_stamps[two] == effect, what="the effect read"
+            lambda: collector._last_stamps[second] == effect, what="the effect read"
         )
-        one.events.append(event(cause))
-        await until(lambda: len(seen) == 2, what="both events")
-        self.assertEqual(seen, [cause, effect])
+        first.events.append(event(cause))
+        await until(lambda: len(stamps) == 2, what="both events")
+        self.assertEqual(stamps, [cause, effect])
         task.cancel()
 
     def test_filters(self):
@@ -99,7 +99,9 @@
         for criteria, expected in cases:
             with self.subTest(criteria):
                 matches = Filter(**criteria).matches
-                self.assertEqual([e.stamp for e in events if matches(e)], expected)
+                self.assertEqual(
+                    [item.stamp for item in events if matches(item)], expected
+                )
 
 
 class ExportTests(unittest.TestCase):
@@ -113,9 +115,9 @@
         records = document["traceEvents"]
         phases = [record["ph"] for record in records]
         self.assertEqual(phases, ["M", "M", "i", "i", "i", "b", "e"])
-        self.assertEqual([r["ts"] for r in records[2:5]], [5000, 5001, 7000])
-        self.assertEqual([r["pid"] for r in records[2:5]], [1, 2, 1])
-        self.assertEqual([r["ts"] for r in records[5:]], [5000, 7000])
+        self.assertEqual([record["ts"] for record in records[2:5]], [5000, 5001, 7000])
+        self.assertEqual([record["pid"] for record in records[2:5]], [1, 2, 1])
+        self.assertEqual([record["ts"] for record in records[5:]], [5000, 7000])
 
     def test_events_round_trip_through_json(self):
         original = event(9, "a/entry", "x", request="r", left=0)
