--- a/sassafrasdoor/backends/affinity.py
+++ b/sassafrasdoor/backends/affinity.py
@@ -1,7 +1,7 @@
-"""Which engines hold which prompt prefix, by their cache events.
+"""Tracks which engines hold which prompt prefixes, by their cache events.
 
 Events may be late or lost, so an entry is a hint that expires ``ENTRY_TTL`` seconds
-after its last event or use. Hints order candidates and exclude none.
+after its last event or use. Hints rank candidates and exclude none.
 """
 
 import asyncio
@@ -12,9 +12,9 @@
 from sassafrasdoor.view import BackendKind, State
 
 ENTRY_TTL = 60.0  # seconds
-MAX_PREFIXES = 1024  # of one engine
+MAX_PREFIXES = 1024  # per engine
 POLL_INTERVAL = 1.0  # seconds
-RESYNC_INTERVAL = 30.0  # seconds without an event until all are read again
+RESYNC_INTERVAL = 30.0  # seconds without an event, then all are read again
 MAX_CONCURRENT_POLLS = 16
 
 
@@ -31,7 +31,7 @@
 
 
 class Affinity:
-    """Follows the cache events of all engines in the view."""
+    """Polls the cache events of all engines in the view."""
 
     __slots__ = ("_caches", "_client", "_poll_slots", "_view")
 
@@ -60,7 +60,7 @@
             cache.prefixes[prefix] = True
 
     async def poll(self):
-        """Ask every live engine once for its new events."""
+        """Read the new events of every live engine once."""
         engines = [
             backend
             for backend in self._view().backends
--- a/sassafrasdoor/backends/connections.py
+++ b/sassafrasdoor/backends/connections.py
@@ -1,9 +1,9 @@
 """A pool of HTTP/1.1 connections to replicas, one exchange at a time on each.
 
-The protocol is Tornado's ``http1connection``. An exchange may refuse an answer by its
-head, and its connection is closed then: on a reused connection the answer may belong to
-an earlier request. The curl client can't end a transfer like this without keeping the
-connection.
+The protocol is Tornado's ``http1connection``. A caller may refuse a reply by its
+status and headers, which closes the connection: on a reused connection the reply may
+belong to an earlier request. The curl client can't abort a transfer this way without
+keeping the connection.
 """
 
 import asyncio
@@ -26,11 +26,11 @@
 KEEPALIVE_IDLE = 1  # whole seconds
 KEEPALIVE_INTERVAL = 1  # whole seconds
 KEEPALIVE_PROBES = 2
-USER_TIMEOUT_MS = 2500  # that sent bytes may stay unacknowledged
+USER_TIMEOUT_MS = 2500  # in which sent bytes must be acknowledged
 DEFAULT_IDLE_TIMEOUT = 0.5  # seconds, for servers that name none
 IDLE_TIMEOUT_MARGIN = 0.6  # seconds before the server's own idle timeout
 MAX_IDLE_CONNECTIONS = 64  # connections to one address
-MAX_HEADER_BYTES = 65536  # bytes, as are the next two
+MAX_HEADER_BYTES = 65536
 MAX_BODY_BYTES = 64 * 1024 * 1024
 READ_CHUNK_BYTES = 65536
 
@@ -39,7 +39,7 @@
 
 
 class OutgoingRequest:
-    """One request to send; ``deadline`` is monotonic, ``fresh`` forbids a reused one."""
+    """A request; ``deadline`` is monotonic, ``fresh`` forbids a reused connection."""
 
     __slots__ = ("body", "deadline", "fresh", "headers", "method", "path")
 
@@ -55,7 +55,7 @@
 
 
 class Reply:
-    """A complete answer: ``status``, ``headers`` (``HTTPHeaders``), ``body`` (bytes)."""
+    """A complete reply: ``status``, ``headers`` (``HTTPHeaders``), ``body`` (bytes)."""
 
     __slots__ = ("body", "headers", "status")
 
@@ -66,7 +66,7 @@
 
 
 class _ReplyReceiver(HTTPMessageDelegate):
-    """Collects one answer; ``accept(status, headers)`` returns a reason to refuse it."""
+    """Receives one reply; ``accept(status, headers)`` returns a reason to refuse it."""
 
     def __init__(self, accept, on_data):
         self._accept = accept
@@ -147,10 +147,10 @@
         return True
 
     async def send(self, address, request, accept=None, on_data=None):
-        """Return the complete ``Reply``, or ``Broken``; cancelling closes at once.
+        """Return the complete ``Reply``, or ``Broken``; cancelling closes the connection.
 
-        ``accept(status, headers)`` may refuse an answer by returning a reason;
-        ``on_data`` takes the body of a 200 answer chunk by chunk and may return an
+        ``accept(status, headers)`` may refuse a reply by returning a reason;
+        ``on_data`` takes the body of a 200 reply chunk by chunk and may return an
         awaitable, which is awaited before more is read.
         """
         try:
@@ -228,14 +228,14 @@
         if not receiver.is_complete:
             return Broken("reply cut or not understood", began=True)
         # A reply without length ends with its connection, and the protocol reader
-        # can't tell a reset from that end.
+        # can't distinguish a reset from that end.
         if stream.closed() and stream.error is not None:
             return Broken(f"connection reset: {stream.error}", began=True)
         return None
 
     def _keep_idle(self, address, stream, headers):
         if stream.closed() or stream.writing():
-            # The answer came before the request was sent completely; its remaining
+            # The reply arrived before the request was sent completely; the remaining
             # bytes would be read as the next request.
             return False
         if "close" in headers.get("Connection", "").lower():
@@ -248,7 +248,7 @@
 
 
 def _system_error(error):
-    """Return the system's error behind a stream's."""
+    """Return the operating system's error that caused a stream error."""
     return getattr(error, "real_error", None) or error
 
 
@@ -266,7 +266,7 @@
 
 
 def _is_reusable(stream):
-    """Say whether an idle connection is open and has no unread bytes."""
+    """Return whether an idle connection is open and has no unread bytes."""
     if stream.closed():
         return False
     try:
@@ -275,7 +275,7 @@
         return True
     except OSError:
         return False
-    # Closed by the server, or bytes of an earlier answer.
+    # Closed by the server, or has unread bytes of an earlier reply.
     return False
 
 
--- a/sassafrasdoor/backends/http.py
+++ b/sassafrasdoor/backends/http.py
@@ -18,11 +18,11 @@
 from sassafrasdoor.headers import ONE_HOP
 from sassafrasdoor.outcomes import Outcome, ReplyLost, Unavailable
 
-SHORT_CALL_TIMEOUT = 2.0
+SHORT_CALL_TIMEOUT = 2.0  # seconds
 JSON_HEADERS = {"Content-Type": "application/json"}
 OK, STALE_FENCE = 200, 409
 
-NON_FORWARDED_HEADERS = ONE_HOP | {"x-http-reason"}  # the latter is Tornado's own
+NON_FORWARDED_HEADERS = ONE_HOP | {"x-http-reason"}  # the latter is set by Tornado
 
 
 class _Adapter:
@@ -40,7 +40,7 @@
 
 
 class HttpEngine(_Adapter, interface.Engine):
-    """Engines that speak the protocol of ``docs/INTERNALS.md``."""
+    """Calls engines by the protocol of ``docs/INTERNALS.md``."""
 
     __slots__ = ()
 
@@ -59,7 +59,7 @@
         return decode_document(_decode_streams, document)
 
     async def cancel(self, backend, stream):
-        """Cancel and forget a stream; return None, or ``Unavailable``."""
+        """Cancel and remove a stream; return None, or ``Unavailable``."""
         path = "/streams/" + urllib.parse.quote(stream, safe="")
         document = await self._call(backend, "DELETE", path)
         return None if isinstance(document, dict) else document
@@ -76,7 +76,8 @@
             "version": order.version,
             "role": order.role,
         }
-        # On a fresh connection: libcurl's own retry would not check the lease.
+        # On a fresh connection: libcurl would retry on a reused one without checking the
+        # lease.
         request = Request(
             "POST",
             f"http://{backend.address}/orders",
@@ -104,7 +105,7 @@
         return decode_document(lambda reply: reply["kv"], document)
 
     async def import_kv(self, backend, stream, kv):
-        """Give an engine the KV cache of a stream; return None or ``Unavailable``."""
+        """Load the KV cache of a stream into an engine; return None or ``Unavailable``."""
         body = {"stream": stream, "kv": kv}
         document = await self._call(backend, "POST", "/kv/import", body)
         return None if isinstance(document, dict) else document
@@ -114,7 +115,7 @@
 
 
 class HttpService(_Adapter, interface.Service):
-    """Plain services: any method and path, passed through."""
+    """Calls plain services; forwards any method and path."""
 
     __slots__ = ()
 
--- a/sassafrasdoor/backends/interface.py
+++ b/sassafrasdoor/backends/interface.py
@@ -37,7 +37,7 @@
 
 
 class Refused(Broken):
-    """Nobody listens at the address: the process that did is gone."""
+    """The connection was refused: no process listens at the address any more."""
 
     __slots__ = ()
 
@@ -46,7 +46,7 @@
 
 
 class Stale(Outcome):
-    """An engine refused an order; ``fence`` is the highest number it has seen."""
+    """An engine refused a stale order; ``fence`` is the highest number it has seen."""
 
     __slots__ = ("fence",)
 
@@ -56,10 +56,10 @@
 
 
 class StreamOrder:
-    """A stream to start, or to resume from ``offset`` if the engine has it.
+    """An order to start a stream, or to resume it at ``offset`` if the engine has it.
 
-    ``first_byte_timeout`` and ``gap_timeout`` are seconds without a chunk, before the
-    first and between two; ``deadline`` ends the stream, None for never.
+    ``first_byte_timeout`` and ``gap_timeout`` limit the seconds before the first chunk
+    and between two chunks; ``deadline`` ends the stream, None for never.
     ``flush_interval`` is the longest time between two chunks in seconds, 0 for one
     chunk per token.
     """
@@ -109,7 +109,7 @@
 
 
 class Chunk:
-    """A chunk of a stream: ``tokens`` tokens from ``offset`` on, of one version."""
+    """A chunk of a stream: ``tokens`` tokens from ``offset`` on, of one weight version."""
 
     __slots__ = ("offset", "text", "tokens", "version")
 
@@ -121,7 +121,7 @@
 
 
 class Span:
-    """Tokens ``first`` up to, not including, ``last``, of one weight version."""
+    """The tokens from ``first`` to ``last`` (exclusive), of one weight version."""
 
     __slots__ = ("first", "last", "version")
 
@@ -166,7 +166,7 @@
 
 
 class Load:
-    """A backend server's own report, ``age`` seconds old.
+    """A backend server's load report, ``age`` seconds old.
 
     ``running``, ``queued`` and ``capacity`` count calls; ``versions`` maps a model to
     the weight version in use.
@@ -205,7 +205,7 @@
     """An idempotent order to serve ``version`` of ``model``, in ``role``.
 
     ``fence`` is the fencing number of the sender's lease; an empty ``role`` keeps the
-    role.
+    current one.
     """
 
     __slots__ = ("deadline", "fence", "model", "role", "version")
@@ -219,7 +219,7 @@
 
 
 class CacheEvent:
-    """An engine stored or dropped a prefix; numbers may have gaps."""
+    """An engine cached or evicted a prefix; event numbers may have gaps."""
 
     __slots__ = ("number", "prefix", "stored")
 
@@ -230,7 +230,7 @@
 
 
 class Call:
-    """A call to a plain service; one not ``repeatable`` is sent at most once."""
+    """A call to a plain service; a non-``repeatable`` one is sent at most once."""
 
     __slots__ = (
         "body",
@@ -277,7 +277,7 @@
 
 
 class Engine(ABC):
-    """A model engine. Closing the iterator of ``stream`` ends only the transfer."""
+    """A model engine. Closing the iterator of ``stream`` does not cancel the stream."""
 
     @abstractmethod
     def stream(self, backend, order):
@@ -289,7 +289,7 @@
 
     @abstractmethod
     async def cancel(self, backend, stream):
-        """Cancel and forget a stream; return None, or ``Unavailable``."""
+        """Cancel and remove a stream; return None, or ``Unavailable``."""
 
     @abstractmethod
     async def load(self, backend):
@@ -297,7 +297,7 @@
 
     @abstractmethod
     async def order(self, backend, order):
-        """Return its versions, ``Stale``, ``Unavailable`` or ``ReplyLost``."""
+        """Return the engine's versions, ``Stale``, ``Unavailable`` or ``ReplyLost``."""
 
     @abstractmethod
     async def cache_events(self, backend, first):
@@ -309,7 +309,7 @@
 
     @abstractmethod
     async def import_kv(self, backend, stream, kv):
-        """Give an engine the KV cache of a stream; return None or ``Unavailable``."""
+        """Load the KV cache of a stream into an engine; return None or ``Unavailable``."""
 
 
 class Service(ABC):
--- a/sassafrasdoor/backends/replicas.py
+++ b/sassafrasdoor/backends/replicas.py
@@ -12,7 +12,7 @@
 
 
 class SampleFailed(Outcome):
-    """A replica's own failure of a sample; ``final`` if a retry can't succeed."""
+    """A replica failed to generate a sample; ``final`` if a retry can't succeed."""
 
     __slots__ = ("final",)
 
@@ -22,7 +22,7 @@
 
 
 class OrderRefused(Outcome):
-    """A replica refused an order for now, for instance while another one runs."""
+    """A replica refused an order temporarily, for example while another one runs."""
 
     __slots__ = ()
 
@@ -88,7 +88,7 @@
 class VersionOrder:
     """An order to load a version of a model, with the sender's fencing number.
 
-    With ``finish_first`` running samples end under the weights that they began with.
+    With ``finish_first`` running samples finish with the weights they started with.
     """
 
     __slots__ = ("deadline", "fence", "finish_first", "holder", "model", "version")
@@ -111,13 +111,13 @@
 
     @abstractmethod
     async def try_connect(self, replica):
-        """Return True if it can be connected to, else ``Refused`` or ``Broken``."""
+        """Return True if it accepts a connection, else ``Refused`` or ``Broken``."""
 
     @abstractmethod
     async def stream(self, replica, call, relay):
-        """Relay events; return True when complete, or as ``call`` does.
+        """Relay events; return True when complete, else an outcome as ``call`` does.
 
-        ``relay.head(pairs)`` takes the headers of a stream that succeeds, and
+        ``relay.head(pairs)`` receives the headers of a stream that succeeds, and
         ``await relay.event(number, block)`` each complete event unchanged.
         """
 
--- a/sassafrasdoor/backends/stream.py
+++ b/sassafrasdoor/backends/stream.py
@@ -1,4 +1,4 @@
-"""Reads one stream of an engine: JSON lines in, chunks and one end out."""
+"""Reads an engine's stream of JSON lines as chunks and a final outcome."""
 
 import asyncio
 import json
@@ -11,12 +11,12 @@
 TOO_MANY_REQUESTS = 429
 END_OF_DATA = b""
 NO_DATA = None
-RETRY_AFTER = 0.5
+RETRY_AFTER = 0.5  # seconds
 HEADERS = {"Content-Type": "application/json"}
 
 
 class StreamReader:
-    """One connection to a stream. Use it once."""
+    """Reads one stream over one connection. Use it once."""
 
     __slots__ = (
         "_backend",
@@ -68,7 +68,7 @@
             return NO_DATA
 
     async def _failure(self, transfer, data):
-        """Return why no further line came."""
+        """Return the outcome of a stream that has ended without its last line."""
         if data is NO_DATA:
             self._client.bypass_pool(self._backend)
             deadline_passed = self._order.deadline is not None and passed(
@@ -140,6 +140,6 @@
             "prefix_tokens": order.prefix_tokens,
             "flush_ms": int(order.flush_interval * 1000),
         }
-        # On a fresh connection, so that a request that may run once is sent once.
+        # On a fresh connection: libcurl may send a request twice on a reused one.
         url = f"http://{self._backend.address}/streams"
         return Request("POST", url, json.dumps(body), HEADERS, fresh=True)
--- a/sassafrasdoor/backends/tests/fixtures.py
+++ b/sassafrasdoor/backends/tests/fixtures.py
@@ -1,4 +1,4 @@
-"""Stand-ins and adapters inside the test's own loop."""
+"""Stand-ins and adapters in the event loop of the test."""
 
 import contextlib
 import unittest
@@ -14,7 +14,7 @@
 
 
 class BackendsTestCase(unittest.IsolatedAsyncioTestCase):
-    """Starts stand-ins on demand and closes all at the end."""
+    """Starts stand-ins on demand and closes all after the test."""
 
     async def asyncSetUp(self):
         self.settings = settings.from_document({})
--- a/sassafrasdoor/backends/tests/test_affinity.py
+++ b/sassafrasdoor/backends/tests/test_affinity.py
@@ -1,4 +1,4 @@
-"""The hint which engine holds a prefix."""
+"""Hints about which engines hold a prefix."""
 
 import unittest
 
@@ -11,7 +11,7 @@
 
 
 class ScriptedEvents:
-    """Answers ``cache_events`` by script and records the numbers asked for."""
+    """Replies to ``cache_events`` by script and records the requested numbers."""
 
     def __init__(self, *answers):
         self.answers = list(answers)
@@ -38,7 +38,7 @@
         await until(has_hint, what="the event")
 
     async def test_event_gaps_outages_and_restarts(self):
-        """Guards against trust in prefixes after lost events or an engine's restart."""
+        """Guards against stale hints after lost events or an engine's restart."""
         script = ScriptedEvents(
             ([CacheEvent(1, "a", True)], 2),
             Unavailable("down"),
--- a/sassafrasdoor/backends/tests/test_connections.py
+++ b/sassafrasdoor/backends/tests/test_connections.py
@@ -1,4 +1,4 @@
-"""Kept connections against a server that misbehaves, fault by fault."""
+"""Pooled connections to a server that misbehaves, by fault."""
 
 import asyncio
 import socket
@@ -19,7 +19,7 @@
 
 
 class ScriptedServer:
-    """Answers the requests of its connections by a script of ``(bytes, ending)``."""
+    """Replies to requests by a script of ``(bytes, ending)``."""
 
     def __init__(self, *script):
         self.script = list(script)
@@ -117,7 +117,7 @@
         self.assertEqual(self.server.connections, 2)
 
     async def test_duplicate_reply_is_discarded(self):
-        """Guards against a duplicate answer taken for the next request's."""
+        """Guards against a duplicate reply taken for the reply to the next request."""
         for extra in (KEEP_ALIVE_REPLY.replace(b"{id}", b"1"), b"junk"):
             with self.subTest(extra=extra):
                 await self.start(
@@ -178,7 +178,7 @@
         self.assertFalse(reply.began)
 
     async def test_cancelled_call_closes_its_connection(self):
-        """Guards against a transfer that goes on after its call was cancelled."""
+        """Guards against a transfer that continues after its call was cancelled."""
         await self.start((b"", OPEN))
         task = asyncio.ensure_future(self.send())
         while not self.server.requests:  # noqa: ASYNC110
--- a/sassafrasdoor/backends/tests/test_service.py
+++ b/sassafrasdoor/backends/tests/test_service.py
@@ -1,4 +1,4 @@
-"""Contract of the adapter to plain services, fault by fault."""
+"""Contract tests of the adapter to plain services, by fault."""
 
 import asyncio
 import os
@@ -45,7 +45,7 @@
 
 class ServiceContractTest(BackendsTestCase):
     async def test_each_fault_has_its_outcome(self):
-        """Guards against "not run" for a call that may have run."""
+        """Guards against reporting "not run" for a call that may have run."""
         for faults, status, began, executions in CONTRACT:
             with self.subTest(faults=faults):
                 stand_in, backend = self.start_service()
@@ -72,7 +72,7 @@
                 self.assertEqual(stand_in.executions.count("second"), executions)
 
     async def test_only_caller_headers_are_forwarded(self):
-        """Guards against libcurl's ``Expect`` and the environment's proxy."""
+        """Guards against libcurl's ``Expect`` header and proxies of the environment."""
         _, backend = self.start_service()
         sent = {"Expect": "100-continue", "Connection": "upgrade", "X-Board": "7"}
         proxy = {"http_proxy": "http://127.0.0.1:9", "ALL_PROXY": "http://127.0.0.1:9"}
@@ -87,7 +87,7 @@
         self.assertNotIn("Content-Length", answer.headers)
 
     async def test_each_answer_belongs_to_its_request(self):
-        """Guards against an answer that reaches another request."""
+        """Guards against an answer delivered to another request."""
         _, backend = self.start_service(delay=0.01)
         names = [f"request-{number}" for number in range(60)]
         calls = [
--- a/sassafrasdoor/backends/tests/test_stream.py
+++ b/sassafrasdoor/backends/tests/test_stream.py
@@ -1,4 +1,4 @@
-"""Contract of the adapter to engines: streams, labels, orders."""
+"""Contract tests of the adapter to engines: streams, version labels, orders."""
 
 import asyncio
 import contextlib
@@ -29,7 +29,7 @@
 
 COMPLETE = Finished
 STREAM_CONTRACT = (
-    # faults, kind of the end, its reason, whether chunks came before it
+    # faults, type of the outcome, its reason, whether chunks precede it
     ({}, COMPLETE, None, True),
     ({"fail_before": 1}, Broken, "connection closed without a reply", False),
     ({"fail_after": 1}, Broken, "reply cut", True),
@@ -38,7 +38,7 @@
     ({"leaving": True}, NotRun, "leaving", False),
 )
 ORDER_CONTRACT = (
-    # faults, fencing number, kind of the outcome, version afterwards
+    # faults, fencing number, type of the outcome, version afterwards
     ({}, 7, dict, 3),
     ({}, 5, Stale, 2),
     ({"fail_swaps": 1}, 7, Unavailable, 2),
@@ -142,7 +142,7 @@
             self.assertEqual(versions, {version})
 
     async def test_closing_the_iterator_ends_the_transfer(self):
-        """Guards against a transfer that goes on after its reader has left."""
+        """Guards against a transfer that continues after its iterator is closed."""
         patcher = mock.patch.object(transfer, "CONNECT_TIMEOUT", 600.0)
         patcher.start()
         self.addCleanup(patcher.stop)
@@ -172,7 +172,7 @@
                         await task
 
     async def test_inconsistent_lines_end_the_stream(self):
-        """Guards against chunks joined in spite of a gap between their offsets."""
+        """Guards against chunks joined despite a gap between their offsets."""
         start = b'{"offset":0,"text":"a ","tokens":1,"version":1}\n'
         for lines, reason in (
             (b'{"offset":5,"text":"b","tokens":1,"version":1}\n', "gap in the stream"),
@@ -227,7 +227,7 @@
         return (await self.engine.load(backend)).versions[MODEL] == version
 
     async def test_malformed_replies_are_unavailable(self):
-        """Guards against a malformed reply that ends the task of its engine."""
+        """Guards against a malformed reply that ends the task polling the engine."""
         for body in (b'{"versions": 7}', b"[]", b"{}", b"not JSON"):
             with self.subTest(body=body):
                 server, backend = await start_raw_server(body)
--- a/sassafrasdoor/backends/transfer.py
+++ b/sassafrasdoor/backends/transfer.py
@@ -66,10 +66,10 @@
         self._future.add_done_callback(lambda future: future.exception())
 
     def prepare(self, curl):
-        """Set the options of the handle; the client calls it before it sends."""
+        """Set the options of the curl handle; called before the request is sent."""
         self._curl = curl
         curl.setopt(pycurl.HTTP_VERSION, pycurl.CURL_HTTP_VERSION_1_1)
-        # Ignores proxies that the environment names.
+        # Ignores proxies set in the environment.
         curl.setopt(pycurl.PROXY, "")
         curl.setopt(pycurl.NOPROXY, NO_PROXY)
         curl.setopt(pycurl.MAXAGE_CONN, IDLE_TIMEOUT)
@@ -83,11 +83,11 @@
         curl.setopt(pycurl.PREREQFUNCTION, self._on_connected)
 
     def abort(self):
-        """End the transfer now; without effect on a finished one.
+        """Abort the transfer; no effect once it has finished.
 
-        Cancelling a task that awaits ``fetch`` leaves the transfer running. curl asks
-        ``_progress`` whether to go on only when bytes move or a timer ends; pausing and
-        continuing makes it ask at once.
+        Cancelling a task that awaits ``fetch`` leaves the transfer running. curl calls
+        ``_on_progress`` only when bytes are transferred or a timer expires; pausing and
+        resuming makes it call at once.
         """
         self._aborted = True
         if self._curl is None or self.is_finished:
@@ -97,7 +97,7 @@
             self._curl.pause(pycurl.PAUSE_CONT)
 
     async def response(self):
-        """Wait for the end; return the response or ``Broken``. Abort if cancelled."""
+        """Return the response or ``Broken`` once it has ended; abort if cancelled."""
         try:
             return await asyncio.shield(self._future)
         except CurlError as error:
@@ -126,7 +126,7 @@
 
 
 class Client:
-    """Makes transfers; bypasses the connection pool of servers that went silent."""
+    """Runs transfers; bypasses the connection pool for servers that timed out."""
 
     __slots__ = ("_client", "_pool_bypass_deadlines")
 
@@ -179,7 +179,7 @@
         return response
 
     def bypass_pool(self, backend):
-        """Use no pooled connection to that server until its idle ones are closed.
+        """Use no pooled connection to a server until its idle ones are closed.
 
         A pooled connection may be dead without a reset, and calls on it time out.
         """
@@ -196,9 +196,9 @@
 
 
 def is_framed(response, method):
-    """Say whether a reply has a length or chunks.
+    """Return whether a reply has a length or is chunked.
 
-    One with neither ends with its connection, so a truncated one can't be told.
+    One with neither ends with its connection, so truncation can't be detected.
     """
     return (
         method == "HEAD"
