--- a/sassafrasdoor/entry/__init__.py
+++ b/sassafrasdoor/entry/__init__.py
@@ -1,1 +1,1 @@
-"""The entry process: the callers' HTTP server over all slices."""
+"""The entry process: the callers' HTTP server."""
--- a/sassafrasdoor/entry/components.py
+++ b/sassafrasdoor/entry/components.py
@@ -1,4 +1,4 @@
-"""The parts of an entry process, put together from the slices."""
+"""The components of an entry process."""
 
 import asyncio
 import contextlib
@@ -17,11 +17,11 @@
 from sassafrasdoor.stopping import lasting
 from sassafrasdoor.view import State
 
-REPORT_INTERVAL = 0.2
+REPORT_INTERVAL = 0.2  # seconds
 
 
 class Components:
-    """Everything the callers' server needs; ``link`` supplies the view."""
+    """The components behind the callers' server; ``link`` supplies the view."""
 
     __slots__ = (
         "_settings",
@@ -54,11 +54,11 @@
         self.steps = StepsService(*shared, self.engine, self.service)
 
     def view(self):
-        """Return the newest view."""
+        """Return the current view."""
         return self.link.view
 
     def handlers(self):
-        """Return the handlers of all slices."""
+        """Return the HTTP handlers of discovery, requests and steps."""
         return (
             discovery.handlers(self._settings, self.view, self.requests)
             + request_handlers.handlers(self.requests)
@@ -66,7 +66,7 @@
         )
 
     def start(self):
-        """Start the tasks that run beside the calls."""
+        """Start the background tasks."""
         coroutines = [
             self.link.run(),
             self.loads.run(),
@@ -76,7 +76,7 @@
         self._tasks = lasting(coroutines)
 
     async def close(self):
-        """End all tasks and the work they hold."""
+        """Cancel the background tasks and close the log."""
         for task in self._tasks:
             task.cancel()
         for task in self._tasks:
@@ -85,15 +85,15 @@
         self.log.close()
 
     def not_ready_reason(self):
-        """Return why this instance takes no new work, or an empty string."""
+        """Return why this instance accepts no new work, or an empty string."""
         return "leaving" if self.leaving else self.table_unusable_reason()
 
     def table_unusable_reason(self):
-        """Return why no table can be gone by here, or an empty string.
+        """Return why no table can be used here, or an empty string.
 
         An instance that reaches neither the log nor a peer may be the only one
-        that still goes by a table which operators replaced long ago. While any
-        peer is alive it goes on: the newest revision spreads by peers.
+        that still applies a table which operators replaced long ago. While any
+        peer is alive it keeps serving, as peers spread the newest revision.
         """
         view = self.view()
         if view.table is None:
@@ -107,7 +107,7 @@
         return "alone with a table that nobody has confirmed for long"
 
     def status(self):
-        """Return the system as seen from here, JSON-ready."""
+        """Return the system's status as seen by this instance, JSON-ready."""
         view = self.view()
         return {
             "instance": self._settings.instance.name,
@@ -133,10 +133,10 @@
 
 
 def _confirmation_age(view):
-    """Return seconds since the log confirmed the view; None: it never did.
+    """Return the seconds since the log confirmed the view, None if it never did.
 
-    Infinity is no JSON: strict readers failed on the page of an instance that
-    started while the log was down, just when an operator looked at it.
+    Infinity is not valid JSON: strict parsers rejected the status of an instance
+    that had started during an outage of the log.
     """
     return round(view.age, 3) if math.isfinite(view.age) else None
 
--- a/sassafrasdoor/entry/process.py
+++ b/sassafrasdoor/entry/process.py
@@ -1,4 +1,4 @@
-"""The life of an entry process: start, serve, drain, end."""
+"""The lifecycle of an entry process: start, serve, drain, stop."""
 
 import asyncio
 
@@ -14,7 +14,7 @@
 from sassafrasdoor.requests.peer import capability
 from sassafrasdoor.stopping import planned_stop, say_ready
 
-DRAIN_POLL_INTERVAL = 0.05
+DRAIN_POLL_INTERVAL = 0.05  # seconds
 
 
 async def run(settings, control_address):
@@ -50,14 +50,14 @@
 
 
 async def _drain(settings, components):
-    """Leave without cutting a request off.
+    """Drain without interrupting a request.
 
-    Callers keep a discovery answer for ``discovery_valid`` seconds and connect
-    on it. An instance that refused at once would cut them off although another
-    would have served them; so it is announced as leaving first, serves until
-    the last answer that names it has lapsed, then refuses, then finishes.
-    Other instances go on naming it until the news has reached them, which is
-    what ``drain.spread`` allows for: without it, calls are cut just before the end.
+    Callers cache a discovery answer for ``discovery_valid`` seconds. An instance
+    that refused at once would fail calls which another one could serve, so it first
+    announces that it is leaving, serves until the last answer that lists it has
+    expired, then refuses new calls and finishes those in progress. Other instances
+    list it until the announcement reaches them, which ``drain.spread`` allows for:
+    without it, calls are interrupted just before the stop.
     """
     components.leaving = True
     logs.changed("entry:leaving")
--- a/sassafrasdoor/entry/server.py
+++ b/sassafrasdoor/entry/server.py
@@ -1,4 +1,4 @@
-"""The callers' HTTP server: handlers of all slices over one application."""
+"""The callers' HTTP server: one application with all handlers."""
 
 import json
 
@@ -16,8 +16,8 @@
 MAX_KEY_LENGTH = 256
 MAX_EVENTS_PER_REPLY = 1000
 MAX_STAMP_DIGITS = 20
-# So much of a body that is too large is read and thrown away, so that its sender
-# gets to read the refusal.
+# Multiple of the body limit up to which a body that is too large is read and discarded,
+# so that its sender receives the refusal.
 DISCARD_LIMIT_FACTOR = 16
 
 REFUSED_KEYS = metrics.counter(
@@ -26,7 +26,7 @@
 
 
 class EntryServer:
-    """Serves callers; ``components`` is what ``entry.process`` put together."""
+    """Serves callers; ``components`` are created by ``entry.process``."""
 
     __slots__ = ("_http", "_settings", "address", "components")
 
@@ -56,7 +56,7 @@
         await self._http.close_all_connections()
 
     def application(self):
-        """Return the application over all slices."""
+        """Return the Tornado application with all handlers."""
         arguments = {"parts": self.components}
         routes = [
             ("/healthz", HealthHandler, arguments),
@@ -76,10 +76,10 @@
 
 
 class BoundedApplication(tornado.web.Application):
-    """Refuses a body that says itself to be too long, whatever its path.
+    """Refuses a body whose Content-Length exceeds the limit, on any path.
 
-    Tornado would answer it with a bare 400: the sender would not learn why, and
-    might send it again.
+    Tornado would answer with a 400 without a reason, and the sender might send the
+    body again.
     """
 
     def find_handler(self, request, **kwargs):
@@ -91,7 +91,7 @@
 
 
 def count_request(handler):
-    """Count a finished call; Tornado's own line for each call is not logged."""
+    """Count a finished call, in place of Tornado's access log."""
     CALLS.inc({"handler": type(handler).__name__, "status": str(handler.get_status())})
 
 
@@ -101,8 +101,8 @@
 class Authorization:
     """Checks a caller's key against the row; writes the refusal itself.
 
-    A missing row and a wrong key look the same to the caller, so that rows
-    cannot be listed by trying names.
+    A missing row and a wrong key give the same reply, so that callers cannot
+    enumerate rows by trying names.
     """
 
     __slots__ = ("_components",)
@@ -111,7 +111,7 @@
         self._components = components
 
     def __call__(self, handler, row_name):
-        """Return the row whose key the caller showed, or None."""
+        """Return the row if the caller has sent its key, else None."""
         view, reason = self._components.view(), self._components.table_unusable_reason()
         if reason:
             refuse(handler, 503, "not-run", reason, retry=1)
@@ -143,7 +143,7 @@
         self._components = parts
 
     def write_error(self, status_code, **kwargs):
-        """Answer a failure without a traceback."""
+        """Report a failure without a traceback."""
         refuse(self, status_code, "rejected", self._reason)
 
 
@@ -151,7 +151,7 @@
     """Answers paths that do not exist."""
 
     def initialize(self):
-        """There is nothing to be told."""
+        """Takes no arguments, unlike its base."""
 
     def prepare(self):
         refuse(self, 404, "rejected", "no such path")
@@ -167,7 +167,7 @@
         refuse(self, 413, "rejected", f"the body is longer than {limit} bytes")
 
     def data_received(self, chunk):
-        """Throw it away."""
+        """Discard the chunk."""
 
 
 class HealthHandler(PageHandler):
@@ -198,10 +198,10 @@
 
 
 class ControlMetricsHandler(PageHandler):
-    """``GET /metrics/control``: the same of this instance's control process.
+    """``GET /metrics/control``: metrics of this instance's control process.
 
-    That process serves no HTTP. Without this page the lease, the log and the
-    rollout of weights would count where no collector can read it.
+    That process serves no HTTP, so its metrics of the lease, the log and the rollout
+    of weights could not be scraped otherwise.
     """
 
     async def get(self):
@@ -222,7 +222,7 @@
 
 
 class EventsHandler(PageHandler):
-    """``GET /v1/events?since=STAMP``: recent events for the time line."""
+    """``GET /v1/events?since=STAMP``: recent events for the timeline."""
 
     def get(self):
         since = self.get_query_argument("since", "0")
--- a/sassafrasdoor/entry/tests/test_bad_input.py
+++ b/sassafrasdoor/entry/tests/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Bad input at every port of an instance: refused with a reason, and served on."""
+"""Malformed input at any port of an instance is refused and does not stop it."""
 
 import asyncio
 import contextlib
@@ -39,7 +39,7 @@
     return {**document, **changes}
 
 
-# method, path, key, headers, body, status, a place among the findings (or none)
+# method, path, key, headers, body, status, place of a finding (empty: no findings)
 CASES = [
     ("GET", "/no/such/path", OK, {}, None, 404, ""),
     ("BREW", "/no/such/path", OK, {}, None, 405, ""),
@@ -109,7 +109,7 @@
     ("POST", "/v1/steps/trainer/step-9/fetch", TRAINER, {}, {"attach": 1}, 404, ""),
 ]
 
-# Bytes that are no request Tornado would hand to a handler.
+# Requests that Tornado rejects before they reach a handler.
 GARBAGE = {
     "no HTTP at all": b"\x00\xff\x16\x03\x01 garbage\r\n\r\n",
     "a request line cut short": b"GET\r\n\r\n",
@@ -148,7 +148,7 @@
         self.address = self.instance.address
 
     async def serves_calls(self):
-        """Whether a good call is answered, so that the instance serves on."""
+        """Return whether a valid call is answered, so that the instance still serves."""
         status, _ = await self.cluster.post(self.address, CALL, {}, OK)
         return status == 200
 
@@ -161,22 +161,22 @@
                 )
 
     async def counter_sum(self, name):
-        """The sum of a counter on the entry's page."""
+        """Return the sum of a counter on the entry's metrics page."""
         page = await self.cluster.raw("GET", self.address, "/metrics")
         lines = page.body.decode().splitlines()
         return sum(float(line.split()[-1]) for line in lines if line.startswith(name))
 
 
 async def send_raw(address, data, half_close=True):
-    """Send raw bytes; return all that comes back until the other end closes."""
+    """Send raw bytes; return all bytes received until the peer closes."""
     host, port = address.split(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     received = b""
     try:
         writer.write(data)
         if half_close:
-            # The other end may have refused and closed before all was sent; what it
-            # answered is judged all the same.
+            # The peer may have refused and closed before all was sent; its reply is
+            # checked all the same.
             with contextlib.suppress(OSError):
                 writer.write_eof()
         async with asyncio.timeout(10):
@@ -190,7 +190,7 @@
 
 class BadInputTest(SingleInstanceCluster, unittest.IsolatedAsyncioTestCase):
     async def test_malformed_requests_are_refused(self):
-        """Guards against malformed requests that end a process or show a traceback."""
+        """Guards against malformed requests that end a process or expose a traceback."""
         await self.start(requests={"body_limit": BODY_LIMIT})
         status, _ = await self.cluster.post(self.address, STEPS, STEP, TRAINER)
         self.assertEqual(status, 202)
@@ -235,7 +235,7 @@
 
 
 class Reply:
-    """The parts of a raw HTTP answer."""
+    """The status code, headers and body of a raw HTTP reply."""
 
     def __init__(self, data):
         head, _, self.body = data.partition(b"\r\n\r\n")
@@ -246,7 +246,7 @@
 
 class KeyRotationTest(SingleInstanceCluster, unittest.IsolatedAsyncioTestCase):
     async def test_replaced_key_is_refused_under_the_new_table(self):
-        """Guards against a key that outlives the table that named it."""
+        """Guards against a key that stays valid after its table was replaced."""
         await self.start()
         status, document = await self.cluster.get(self.address, "/v1/status")
         self.assertEqual(status, 200)
--- a/sassafrasdoor/entry/tests/test_drain.py
+++ b/sassafrasdoor/entry/tests/test_drain.py
@@ -1,4 +1,4 @@
-"""Planned stops cut off no request in progress."""
+"""Planned stops interrupt no request in progress."""
 
 import asyncio
 import json
@@ -18,7 +18,7 @@
 
 
 class Caller:
-    """Calls again and again on cached discovery answers; notes every reply."""
+    """Calls repeatedly with cached discovery answers; records every status code."""
 
     def __init__(self, http, seeds, number):
         self._http = http
@@ -42,7 +42,7 @@
 
 
 async def streamed(http, address):
-    """Return the lines of one long streamed answer."""
+    """Return the lines of one long streamed reply."""
     body = {"prompt": "Describe the car park.", "max_tokens": STREAM_TOKENS}
     request = HTTPRequest(
         f"http://{address}/v1/generate/chat",
@@ -58,7 +58,7 @@
 
 class RollingRestartTest(unittest.IsolatedAsyncioTestCase):
     async def test_rolling_restart_interrupts_no_request(self):
-        """Guards against an instance that stops serving before discovery drops it."""
+        """Guards against an instance that stops serving before discovery omits it."""
         http = SimpleAsyncHTTPClient(force_instance=True, max_clients=100)
         async with Cluster() as cluster:
             await cluster.start(engines=2, services=1, engine_options=SLOW_ENGINE)
@@ -68,7 +68,9 @@
             step = asyncio.ensure_future(self._step(seeds))
             for instance in list(cluster.instances):
                 stream = asyncio.ensure_future(streamed(http, instance.address))
-                await asyncio.sleep(0.1)  # The stream is under way; not a verdict.
+                await asyncio.sleep(
+                    0.1
+                )  # Lets the stream start; no check relies on it.
                 codes = await asyncio.to_thread(instance.stop)
                 self.assertEqual(codes, (0, 0))
                 lines = await stream
--- a/sassafrasdoor/entry/tests/test_entry_exit.py
+++ b/sassafrasdoor/entry/tests/test_entry_gone.py
@@ -1,4 +1,4 @@
-"""An entry process that dies alone is not named to callers any more."""
+"""Discovery omits an instance whose entry process alone has exited."""
 
 import unittest
 
--- a/sassafrasdoor/entry/tests/test_isolated.py
+++ b/sassafrasdoor/entry/tests/test_isolated.py
@@ -1,4 +1,4 @@
-"""An instance alone with a table that nobody confirms stops taking work."""
+"""An isolated instance with an unconfirmed table stops accepting work."""
 
 import unittest
 
@@ -17,12 +17,12 @@
 
 class IsolatedTest(unittest.IsolatedAsyncioTestCase):
     async def test_isolated_instance_with_an_unconfirmed_table_is_not_ready(self):
-        """Guards against an isolated instance that serves by an old table for ever."""
+        """Guards against an isolated instance that applies an old table for ever."""
         configured = settings(
             instance={"name": "entry-1"}, table={"unconfirmed_grace": 60.0}
         )
         cases = [
-            ("confirmed lately, alone", 10, 1, True),
+            ("confirmed recently, alone", 10, 1, True),
             ("unconfirmed for long, with a living peer", 600, 2, True),
             ("unconfirmed for long, alone", 600, 1, False),
             ("unconfirmed for long, the peer is suspected", 600, -2, False),
--- a/sassafrasdoor/entry/tests/test_openapi.py
+++ b/sassafrasdoor/entry/tests/test_openapi.py
@@ -1,4 +1,4 @@
-"""The OpenAPI page names every path that the entry serves, and no other."""
+"""The OpenAPI document lists exactly the paths that the entry serves."""
 
 import json
 import re
--- a/sassafrasdoor/entry/tests/test_replacement.py
+++ b/sassafrasdoor/entry/tests/test_replacement.py
@@ -23,7 +23,7 @@
         return status == 200
 
     async def test_table_survives_replacement_during_a_log_outage(self):
-        """Guards against an earlier table in force after all were replaced."""
+        """Guards against an earlier table in force after all instances were replaced."""
         async with Cluster() as cluster:
             await cluster.start(instances=3, engines=1, services=1)
             first = await self.revision(cluster, cluster.instances[0])
@@ -55,9 +55,9 @@
                 )
 
     async def is_in_force(self, cluster, instance, expected):
-        """Say whether ``wanted`` is in force; what was reached never goes back."""
+        """Return whether ``expected`` is in force; check that revisions only rise."""
         revision = await self.revision(cluster, instance)
         highest = max(self.highest.get(instance.name, 0), revision)
-        self.assertEqual(revision, highest, f"{instance.name} went back")
+        self.assertEqual(revision, highest, f"{instance.name}: revision decreased")
         self.highest[instance.name] = highest
         return revision == expected
--- a/sassafrasdoor/entry/tests/test_secrets.py
+++ b/sassafrasdoor/entry/tests/test_secrets.py
@@ -1,4 +1,4 @@
-"""No secret shows in what the processes print or serve."""
+"""Processes neither print nor serve secrets."""
 
 import asyncio
 import pathlib
--- a/sassafrasdoor/entry/tests/test_status.py
+++ b/sassafrasdoor/entry/tests/test_status.py
@@ -75,9 +75,14 @@
 
     async def test_rows_without_grants_and_without_calls(self):
         cases = [
-            ("nobody distributes", None, None, True),
-            ("told of none yet", {}, None, True),
-            ("only others have some", {"b": Grant(1, deadline_in(9.0))}, None, False),
+            ("no distributor", None, None, True),
+            ("no grant received yet", {}, None, True),
+            (
+                "only another row has a grant",
+                {"b": Grant(1, deadline_in(9.0))},
+                None,
+                False,
+            ),
             ("granted, no calls yet", self.view.grants, 1, True),
         ]
         for name, grants, granted, allowed in cases:
--- a/sassafrasdoor/entry/tests/test_tls.py
+++ b/sassafrasdoor/entry/tests/test_tls.py
@@ -1,4 +1,4 @@
-"""TLS towards callers: over it all programs work, without it none."""
+"""TLS for callers: all tools work with it, none without."""
 
 import asyncio
 import json
@@ -31,7 +31,7 @@
         self.tls = {"certificate": certificate, "private_key": key}
 
     def issue(self, name, identity):
-        """Write a new CA and a certificate of it; return the three paths."""
+        """Issue a certificate of a new CA; return the paths of CA, certificate and key."""
         ca = trustme.CA()
         issued = ca.issue_cert(identity)
         parts = {
@@ -94,7 +94,9 @@
         for ca_file, is_trusted in ((self.ca_file, True), ("", False)):
             document = {"platform": platform, "tls": {"ca_certificate": ca_file}}
             survey = Survey(settings_module.from_document(document))
-            if is_trusted:  # The instance list lags: at first it lacks the address.
+            if (
+                is_trusted
+            ):  # The instance list is delayed: at first it lacks the address.
                 result = await until(lambda survey=survey: self.all_seen(survey))
             else:
                 result = await survey.ask(1)
@@ -106,7 +108,7 @@
         return result if result and result.everywhere else None
 
     def test_invalid_files_are_reported_as_findings(self):
-        """Guards against TLS files that are first read when the port is bound."""
+        """Guards against TLS files that are not read before the port is bound."""
         other_key = self.issue("other", "127.0.0.1")[2]
         text = self.folder / "text.pem"
         text.write_text("no certificate")
--- a/sassafrasdoor/timeline/__init__.py
+++ b/sassafrasdoor/timeline/__init__.py
@@ -1,1 +1,1 @@
-"""The time line of events over all processes."""
+"""The timeline of events of all processes."""
--- a/sassafrasdoor/timeline/collector.py
+++ b/sassafrasdoor/timeline/collector.py
@@ -1,25 +1,25 @@
-"""Merging the rings of all processes into one time line.
+"""Merges the event rings of all processes into one timeline.
 
-Hybrid stamps order what is causally related whatever the wall clocks say, for
-every message between our processes carries one.
+Every message between the processes carries a hybrid stamp, so causally related events
+are in order whatever the wall clocks show.
 """
 
 import asyncio
 
 from sassafrasdoor.clock import HybridClock
 
-# While following, events younger than this wait for the next round: another
-# process, read a moment earlier, may have older ones still to come.
+# ``follow`` delays younger events to its next round: a source that was read earlier in
+# the same round may still report older ones.
 REORDER_WINDOW_MS = 300
-FOLLOW_INTERVAL = 0.5
+FOLLOW_INTERVAL = 0.5  # seconds
 
 
 class Filter:
-    """Which events to keep; an empty criterion keeps all.
+    """Selects events; an empty criterion matches all.
 
-    ``request`` and ``step`` match a field of that name, or a ``stream`` one of
-    whose parts between slashes they are; ``instance`` the instance of the
-    process; ``kind`` the start of the kind.
+    ``request`` and ``step`` match a field of that name or a part, between slashes,
+    of that field or of ``stream``; ``instance`` matches the instance of the process,
+    ``kind`` the beginning of the kind.
     """
 
     __slots__ = ("_instance", "_kind", "_request", "_step")
@@ -31,7 +31,7 @@
         self._kind = kind
 
     def matches(self, event):
-        """Say whether the event passes."""
+        """Return whether the event meets all criteria."""
         return (
             event.kind.startswith(self._kind)
             and self._instance in ("", event.process.partition("/")[0])
@@ -50,8 +50,8 @@
 class Collector:
     """Reads ``sources`` and yields their events in the order of their stamps.
 
-    ``unavailable`` maps a source's name to why its last read failed: a time
-    line that lacks a process must say so.
+    ``unavailable`` maps a source's name to why its last read failed, so that an
+    incomplete timeline is reported as such.
     """
 
     __slots__ = ("_pending", "_last_stamps", "_sources", "unavailable")
@@ -63,7 +63,7 @@
         self.unavailable = {}
 
     async def collect(self):
-        """Read what is new everywhere; return it sorted."""
+        """Return the new events of all sources, sorted by stamp."""
         pages = await asyncio.gather(*map(self._read_new, self._sources))
         return sorted(sum(pages, []), key=lambda event: event.stamp)
 
@@ -78,15 +78,15 @@
             if not page:
                 return events
             newest = max(event.stamp for event in page)
-            # A source that goes on sending what was read already would keep us
-            # here for ever, with a list that grows.
+            # A source that keeps returning events already read would make this
+            # loop endless and the list grow.
             if newest <= self._last_stamps[source]:
                 return events
             self._last_stamps[source] = newest
             events += page
 
     async def follow(self):
-        """Yield sorted lists of events as they come, until cancelled."""
+        """Yield sorted lists of new events until cancelled."""
         clock = HybridClock()
         while True:
             cutoff = clock.stamp() - (REORDER_WINDOW_MS << HybridClock.COUNTER_BITS)
--- a/sassafrasdoor/timeline/export.py
+++ b/sassafrasdoor/timeline/export.py
@@ -1,4 +1,4 @@
-"""Time lines as text and in the trace-event format that browsers' viewers open."""
+"""Timelines as text and in the trace-event format of browsers' trace viewers."""
 
 from sassafrasdoor.clock import HybridClock
 
@@ -7,7 +7,7 @@
 
 
 def microseconds(stamp):
-    """Return a stamp on the wall clock, in microseconds; its order is kept."""
+    """Return a stamp as microseconds of the wall clock, in the same order."""
     return (stamp >> HybridClock.COUNTER_BITS) * 1000 + min(stamp & COUNTER, 999)
 
 
@@ -19,7 +19,7 @@
 
 
 def trace(events):
-    """Return the trace-event document of events in the order of their stamps."""
+    """Return the trace-event document of events that are sorted by stamp."""
     pids = {}
     for event in events:
         pids.setdefault(event.process, len(pids) + 1)
@@ -58,7 +58,7 @@
 
 
 def _span_events(events, pids):
-    """Yield one span for each request and step that more than one event names."""
+    """Yield one span for each request and step with more than one event."""
     spans = {}
     for event in events:
         for field in SPAN_FIELDS:
--- a/sassafrasdoor/timeline/lines.py
+++ b/sassafrasdoor/timeline/lines.py
@@ -1,10 +1,10 @@
-"""Log lines of several processes as one time line: for one id, in order.
+"""Merges the log lines of several processes into one timeline, filtered by id.
 
-The lines are the JSON lines that ``decisions`` and ``logs`` write; whatever stands
-before the first brace (a collector's own prefix) is left out. Clocks of instances
-may differ by some milliseconds, so lines of different processes that close to each
-other may stand in the wrong order. The time of day may jump on a machine: lines of one
-process are ordered by its steady clock, which every line carries too.
+The lines are the JSON lines that ``decisions`` and ``logs`` write; anything before the
+first brace (a log collector's prefix) is ignored. Clocks of instances may differ by some
+milliseconds, so lines of different processes that close to each other may be out of
+order. The wall clock of a machine may jump, so lines of one process are ordered by its
+monotonic clock, which every line contains too.
 """
 
 import json
@@ -12,9 +12,9 @@
 
 
 class Line:
-    """One log line: when (seconds since the epoch), which process, what.
+    """One log line; ``at`` is in seconds since the epoch.
 
-    ``steady`` is the process's steady clock in seconds, None where it is not told.
+    ``steady`` is the process's monotonic clock in seconds, None if the line has none.
     """
 
     __slots__ = ("at", "fields", "kind", "process", "steady")
@@ -27,7 +27,7 @@
         self.fields = fields
 
     def mentions(self, wanted):
-        """Say whether any of its fields is, or holds, this id."""
+        """Return whether any field is this id or a list that contains it."""
         return any(
             value == wanted or (isinstance(value, list) and wanted in value)
             for value in self.fields.values()
@@ -39,7 +39,7 @@
 
     @property
     def has_explanation(self):
-        """Whether it says why something was not done, or who ended it."""
+        """Whether it gives the reason of a failure or says who ended the request."""
         return bool(self.fields.get("reason")) or self.kind in SELF_EXPLANATORY_KINDS
 
 
@@ -59,7 +59,7 @@
 
 
 def parse(text):
-    """Return the ``Line`` in one line of text, or None where there is none."""
+    """Return the ``Line`` in one line of text, or None if there is none."""
     start = text.find("{")
     if start < 0:
         return None
@@ -78,7 +78,7 @@
 
 
 def select(texts, wanted="", kind=""):
-    """Return the lines that name an id and whose kind begins so, in order of time."""
+    """Return the lines of an id whose kind begins with ``kind``, in order of time."""
     lines = [line for line in map(parse, texts) if line is not None]
     _correct_times(lines)
     selected = [
@@ -90,10 +90,10 @@
 
 
 def _correct_times(lines):
-    """Set the time of each line by its process's steady clock.
+    """Set the time of each line by its process's monotonic clock.
 
-    A jump of the time of day would put a cause behind its effect. Most lines of a
-    process are written outside a jump, so the usual distance of both clocks holds.
+    A jump of the wall clock would put a cause after its effect. Most lines of a process
+    are written outside a jump, so the median offset between its clocks is correct.
     """
     offsets = {}
     for line in lines:
@@ -108,7 +108,7 @@
 
 
 def reasons(texts, wanted):
-    """Return by id the last line that explains what became of it, or None."""
+    """Return for each id the last line that explains its outcome, or None."""
     explanations = dict.fromkeys(wanted)
     for line in select(texts):
         if line.has_explanation:
--- a/sassafrasdoor/timeline/sources.py
+++ b/sassafrasdoor/timeline/sources.py
@@ -1,4 +1,4 @@
-"""Where the time line's events come from: entry and control processes."""
+"""Sources of the timeline's events: entry and control processes."""
 
 import json
 
@@ -11,13 +11,13 @@
 from sassafrasdoor.outcomes import Unavailable
 from sassafrasdoor.peers.link import PeerLink
 
-READ_TIMEOUT = 5.0
+READ_TIMEOUT = 5.0  # seconds
 ENVELOPE_FIELDS = ("stamp", "process", "kind")
 PARSE_ERRORS = (ValueError, KeyError, TypeError, AttributeError, RecursionError)
 
 
 class EntrySource:
-    """The ring of an entry process, over HTTP."""
+    """The event ring of an entry process, over HTTP."""
 
     __slots__ = ("_address", "_ca_file", "_client")
 
@@ -28,7 +28,7 @@
 
     @property
     def name(self):
-        """What messages call this source."""
+        """The name of this source in messages."""
         return f"entry {self._address}"
 
     async def read(self, since):
@@ -54,7 +54,7 @@
 
 
 class ControlSource:
-    """The ring of a control process, over a peer link; needs a ``kj_loop``."""
+    """The event ring of a control process, over a peer link; needs a ``kj_loop``."""
 
     __slots__ = ("_link",)
 
@@ -63,7 +63,7 @@
 
     @property
     def name(self):
-        """What messages call this source."""
+        """The name of this source in messages."""
         return f"control {self._link.address}"
 
     async def read(self, since):
@@ -97,10 +97,10 @@
 
 
 def event_from(document):
-    """Return the ``Event`` in a mapping made by its ``as_dict``.
+    """Return the ``Event`` of a mapping made by its ``as_dict``.
 
-    Raises one of ``PARSE_ERRORS`` if it is none: a stamp that is no number could
-    not be put in order with the others.
+    Raises one of ``PARSE_ERRORS`` if it is malformed: events could not be sorted by
+    a stamp that is no integer.
     """
     if type(document["stamp"]) is not int:
         raise TypeError("stamp")
--- a/sassafrasdoor/timeline/tests/test_adopted_step.py
+++ b/sassafrasdoor/timeline/tests/test_adopted_step.py
@@ -1,4 +1,4 @@
-"""The time line of a killed instance: who noticed, and where its step went on."""
+"""The timeline of a killed instance shows which instance adopted its step."""
 
 import asyncio
 import contextlib
@@ -64,7 +64,7 @@
         return Collector(entries + controls)
 
     async def _step_with_a_kill(self, cluster, collector, events):
-        """Run the step, kill its owner on the way; return the owner's name."""
+        """Run the step and kill its owner meanwhile; return the owner's name."""
         addresses = [instance.address for instance in cluster.instances]
         trainer = Trainer(addresses, "trainer", KEYS["trainer"], newest_version=1)
         step = trainer.run(
@@ -81,7 +81,7 @@
         async with contextlib.aclosing(step.samples()) as samples:
             async for _ in samples:
                 if not killed:
-                    # The ring of a killed process is gone with it.
+                    # The event ring of a killed process is lost.
                     events += await collector.collect()
                     killed = await asyncio.to_thread(self._kill_owner, cluster, events)
         trainer.close()
--- a/sassafrasdoor/timeline/tests/test_lines.py
+++ b/sassafrasdoor/timeline/tests/test_lines.py
@@ -1,4 +1,4 @@
-"""One id followed over the log lines of all processes."""
+"""Selecting the log lines of one id over all processes."""
 
 import json
 import pathlib
@@ -53,7 +53,7 @@
                 self.assertEqual(len(result.output.splitlines()), 3)
 
     def test_wall_clock_jump_keeps_the_order(self):
-        """Guards against lines ordered by the time of day alone."""
+        """Guards against lines ordered by the wall clock alone."""
         clocks = [(1.0, 51.0), (2.0, 52.0), (3.0, 50.0), (4.0, 54.0)]
         texts = [
             line(at, "one", f"k{number}", steady=steady, request="r")
@@ -63,7 +63,7 @@
         self.assertEqual(kinds, ["k0", "k1", "k2", "k3"])
 
     def test_ids_without_a_reason_are_counted(self):
-        """Guards against failed requests without any line."""
+        """Guards against failed requests without a line that gives the reason."""
         texts = [*TEXTS, line(4.0, "two", "request.failed", request="r1", reason="x")]
         with tempfile.TemporaryDirectory() as folder:
             log, ids = pathlib.Path(folder) / "log", pathlib.Path(folder) / "ids"
--- a/sassafrasdoor/timeline/tests/test_timeline.py
+++ b/sassafrasdoor/timeline/tests/test_timeline.py
@@ -19,7 +19,7 @@
 
 
 class FakeSource:
-    """Gives pages of two events; ``down`` makes it fail."""
+    """Returns pages of two events; ``down`` makes it fail."""
 
     def __init__(self, name, *events):
         self.name = name
