--- a/sassafrasdoor/backends/stream.py
+++ b/sassafrasdoor/backends/stream.py
@@ -56,7 +56,7 @@
             transfer.abort()
 
     async def _next_data(self, timeout):
-        """Return the next bytes, ``ENDED``, or ``SILENT`` after the timeout."""
+        """Return the next bytes, ``END_OF_DATA``, or ``NO_DATA`` after the timeout."""
         deadline = deadline_in(timeout)
         if self._order.deadline is not None:
             deadline = min(deadline, self._order.deadline)
@@ -68,7 +68,7 @@
             return NO_DATA
 
     async def _failure(self, transfer, data):
-        """Return the outcome of a stream that has ended without its last line."""
+        """Return the outcome of a stream that was refused or broke off."""
         if data is NO_DATA:
             self._client.bypass_pool(self._backend)
             deadline_passed = self._order.deadline is not None and passed(
--- a/sassafrasdoor/entry/tests/test_drain.py
+++ b/sassafrasdoor/entry/tests/test_drain.py
@@ -68,9 +68,7 @@
             step = asyncio.ensure_future(self._step(seeds))
             for instance in list(cluster.instances):
                 stream = asyncio.ensure_future(streamed(http, instance.address))
-                await asyncio.sleep(
-                    0.1
-                )  # Lets the stream start; no check relies on it.
+                await asyncio.sleep(0.1)  # Lets the stream start; not checked.
                 codes = await asyncio.to_thread(instance.stop)
                 self.assertEqual(codes, (0, 0))
                 lines = await stream
--- a/sassafrasdoor/entry/tests/test_status.py
+++ b/sassafrasdoor/entry/tests/test_status.py
@@ -77,12 +77,7 @@
         cases = [
             ("no distributor", None, None, True),
             ("no grant received yet", {}, None, True),
-            (
-                "only another row has a grant",
-                {"b": Grant(1, deadline_in(9.0))},
-                None,
-                False,
-            ),
+            ("grants of other rows", {"b": Grant(1, deadline_in(9.0))}, None, False),
             ("granted, no calls yet", self.view.grants, 1, True),
         ]
         for name, grants, granted, allowed in cases:
--- a/sassafrasdoor/entry/tests/test_tls.py
+++ b/sassafrasdoor/entry/tests/test_tls.py
@@ -94,9 +94,8 @@
         for ca_file, is_trusted in ((self.ca_file, True), ("", False)):
             document = {"platform": platform, "tls": {"ca_certificate": ca_file}}
             survey = Survey(settings_module.from_document(document))
-            if (
-                is_trusted
-            ):  # The instance list is delayed: at first it lacks the address.
+            # The instance list is delayed: at first it lacks the address.
+            if is_trusted:
                 result = await until(lambda survey=survey: self.all_seen(survey))
             else:
                 result = await survey.ask(1)
