--- a/sassafrasdoor/backends/affinity.py
+++ b/sassafrasdoor/backends/affinity.py
@@ -1,7 +1,7 @@
-"""Which engines hold which prompt prefix, by their cache events.
+"""Tracks which engines hold which prompt prefixes, by their cache events.
 
 Events may be late or lost, so an entry is a hint that expires ``ENTRY_TTL`` seconds
-after its last event or use. Hints order candidates and exclude none.
+after its last event or use. Hints rank candidates and exclude none.
 """
 
 import asyncio
@@ -12,9 +12,9 @@
 from sassafrasdoor.view import BackendKind, State
 
 ENTRY_TTL = 60.0  # seconds
-MAX_PREFIXES = 1024  # of one engine
+MAX_PREFIXES = 1024  # per engine
 POLL_INTERVAL = 1.0  # seconds
-RESYNC_INTERVAL = 30.0  # seconds without an event until all are read again
+RESYNC_INTERVAL = 30.0  # seconds without an event, then all are read again
 MAX_CONCURRENT_POLLS = 16
 
 
@@ -31,7 +31,7 @@
 
 
 class Affinity:
-    """Follows the cache events of all engines in the view."""
+    """Polls the cache events of all engines in the view."""
 
     __slots__ = ("_caches", "_client", "_poll_slots", "_view")
 
@@ -47,43 +47,43 @@
             await self.poll()
             await asyncio.sleep(POLL_INTERVAL)
 
-    def affinity(self, prefix):
+    def engines_with(self, prefix):
         """Return the names of the engines that probably hold the prefix."""
         return [
             name for name, cache in self._caches.items() if prefix in cache.prefixes
         ]
 
-    def used(self, name, prefix):
+    def record_use(self, name, prefix):
         """Record that a stream with that prefix was sent to an engine."""
         cache = self._caches.get(name)
         if cache is not None:
             cache.prefixes[prefix] = True
 
     async def poll(self):
-        """Ask every live engine once for its new events."""
+        """Read the new events of every live engine once."""
         engines = [
             backend
             for backend in self._view().backends
             if backend.kind is BackendKind.ENGINE and backend.state is State.ALIVE
         ]
-        known, self._caches = self._caches, {}
+        previous, self._caches = self._caches, {}
         for backend in engines:
-            cache = known.get(backend.name)
+            cache = previous.get(backend.name)
             if cache is None or cache.address != backend.address:
                 cache = EngineCache(backend.address)
             self._caches[backend.name] = cache
-        await asyncio.gather(*[self._ask(backend) for backend in engines])
+        await asyncio.gather(*[self._poll_engine(backend) for backend in engines])
 
-    async def _ask(self, backend):
+    async def _poll_engine(self, backend):
         cache = self._caches[backend.name]
         if passed(cache.resync_deadline):
             # A restarted engine numbers its events from zero again.
             cache.next_event = 0
         async with self._poll_slots:
-            answer = await self._client.cache_events(backend, cache.next_event)
-        if not answer:
+            reply = await self._client.cache_events(backend, cache.next_event)
+        if not reply:
             return
-        events, cache.next_event = answer
+        events, cache.next_event = reply
         if events or not cache.next_event:
             cache.resync_deadline = deadline_in(RESYNC_INTERVAL)
         for event in events:
--- a/sassafrasdoor/backends/connections.py
+++ b/sassafrasdoor/backends/connections.py
@@ -1,9 +1,9 @@
 """A pool of HTTP/1.1 connections to replicas, one exchange at a time on each.
 
-The protocol is Tornado's ``http1connection``. An exchange may refuse an answer by its
-head, and its connection is closed then: on a reused connection the answer may belong to
-an earlier request. The curl client can't end a transfer like this without keeping the
-connection.
+The protocol is Tornado's ``http1connection``. A caller may refuse a reply by its
+status and headers, which closes the connection: on a reused connection the reply may
+belong to an earlier request. The curl client can't abort a transfer this way without
+keeping the connection.
 """
 
 import asyncio
@@ -26,20 +26,20 @@
 KEEPALIVE_IDLE = 1  # whole seconds
 KEEPALIVE_INTERVAL = 1  # whole seconds
 KEEPALIVE_PROBES = 2
-USER_TIMEOUT_MS = 2500  # that sent bytes may stay unacknowledged
+USER_TIMEOUT_MS = 2500  # in which sent bytes must be acknowledged
 DEFAULT_IDLE_TIMEOUT = 0.5  # seconds, for servers that name none
-IDLE_MARGIN = 0.6  # seconds before the server's own idle timeout
-MAX_IDLE = 64  # connections to one address
-MAX_HEADER = 65536  # bytes, as are the next two
-MAX_BODY = 64 * 1024 * 1024
-READ_CHUNK = 65536
+IDLE_TIMEOUT_MARGIN = 0.6  # seconds before the server's own idle timeout
+MAX_IDLE_CONNECTIONS = 64  # connections to one address
+MAX_HEADER_BYTES = 65536
+MAX_BODY_BYTES = 64 * 1024 * 1024
+READ_CHUNK_BYTES = 65536
 
 OPENED = counter("connections_opened_total", "Connections opened, by result.")
 REUSED = counter("connections_reused_total", "Exchanges on a kept connection.")
 
 
-class Outgoing:
-    """One request to send; ``deadline`` is monotonic, ``fresh`` forbids a reused one."""
+class OutgoingRequest:
+    """A request; ``deadline`` is monotonic, ``fresh`` forbids a reused connection."""
 
     __slots__ = ("body", "deadline", "fresh", "headers", "method", "path")
 
@@ -55,7 +55,7 @@
 
 
 class Reply:
-    """A complete answer: ``status``, ``headers`` (``HTTPHeaders``), ``body`` (bytes)."""
+    """A complete reply: ``status``, ``headers`` (``HTTPHeaders``), ``body`` (bytes)."""
 
     __slots__ = ("body", "headers", "status")
 
@@ -65,45 +65,45 @@
         self.body = body
 
 
-class _Receiver(HTTPMessageDelegate):
-    """Collects one answer; ``accept(status, headers)`` returns a reason to refuse it."""
+class _ReplyReceiver(HTTPMessageDelegate):
+    """Receives one reply; ``accept(status, headers)`` returns a reason to refuse it."""
 
     def __init__(self, accept, on_data):
         self._accept = accept
         self._on_data = on_data
-        self._pieces = []
+        self._body_chunks = []
         self.close = lambda: None
         self.status = 0
         self.headers = None
-        self.refused = ""
-        self.whole = False
+        self.refusal_reason = ""
+        self.is_complete = False
 
     @property
     def body(self):
-        return b"".join(self._pieces)
+        return b"".join(self._body_chunks)
 
     def headers_received(self, start_line, headers):
         self.status = start_line.code
         self.headers = headers
         if start_line.code >= 200 and self._accept is not None:
-            self.refused = self._accept(start_line.code, headers) or ""
-        if self.refused:
+            self.refusal_reason = self._accept(start_line.code, headers) or ""
+        if self.refusal_reason:
             self.close()
 
     def data_received(self, chunk):
         # A closed connection still delivers the bytes that it has buffered.
-        if self.refused:
+        if self.refusal_reason:
             return None
         if self._on_data is not None and self.status == 200:
             return self._on_data(chunk)
-        self._pieces.append(chunk)
+        self._body_chunks.append(chunk)
         return None
 
     def finish(self):
-        self.whole = True
+        self.is_complete = True
 
 
-class _Idle:
+class _IdleConnection:
     """A connection that may be reused until ``deadline``."""
 
     __slots__ = ("deadline", "stream")
@@ -121,22 +121,24 @@
     def __init__(self):
         self._idle = {}
         self._parameters = HTTP1ConnectionParameters(
-            max_header_size=MAX_HEADER, max_body_size=MAX_BODY, chunk_size=READ_CHUNK
+            max_header_size=MAX_HEADER_BYTES,
+            max_body_size=MAX_BODY_BYTES,
+            chunk_size=READ_CHUNK_BYTES,
         )
 
     def close(self):
         """Close all idle connections."""
-        for kept in self._idle.values():
-            for one in kept:
-                one.stream.close()
+        for pool in self._idle.values():
+            for connection in pool:
+                connection.stream.close()
         self._idle.clear()
 
-    def forget(self, address):
+    def close_idle(self, address):
         """Close the idle connections to ``address``."""
-        for one in self._idle.pop(address, ()):
-            one.stream.close()
+        for connection in self._idle.pop(address, ()):
+            connection.stream.close()
 
-    async def reach(self, address):
+    async def try_connect(self, address):
         """Return True if a connection can be opened, else ``Refused`` or ``Broken``."""
         stream = await self._open(address)
         if not stream:
@@ -145,15 +147,15 @@
         return True
 
     async def send(self, address, request, accept=None, on_data=None):
-        """Return the complete ``Reply``, or ``Broken``; cancelling closes at once.
+        """Return the complete ``Reply``, or ``Broken``; cancelling closes the connection.
 
-        ``accept(status, headers)`` may refuse an answer by returning a reason;
-        ``on_data`` takes the body of a 200 answer chunk by chunk and may return an
+        ``accept(status, headers)`` may refuse a reply by returning a reason;
+        ``on_data`` takes the body of a 200 reply chunk by chunk and may return an
         awaitable, which is awaited before more is read.
         """
         try:
             async with asyncio.timeout_at(request.deadline):
-                stream = None if request.fresh else self._take(address)
+                stream = None if request.fresh else self._take_idle(address)
                 if stream is None:
                     stream = await self._open(address)
                 if not stream:
@@ -162,19 +164,19 @@
         except TimeoutError:
             return Broken("timeout", began=True)
 
-    def _take(self, address):
-        kept = self._idle.get(address)
-        while kept:
-            one = kept.pop()
-            if not passed(one.deadline) and _is_reusable(one.stream):
+    def _take_idle(self, address):
+        pool = self._idle.get(address)
+        while pool:
+            connection = pool.pop()
+            if not passed(connection.deadline) and _is_reusable(connection.stream):
                 REUSED.inc({})
-                return one.stream
-            one.stream.close()
+                return connection.stream
+            connection.stream.close()
         return None
 
     async def _open(self, address):
         host, _, port = address.rpartition(":")
-        stream = IOStream(_socket(), max_buffer_size=2 * MAX_BODY)
+        stream = IOStream(_create_socket(), max_buffer_size=2 * MAX_BODY_BYTES)
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT):
                 await stream.connect((host, int(port)))
@@ -186,7 +188,7 @@
             stream.close()
             OPENED.inc({"result": "refused"})
             reason = f"not connected: {error}"
-            if isinstance(_cause(error), ConnectionRefusedError):
+            if isinstance(_system_error(error), ConnectionRefusedError):
                 return Refused(reason)
             return Broken(reason, began=False)
         except asyncio.CancelledError:
@@ -196,59 +198,61 @@
         return stream
 
     async def _exchange(self, address, stream, request, accept, on_data):
-        receiver = _Receiver(accept, on_data)
+        receiver = _ReplyReceiver(accept, on_data)
         receiver.close = stream.close
         connection = HTTP1Connection(stream, True, self._parameters)
-        kept = False
+        pooled = False
         try:
             headers = HTTPHeaders(request.headers)
             headers["Content-Length"] = str(len(request.body))
-            start = RequestStartLine(request.method, request.path, "HTTP/1.1")
-            connection.write_headers(start, headers, request.body or None)
+            start_line = RequestStartLine(request.method, request.path, "HTTP/1.1")
+            connection.write_headers(start_line, headers, request.body or None)
             connection.finish()
             await connection.read_response(receiver)
-            broken = self._broken(stream, receiver)
-            if broken is not None:
-                return broken
-            kept = self._keep(address, stream, receiver.headers)
+            failure = self._reply_error(stream, receiver)
+            if failure is not None:
+                return failure
+            pooled = self._keep_idle(address, stream, receiver.headers)
             return Reply(receiver.status, receiver.headers, receiver.body)
         except (StreamClosedError, HTTPInputError, OSError) as error:
-            return Broken(receiver.refused or f"connection lost: {error}", began=True)
+            return Broken(
+                receiver.refusal_reason or f"connection lost: {error}", began=True
+            )
         finally:
-            if not kept:
+            if not pooled:
                 stream.close()
 
-    def _broken(self, stream, receiver):
-        if receiver.refused:
-            return Broken(receiver.refused, began=True)
-        if not receiver.whole:
+    def _reply_error(self, stream, receiver):
+        if receiver.refusal_reason:
+            return Broken(receiver.refusal_reason, began=True)
+        if not receiver.is_complete:
             return Broken("reply cut or not understood", began=True)
         # A reply without length ends with its connection, and the protocol reader
-        # can't tell a reset from that end.
+        # can't distinguish a reset from that end.
         if stream.closed() and stream.error is not None:
             return Broken(f"connection reset: {stream.error}", began=True)
         return None
 
-    def _keep(self, address, stream, headers):
+    def _keep_idle(self, address, stream, headers):
         if stream.closed() or stream.writing():
-            # The answer came before the request was sent completely; its remaining
+            # The reply arrived before the request was sent completely; the remaining
             # bytes would be read as the next request.
             return False
         if "close" in headers.get("Connection", "").lower():
             return False
-        kept = self._idle.setdefault(address, [])
-        if len(kept) >= MAX_IDLE:
+        pool = self._idle.setdefault(address, [])
+        if len(pool) >= MAX_IDLE_CONNECTIONS:
             return False
-        kept.append(_Idle(stream, deadline_in(_idle_timeout(headers))))
+        pool.append(_IdleConnection(stream, deadline_in(_idle_timeout(headers))))
         return True
 
 
-def _cause(error):
-    """Return the system's error behind a stream's."""
+def _system_error(error):
+    """Return the operating system's error that caused a stream error."""
     return getattr(error, "real_error", None) or error
 
 
-def _socket():
+def _create_socket():
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     sock.setblocking(False)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -262,7 +266,7 @@
 
 
 def _is_reusable(stream):
-    """Say whether an idle connection is open and has no unread bytes."""
+    """Return whether an idle connection is open and has no unread bytes."""
     if stream.closed():
         return False
     try:
@@ -271,7 +275,7 @@
         return True
     except OSError:
         return False
-    # Closed by the server, or bytes of an earlier answer.
+    # Closed by the server, or has unread bytes of an earlier reply.
     return False
 
 
@@ -279,5 +283,5 @@
     for part in headers.get("Keep-Alive", "").split(","):
         name, _, value = part.strip().partition("=")
         if name.lower() == "timeout" and value.isdigit():
-            return max(0.0, int(value) - IDLE_MARGIN)
+            return max(0.0, int(value) - IDLE_TIMEOUT_MARGIN)
     return DEFAULT_IDLE_TIMEOUT
--- a/sassafrasdoor/backends/tests/fixtures.py
+++ b/sassafrasdoor/backends/tests/fixtures.py
@@ -1,4 +1,4 @@
-"""Stand-ins and adapters inside the test's own loop."""
+"""Stand-ins and adapters in the event loop of the test."""
 
 import contextlib
 import unittest
@@ -14,7 +14,7 @@
 
 
 class BackendsTestCase(unittest.IsolatedAsyncioTestCase):
-    """Starts stand-ins on demand and closes all at the end."""
+    """Starts stand-ins on demand and closes all after the test."""
 
     async def asyncSetUp(self):
         self.settings = settings.from_document({})
@@ -63,12 +63,12 @@
     return StreamOrder(stream, MODEL, "how full is level two", max_tokens, **options)
 
 
-def text_of(chunks):
+def joined_text(chunks):
     """Return the text of chunks."""
     return "".join(chunk.text for chunk in chunks)
 
 
-def versions_of(finished):
+def span_lists(finished):
     """Return the spans of a finished stream as lists."""
     assert isinstance(finished, Finished), finished
     return [span.as_list() for span in finished.spans]
--- a/sassafrasdoor/backends/tests/test_service.py
+++ b/sassafrasdoor/backends/tests/test_service.py
@@ -1,4 +1,4 @@
-"""Contract of the adapter to plain services, fault by fault."""
+"""Contract tests of the adapter to plain services, by fault."""
 
 import asyncio
 import os
@@ -45,7 +45,7 @@
 
 class ServiceContractTest(BackendsTestCase):
     async def test_each_fault_has_its_outcome(self):
-        """Guards against "not run" for a call that may have run."""
+        """Guards against reporting "not run" for a call that may have run."""
         for faults, status, began, executions in CONTRACT:
             with self.subTest(faults=faults):
                 stand_in, backend = self.start_service()
@@ -59,7 +59,7 @@
                 else:
                     self.assertEqual(result.status, status)
 
-    async def test_a_call_that_may_not_be_repeated_runs_once(self):
+    async def test_non_repeatable_call_runs_once(self):
         """Guards against libcurl's own retry on a reused connection."""
         for repeatable, executions, kind in ((False, 1, Broken), (True, 2, Answer)):
             with self.subTest(repeatable=repeatable):
@@ -71,8 +71,8 @@
                 self.assertIsInstance(result, kind)
                 self.assertEqual(stand_in.executions.count("second"), executions)
 
-    async def test_only_the_callers_own_headers_reach_the_service(self):
-        """Guards against libcurl's ``Expect`` and the environment's proxy."""
+    async def test_only_caller_headers_are_forwarded(self):
+        """Guards against libcurl's ``Expect`` header and proxies of the environment."""
         _, backend = self.start_service()
         sent = {"Expect": "100-continue", "Connection": "upgrade", "X-Board": "7"}
         proxy = {"http_proxy": "http://127.0.0.1:9", "ALL_PROXY": "http://127.0.0.1:9"}
@@ -87,7 +87,7 @@
         self.assertNotIn("Content-Length", answer.headers)
 
     async def test_each_answer_belongs_to_its_request(self):
-        """Guards against an answer that reaches another request."""
+        """Guards against an answer delivered to another request."""
         _, backend = self.start_service(delay=0.01)
         names = [f"request-{number}" for number in range(60)]
         calls = [
@@ -99,9 +99,9 @@
 
     async def test_cancelling_ends_the_transfer(self):
         """Guards against a silent transfer that outlives its cancelled call."""
-        far = mock.patch.object(transfer, "CONNECT_TIMEOUT", 600.0)
-        far.start()
-        self.addCleanup(far.stop)
+        patcher = mock.patch.object(transfer, "CONNECT_TIMEOUT", 600.0)
+        patcher.start()
+        self.addCleanup(patcher.stop)
         stand_in, backend = self.start_service()
         stand_in.set_faults({"silent": 1})
         task = asyncio.create_task(self.service.call(backend, call(seconds=600)))
@@ -111,7 +111,7 @@
             await task
         await until(lambda: stand_in.abandoned, timeout=3, what="the close")
 
-    async def test_a_call_cancelled_in_the_clients_queue_never_runs(self):
+    async def test_call_cancelled_in_the_client_queue_never_runs(self):
         """Guards against a call sent after it was cancelled in the client's queue."""
         client = Client(max_transfers=1)
         self.addCleanup(client.close)
@@ -131,25 +131,25 @@
         self.assertEqual((result.reason, result.began), ("deadline passed", False))
         self.assertEqual(stand_in.executions, [])
 
-    async def test_every_method_passes_and_head_has_no_body(self):
+    async def test_every_method_is_forwarded_and_head_has_no_body(self):
         _, backend = self.start_service()
         for method in ("GET", "HEAD", "DELETE", "OPTIONS", "PUT", "PATCH"):
             with self.subTest(method=method):
-                made = Call(method, "/x", request_id="r", deadline=deadline_in(20))
-                answer = await self.service.call(backend, made)
+                request = Call(method, "/x", request_id="r", deadline=deadline_in(20))
+                answer = await self.service.call(backend, request)
                 self.assertEqual(answer.status, 200)
                 self.assertEqual(method == "HEAD", not answer.body)
 
-    async def test_after_a_timeout_pooled_connections_are_left_alone(self):
+    async def test_pool_is_bypassed_after_a_timeout(self):
         """Guards against calls on pooled connections that are dead without a reset."""
         stand_in, backend = self.start_service()
         stand_in.set_faults({"silent": 1})
         broken = await self.service.call(backend, call("lost", True, seconds=0.2))
         self.assertEqual((broken.reason, broken.began), ("timeout", True))
         client = self.service._client
-        self.assertTrue(client._is_distrusted(backend))
+        self.assertTrue(client._bypasses_pool(backend))
         other = Backend("other", "127.0.0.1:9", "service", "service")
-        self.assertFalse(client._is_distrusted(other))
+        self.assertFalse(client._bypasses_pool(other))
 
 
 if __name__ == "__main__":
--- a/sassafrasdoor/backends/transfer.py
+++ b/sassafrasdoor/backends/transfer.py
@@ -55,7 +55,7 @@
         self.began = False
 
     @property
-    def finished(self):
+    def is_finished(self):
         """Whether it has ended, so that the client may reuse its handle."""
         return self._future is not None and self._future.done()
 
@@ -66,10 +66,10 @@
         self._future.add_done_callback(lambda future: future.exception())
 
     def prepare(self, curl):
-        """Set the options of the handle; the client calls it before it sends."""
+        """Set the options of the curl handle; called before the request is sent."""
         self._curl = curl
         curl.setopt(pycurl.HTTP_VERSION, pycurl.CURL_HTTP_VERSION_1_1)
-        # Ignores proxies that the environment names.
+        # Ignores proxies set in the environment.
         curl.setopt(pycurl.PROXY, "")
         curl.setopt(pycurl.NOPROXY, NO_PROXY)
         curl.setopt(pycurl.MAXAGE_CONN, IDLE_TIMEOUT)
@@ -79,25 +79,25 @@
             curl.setopt(pycurl.FRESH_CONNECT, 1)
             curl.setopt(pycurl.FORBID_REUSE, 1)
         curl.setopt(pycurl.NOPROGRESS, 0)
-        curl.setopt(pycurl.XFERINFOFUNCTION, self._progress)
-        curl.setopt(pycurl.PREREQFUNCTION, self._connected)
+        curl.setopt(pycurl.XFERINFOFUNCTION, self._on_progress)
+        curl.setopt(pycurl.PREREQFUNCTION, self._on_connected)
 
     def abort(self):
-        """End the transfer now; without effect on a finished one.
+        """Abort the transfer; no effect once it has finished.
 
-        Cancelling a task that awaits ``fetch`` leaves the transfer running. curl asks
-        ``_progress`` whether to go on only when bytes move or a timer ends; pausing and
-        continuing makes it ask at once.
+        Cancelling a task that awaits ``fetch`` leaves the transfer running. curl calls
+        ``_on_progress`` only when bytes are transferred or a timer expires; pausing and
+        resuming makes it call at once.
         """
         self._aborted = True
-        if self._curl is None or self.finished:
+        if self._curl is None or self.is_finished:
             return
         with contextlib.suppress(pycurl.error):
             self._curl.pause(pycurl.PAUSE_ALL)
             self._curl.pause(pycurl.PAUSE_CONT)
 
     async def response(self):
-        """Wait for the end; return the response or ``Broken``. Abort if cancelled."""
+        """Return the response or ``Broken`` once it has ended; abort if cancelled."""
         try:
             return await asyncio.shield(self._future)
         except CurlError as error:
@@ -113,10 +113,10 @@
         """Call ``callback()`` once the transfer has ended."""
         self._future.add_done_callback(lambda _: callback())
 
-    def _progress(self, *counts):
+    def _on_progress(self, *counts):
         return int(self._aborted)
 
-    def _connected(self, *ends):
+    def _on_connected(self, *addresses):
         # Called after connecting, before the first byte of the request is sent. A
         # transfer aborted while it waited for a handle or a connection ends here.
         if self._aborted:
@@ -126,15 +126,15 @@
 
 
 class Client:
-    """Makes transfers; bypasses the connection pool of servers that went silent."""
+    """Runs transfers; bypasses the connection pool for servers that timed out."""
 
-    __slots__ = ("_client", "_distrusted")
+    __slots__ = ("_client", "_pool_bypass_deadlines")
 
     def __init__(self, max_transfers=MAX_TRANSFERS, max_body=100_000_000):
         self._client = CurlAsyncHTTPClient(
             force_instance=True, max_clients=max_transfers, max_body_size=max_body
         )
-        self._distrusted = {}
+        self._pool_bypass_deadlines = {}
 
     def close(self):
         """Close the client and all its connections."""
@@ -142,7 +142,7 @@
 
     def start(self, backend, request, on_header=None, on_data=None):
         """Start a ``Transfer``; ``on_data`` takes the body chunk by chunk."""
-        transfer = Transfer(request.fresh or self._is_distrusted(backend))
+        transfer = Transfer(request.fresh or self._bypasses_pool(backend))
         timeout = 0 if request.deadline is None else remaining(request.deadline)
         if timeout == 0 and request.deadline is not None:
             timeout = MIN_TIMEOUT
@@ -172,33 +172,33 @@
         response = await self.start(backend, request).response()
         if isinstance(response, Broken):
             if response.reason == REASONS[TIMED_OUT]:
-                self.distrust(backend)
+                self.bypass_pool(backend)
             return response
-        if not framed(response, request.method):
+        if not is_framed(response, request.method):
             return Broken("reply without length or chunks", began=True)
         return response
 
-    def distrust(self, backend):
-        """Use no pooled connection to that server until its idle ones are closed.
+    def bypass_pool(self, backend):
+        """Use no pooled connection to a server until its idle ones are closed.
 
         A pooled connection may be dead without a reset, and calls on it time out.
         """
-        self._distrusted[backend.address] = deadline_in(2 * IDLE_TIMEOUT)
+        self._pool_bypass_deadlines[backend.address] = deadline_in(2 * IDLE_TIMEOUT)
 
-    def _is_distrusted(self, backend):
-        limit = self._distrusted.get(backend.address)
-        if limit is None:
+    def _bypasses_pool(self, backend):
+        deadline = self._pool_bypass_deadlines.get(backend.address)
+        if deadline is None:
             return False
-        if passed(limit):
-            del self._distrusted[backend.address]
+        if passed(deadline):
+            del self._pool_bypass_deadlines[backend.address]
             return False
         return True
 
 
-def framed(response, method):
-    """Say whether a reply has a length or chunks.
+def is_framed(response, method):
+    """Return whether a reply has a length or is chunked.
 
-    One with neither ends with its connection, so a truncated one can't be told.
+    One with neither ends with its connection, so truncation can't be detected.
     """
     return (
         method == "HEAD"
--- a/sassafrasdoor/entry/parts.py
+++ b/sassafrasdoor/entry/components.py
@@ -1,4 +1,4 @@
-"""The parts of an entry process, put together from the slices."""
+"""The components of an entry process."""
 
 import asyncio
 import contextlib
@@ -17,11 +17,11 @@
 from sassafrasdoor.stopping import lasting
 from sassafrasdoor.view import State
 
-REPORT_INTERVAL = 0.2
+REPORT_INTERVAL = 0.2  # seconds
 
 
-class Parts:
-    """Everything the callers' server needs; ``link`` supplies the view."""
+class Components:
+    """The components behind the callers' server; ``link`` supplies the view."""
 
     __slots__ = (
         "_settings",
@@ -48,17 +48,17 @@
         self.admission = Admission(settings)
         self.chooser = Chooser(settings)
         self.loads = LoadPoller(settings, self.view, self.engine, self.chooser)
-        work = (settings, self.view, self.admission, self.chooser)
+        shared = (settings, self.view, self.admission, self.chooser)
         self.log = HttpLog(settings)
-        self.requests = RequestsService(*work, self.engine, self.service, self.log)
-        self.steps = StepsService(*work, self.engine, self.service)
+        self.requests = RequestsService(*shared, self.engine, self.service, self.log)
+        self.steps = StepsService(*shared, self.engine, self.service)
 
     def view(self):
-        """Return the newest view."""
+        """Return the current view."""
         return self.link.view
 
     def handlers(self):
-        """Return the handlers of all slices."""
+        """Return the HTTP handlers of discovery, requests and steps."""
         return (
             discovery.handlers(self._settings, self.view, self.requests)
             + request_handlers.handlers(self.requests)
@@ -66,17 +66,17 @@
         )
 
     def start(self):
-        """Start the tasks that run beside the calls."""
-        jobs = [
+        """Start the background tasks."""
+        coroutines = [
             self.link.run(),
             self.loads.run(),
             self.admission.run(self.view),
             self._send_report(),
         ]
-        self._tasks = lasting(jobs)
+        self._tasks = lasting(coroutines)
 
     async def close(self):
-        """End all tasks and the work they hold."""
+        """Cancel the background tasks and close the log."""
         for task in self._tasks:
             task.cancel()
         for task in self._tasks:
@@ -84,40 +84,40 @@
                 await task
         self.log.close()
 
-    def unready(self):
-        """Return why this instance takes no new work, or an empty string."""
-        return "leaving" if self.leaving else self.without_table()
+    def not_ready_reason(self):
+        """Return why this instance accepts no new work, or an empty string."""
+        return "leaving" if self.leaving else self.table_unusable_reason()
 
-    def without_table(self):
-        """Return why no table can be gone by here, or an empty string.
+    def table_unusable_reason(self):
+        """Return why no table can be used here, or an empty string.
 
         An instance that reaches neither the log nor a peer may be the only one
-        that still goes by a table which operators replaced long ago. While any
-        peer is alive it goes on: the newest revision spreads by peers.
+        that still applies a table which operators replaced long ago. While any
+        peer is alive it keeps serving, as peers spread the newest revision.
         """
         view = self.view()
         if view.table is None:
             return "no table known"
         if view.age <= self._settings.table.unconfirmed_grace:
             return ""
-        own = self._settings.instance.name
-        others = [one for one in view.members if one.name != own]
-        if any(one.state is State.ALIVE for one in others):
+        own_name = self._settings.instance.name
+        peers = [peer for peer in view.members if peer.name != own_name]
+        if any(peer.state is State.ALIVE for peer in peers):
             return ""
         return "alone with a table that nobody has confirmed for long"
 
     def status(self):
-        """Return the system as seen from here, JSON-ready."""
+        """Return the system's status as seen by this instance, JSON-ready."""
         view = self.view()
         return {
             "instance": self._settings.instance.name,
             "leaving": self.leaving,
             "revision": view.revision,
-            "unconfirmed_seconds": _age(view),
+            "unconfirmed_seconds": _confirmation_age(view),
             "weights": view.weights,
-            "members": [_member(member) for member in view.members],
+            "members": [_member_status(member) for member in view.members],
             "backends": [
-                _backend(backend) | self.chooser.status(backend)
+                _backend_status(backend) | self.chooser.status(backend)
                 for backend in view.backends
             ],
             "steps": self.steps.status(),
@@ -132,16 +132,16 @@
             await asyncio.sleep(REPORT_INTERVAL)
 
 
-def _age(view):
-    """Return seconds since the log confirmed the view; None: it never did.
+def _confirmation_age(view):
+    """Return the seconds since the log confirmed the view, None if it never did.
 
-    Infinity is no JSON: strict readers failed on the page of an instance that
-    started while the log was down, just when an operator looked at it.
+    Infinity is not valid JSON: strict parsers rejected the status of an instance
+    that had started during an outage of the log.
     """
     return round(view.age, 3) if math.isfinite(view.age) else None
 
 
-def _member(member):
+def _member_status(member):
     return {
         "name": member.name,
         "state": str(member.state),
@@ -150,7 +150,7 @@
     }
 
 
-def _backend(backend):
+def _backend_status(backend):
     return {
         "name": backend.name,
         "service": backend.service,
--- a/sassafrasdoor/entry/process.py
+++ b/sassafrasdoor/entry/process.py
@@ -1,4 +1,4 @@
-"""The life of an entry process: start, serve, drain, end."""
+"""The lifecycle of an entry process: start, serve, drain, stop."""
 
 import asyncio
 
@@ -7,14 +7,14 @@
 from sassafrasdoor import logs
 from sassafrasdoor.clock import deadline_in, passed, remaining
 from sassafrasdoor.control.link import ControlLink
-from sassafrasdoor.entry.parts import Parts
+from sassafrasdoor.entry.components import Components
 from sassafrasdoor.entry.server import EntryServer
 from sassafrasdoor.events import EVENTS
 from sassafrasdoor.peers.server import PeerServer
 from sassafrasdoor.requests.peer import capability
 from sassafrasdoor.stopping import planned_stop, say_ready
 
-DRAIN_POLL = 0.05
+DRAIN_POLL_INTERVAL = 0.05  # seconds
 
 
 async def run(settings, control_address):
@@ -27,47 +27,49 @@
 
 async def _serve(settings, control_address):
     link = ControlLink(settings, control_address)
-    parts = Parts(settings, link)
-    server = EntryServer(settings, parts)
+    components = Components(settings, link)
+    server = EntryServer(settings, components)
     address = server.listen()
-    peers = PeerServer(
+    peer_server = PeerServer(
         settings,
         settings.instance.host,
         settings.instance.peer_port,
-        capability(parts.requests),
+        capability(components.requests),
     )
-    await peers.start()
-    link.set_addresses(address, peers.address)
-    parts.start()
-    stop = planned_stop()
-    say_ready(settings.instance.name, entry=address, peer=peers.address)
-    await stop.wait()
-    await _drain(settings, parts)
-    await peers.close()
-    await parts.close()
+    await peer_server.start()
+    link.set_addresses(address, peer_server.address)
+    components.start()
+    stop_requested = planned_stop()
+    say_ready(settings.instance.name, entry=address, peer=peer_server.address)
+    await stop_requested.wait()
+    await _drain(settings, components)
+    await peer_server.close()
+    await components.close()
     await server.close()
     logs.changed("entry:stopped")
 
 
-async def _drain(settings, parts):
-    """Leave without cutting a request off.
+async def _drain(settings, components):
+    """Drain without interrupting a request.
 
-    Callers keep a discovery answer for ``discovery_valid`` seconds and connect
-    on it. An instance that refused at once would cut them off although another
-    would have served them; so it is announced as leaving first, serves until
-    the last answer that names it has lapsed, then refuses, then finishes.
-    Other instances go on naming it until the news has reached them, which is
-    what ``drain.spread`` allows for: without it, calls are cut just before the end.
+    Callers cache a discovery answer for ``discovery_valid`` seconds. An instance
+    that refused at once would fail calls which another one could serve, so it first
+    announces that it is leaving, serves until the last answer that lists it has
+    expired, then refuses new calls and finishes those in progress. Other instances
+    list it until the announcement reaches them, which ``drain.spread`` allows for:
+    without it, calls are interrupted just before the stop.
     """
-    parts.leaving = True
+    components.leaving = True
     logs.changed("entry:leaving")
     EVENTS.add("drain-started")
-    await parts.link.leave()
-    lapsed = deadline_in(settings.routing.discovery_valid + settings.drain.spread)
-    await asyncio.sleep(remaining(lapsed))
-    parts.requests.refuse_new()
-    await parts.steps.drain()
-    limit = deadline_in(settings.drain.deadline)
-    while parts.requests.in_progress() and not passed(limit):  # noqa: ASYNC110
-        await asyncio.sleep(DRAIN_POLL)
-    EVENTS.add("drain-finished", left=parts.requests.in_progress())
+    await components.link.leave()
+    discovery_expiry = deadline_in(
+        settings.routing.discovery_valid + settings.drain.spread
+    )
+    await asyncio.sleep(remaining(discovery_expiry))
+    components.requests.refuse_new()
+    await components.steps.drain()
+    deadline = deadline_in(settings.drain.deadline)
+    while components.requests.in_progress() and not passed(deadline):  # noqa: ASYNC110
+        await asyncio.sleep(DRAIN_POLL_INTERVAL)
+    EVENTS.add("drain-finished", left=components.requests.in_progress())
--- a/sassafrasdoor/entry/server.py
+++ b/sassafrasdoor/entry/server.py
@@ -1,4 +1,4 @@
-"""The callers' HTTP server: handlers of all slices over one application."""
+"""The callers' HTTP server: one application with all handlers."""
 
 import json
 
@@ -14,11 +14,11 @@
 BEARER = "Bearer "
 MAX_HEADER_BYTES = 16_384
 MAX_KEY_LENGTH = 256
-EVENTS_PAGE = 1000
+MAX_EVENTS_PER_REPLY = 1000
 MAX_STAMP_DIGITS = 20
-# So much of a body that is too large is read and thrown away, so that its sender
-# gets to read the refusal.
-DISCARDED_BODIES = 16
+# Multiple of the body limit up to which a body that is too large is read and discarded,
+# so that its sender receives the refusal.
+DISCARD_LIMIT_FACTOR = 16
 
 REFUSED_KEYS = metrics.counter(
     "sassafrasdoor_refused_keys_total", "Calls whose key did not match their row."
@@ -26,13 +26,13 @@
 
 
 class EntryServer:
-    """Serves callers; ``parts`` is what ``entry.process`` put together."""
+    """Serves callers; ``components`` are created by ``entry.process``."""
 
-    __slots__ = ("_http", "_settings", "address", "parts")
+    __slots__ = ("_http", "_settings", "address", "components")
 
-    def __init__(self, settings, parts):
+    def __init__(self, settings, components):
         self._settings = settings
-        self.parts = parts
+        self.components = components
         self._http = None
         self.address = ""
 
@@ -56,30 +56,30 @@
         await self._http.close_all_connections()
 
     def application(self):
-        """Return the application over all slices."""
-        own = {"parts": self.parts}
-        pages = [
-            ("/healthz", HealthHandler, own),
-            ("/readyz", ReadyHandler, own),
-            ("/metrics", MetricsHandler, own),
-            ("/metrics/control", ControlMetricsHandler, own),
-            ("/v1/status", StatusHandler, own),
-            ("/v1/events", EventsHandler, own),
+        """Return the Tornado application with all handlers."""
+        arguments = {"parts": self.components}
+        routes = [
+            ("/healthz", HealthHandler, arguments),
+            ("/readyz", ReadyHandler, arguments),
+            ("/metrics", MetricsHandler, arguments),
+            ("/metrics/control", ControlMetricsHandler, arguments),
+            ("/v1/status", StatusHandler, arguments),
+            ("/v1/events", EventsHandler, arguments),
         ]
         return BoundedApplication(
-            pages + self.parts.handlers(),
+            routes + self.components.handlers(),
             body_limit=self._settings.requests.body_limit,
             default_handler_class=NotFoundHandler,
-            authorize=Authorization(self.parts),
+            authorize=Authorization(self.components),
             log_function=count_request,
         )
 
 
 class BoundedApplication(tornado.web.Application):
-    """Refuses a body that says itself to be too long, whatever its path.
+    """Refuses a body whose Content-Length exceeds the limit, on any path.
 
-    Tornado would answer it with a bare 400: the sender would not learn why, and
-    might send it again.
+    Tornado would answer with a 400 without a reason, and the sender might send the
+    body again.
     """
 
     def find_handler(self, request, **kwargs):
@@ -91,7 +91,7 @@
 
 
 def count_request(handler):
-    """Count a finished call; Tornado's own line for each call is not logged."""
+    """Count a finished call, in place of Tornado's access log."""
     CALLS.inc({"handler": type(handler).__name__, "status": str(handler.get_status())})
 
 
@@ -101,18 +101,18 @@
 class Authorization:
     """Checks a caller's key against the row; writes the refusal itself.
 
-    A missing row and a wrong key look the same to the caller, so that rows
-    cannot be listed by trying names.
+    A missing row and a wrong key give the same reply, so that callers cannot
+    enumerate rows by trying names.
     """
 
-    __slots__ = ("_parts",)
+    __slots__ = ("_components",)
 
-    def __init__(self, parts):
-        self._parts = parts
+    def __init__(self, components):
+        self._components = components
 
     def __call__(self, handler, row_name):
-        """Return the row whose key the caller showed, or None."""
-        view, reason = self._parts.view(), self._parts.without_table()
+        """Return the row if the caller has sent its key, else None."""
+        view, reason = self._components.view(), self._components.table_unusable_reason()
         if reason:
             refuse(handler, 503, "not-run", reason, retry=1)
             return None
@@ -132,18 +132,18 @@
     handler.set_header("X-Outcome", outcome)
     if retry is not None:
         handler.set_header("Retry-After", str(retry))
-    listed = [finding.as_dict() for finding in findings]
-    handler.finish({"outcome": outcome, "reason": reason, "findings": listed})
+    documents = [finding.as_dict() for finding in findings]
+    handler.finish({"outcome": outcome, "reason": reason, "findings": documents})
 
 
 class PageHandler(tornado.web.RequestHandler):
     """Base of the pages about the instance itself."""
 
     def initialize(self, parts):
-        self._parts = parts
+        self._components = parts
 
     def write_error(self, status_code, **kwargs):
-        """Answer a failure without a traceback."""
+        """Report a failure without a traceback."""
         refuse(self, status_code, "rejected", self._reason)
 
 
@@ -151,7 +151,7 @@
     """Answers paths that do not exist."""
 
     def initialize(self):
-        """There is nothing to be told."""
+        """Takes no arguments, unlike its base."""
 
     def prepare(self):
         refuse(self, 404, "rejected", "no such path")
@@ -163,11 +163,11 @@
 
     def prepare(self):
         limit = self.application.settings["body_limit"]
-        self.request.connection.set_max_body_size(limit * DISCARDED_BODIES)
+        self.request.connection.set_max_body_size(limit * DISCARD_LIMIT_FACTOR)
         refuse(self, 413, "rejected", f"the body is longer than {limit} bytes")
 
     def data_received(self, chunk):
-        """Throw it away."""
+        """Discard the chunk."""
 
 
 class HealthHandler(PageHandler):
@@ -181,7 +181,7 @@
     """``GET /readyz``: a table is known and the instance is not leaving."""
 
     def get(self):
-        reason = self._parts.unready()
+        reason = self._components.not_ready_reason()
         if reason:
             self.set_status(503)
         self.write({"ready": not reason, "reason": reason})
@@ -198,14 +198,14 @@
 
 
 class ControlMetricsHandler(PageHandler):
-    """``GET /metrics/control``: the same of this instance's control process.
+    """``GET /metrics/control``: metrics of this instance's control process.
 
-    That process serves no HTTP. Without this page the lease, the log and the
-    rollout of weights would count where no collector can read it.
+    That process serves no HTTP, so its metrics of the lease, the log and the rollout
+    of weights could not be scraped otherwise.
     """
 
     async def get(self):
-        text = await self._parts.link.metrics()
+        text = await self._components.link.metrics()
         if not text:
             refuse(self, 503, "not-run", f"control: {text.reason}", retry=1)
             return
@@ -218,17 +218,17 @@
 
     def get(self):
         self.set_header("Content-Type", "application/json")
-        self.write(json.dumps(self._parts.status()))
+        self.write(json.dumps(self._components.status()))
 
 
 class EventsHandler(PageHandler):
-    """``GET /v1/events?since=STAMP``: recent events for the time line."""
+    """``GET /v1/events?since=STAMP``: recent events for the timeline."""
 
     def get(self):
-        text = self.get_query_argument("since", "0")
-        if not text.isdecimal() or len(text) > MAX_STAMP_DIGITS:
-            found = [Finding("since", "not a stamp")]
-            refuse(self, 400, "rejected", "the query is invalid", findings=found)
+        since = self.get_query_argument("since", "0")
+        if not since.isdecimal() or len(since) > MAX_STAMP_DIGITS:
+            findings = [Finding("since", "not a stamp")]
+            refuse(self, 400, "rejected", "the query is invalid", findings=findings)
             return
-        events = EVENTS.since(int(text))[:EVENTS_PAGE]
+        events = EVENTS.since(int(since))[:MAX_EVENTS_PER_REPLY]
         self.write({"events": [event.as_dict() for event in events]})
--- a/sassafrasdoor/entry/tests/test_drain.py
+++ b/sassafrasdoor/entry/tests/test_drain.py
@@ -1,4 +1,4 @@
-"""Planned stops cut off no request in progress."""
+"""Planned stops interrupt no request in progress."""
 
 import asyncio
 import json
@@ -18,7 +18,7 @@
 
 
 class Caller:
-    """Calls again and again on cached discovery answers; notes every reply."""
+    """Calls repeatedly with cached discovery answers; records every status code."""
 
     def __init__(self, http, seeds, number):
         self._http = http
@@ -42,7 +42,7 @@
 
 
 async def streamed(http, address):
-    """Return the lines of one long streamed answer."""
+    """Return the lines of one long streamed reply."""
     body = {"prompt": "Describe the car park.", "max_tokens": STREAM_TOKENS}
     request = HTTPRequest(
         f"http://{address}/v1/generate/chat",
@@ -57,18 +57,18 @@
 
 
 class RollingRestartTest(unittest.IsolatedAsyncioTestCase):
-    async def test_no_request_is_cut(self):
-        """Guards against an instance that stops serving before discovery drops it."""
+    async def test_rolling_restart_interrupts_no_request(self):
+        """Guards against an instance that stops serving before discovery omits it."""
         http = SimpleAsyncHTTPClient(force_instance=True, max_clients=100)
         async with Cluster() as cluster:
             await cluster.start(engines=2, services=1, engine_options=SLOW_ENGINE)
-            seeds = [one.address for one in cluster.instances]
+            seeds = [instance.address for instance in cluster.instances]
             callers = [Caller(http, seeds, number) for number in range(CALLERS)]
-            calling = [asyncio.ensure_future(one.run()) for one in callers]
+            calls = [asyncio.ensure_future(caller.run()) for caller in callers]
             step = asyncio.ensure_future(self._step(seeds))
             for instance in list(cluster.instances):
                 stream = asyncio.ensure_future(streamed(http, instance.address))
-                await asyncio.sleep(0.1)  # The stream is under way; not a verdict.
+                await asyncio.sleep(0.1)  # Lets the stream start; not checked.
                 codes = await asyncio.to_thread(instance.stop)
                 self.assertEqual(codes, (0, 0))
                 lines = await stream
@@ -81,7 +81,7 @@
             run = await step
             for caller in callers:
                 caller.stop = True
-            await asyncio.gather(*calling)
+            await asyncio.gather(*calls)
         codes = [code for caller in callers for code in caller.codes]
         self.assertEqual(codes.count(NO_REPLY), 0, f"of {len(codes)} calls")
         self.assertGreater(codes.count(200), 0)
--- a/sassafrasdoor/entry/tests/test_tls.py
+++ b/sassafrasdoor/entry/tests/test_tls.py
@@ -1,4 +1,4 @@
-"""TLS towards callers: over it all programs work, without it none."""
+"""TLS for callers: all tools work with it, none without."""
 
 import asyncio
 import json
@@ -31,7 +31,7 @@
         self.tls = {"certificate": certificate, "private_key": key}
 
     def issue(self, name, identity):
-        """Write a new CA and a certificate of it; return the three paths."""
+        """Issue a certificate of a new CA; return the paths of CA, certificate and key."""
         ca = trustme.CA()
         issued = ca.issue_cert(identity)
         parts = {
@@ -44,7 +44,7 @@
             blob.write_to_path(path)
         return [str(path) for path in paths]
 
-    async def test_listener_and_programs(self):
+    async def test_listener_and_tools_use_tls(self):
         """Guards against plain HTTP where TLS is set."""
         cluster = Cluster({"tls": self.tls}, self.ca_file)
         async with cluster:
@@ -91,22 +91,23 @@
 
     async def table_tool(self, cluster):
         platform = {"instances_url": cluster.platform_url}
-        for ca_file, seen in ((self.ca_file, True), ("", False)):
+        for ca_file, is_trusted in ((self.ca_file, True), ("", False)):
             document = {"platform": platform, "tls": {"ca_certificate": ca_file}}
             survey = Survey(settings_module.from_document(document))
-            if seen:  # The instance list lags: at first it lacks the address.
-                found = await until(lambda survey=survey: self.all_seen(survey))
+            # The instance list is delayed: at first it lacks the address.
+            if is_trusted:
+                result = await until(lambda survey=survey: self.all_seen(survey))
             else:
-                found = await survey.ask(1)
+                result = await survey.ask(1)
             survey.close()
-            self.assertEqual(found.everywhere, seen)
+            self.assertEqual(result.everywhere, is_trusted)
 
     async def all_seen(self, survey):
-        found = await survey.ask(1)
-        return found if found and found.everywhere else None
+        result = await survey.ask(1)
+        return result if result and result.everywhere else None
 
-    def test_files_are_findings(self):
-        """Guards against TLS files that are first read when the port is bound."""
+    def test_invalid_files_are_reported_as_findings(self):
+        """Guards against TLS files that are not read before the port is bound."""
         other_key = self.issue("other", "127.0.0.1")[2]
         text = self.folder / "text.pem"
         text.write_text("no certificate")
@@ -132,5 +133,7 @@
                 path = self.folder / "settings.json"
                 path.write_text(json.dumps({"tls": tls}))
                 loaded = settings_module.load(path, listens=True)
-                found = [finding.place for finding in getattr(loaded, "findings", ())]
-                self.assertEqual(found, places)
+                reported = [
+                    finding.place for finding in getattr(loaded, "findings", ())
+                ]
+                self.assertEqual(reported, places)
--- a/sassafrasdoor/timeline/lines.py
+++ b/sassafrasdoor/timeline/lines.py
@@ -1,10 +1,10 @@
-"""Log lines of several processes as one time line: for one id, in order.
+"""Merges the log lines of several processes into one timeline, filtered by id.
 
-The lines are the JSON lines that ``decisions`` and ``logs`` write; whatever stands
-before the first brace (a collector's own prefix) is left out. Clocks of instances
-may differ by some milliseconds, so lines of different processes that close to each
-other may stand in the wrong order. The time of day may jump on a machine: lines of one
-process are ordered by its steady clock, which every line carries too.
+The lines are the JSON lines that ``decisions`` and ``logs`` write; anything before the
+first brace (a log collector's prefix) is ignored. Clocks of instances may differ by some
+milliseconds, so lines of different processes that close to each other may be out of
+order. The wall clock of a machine may jump, so lines of one process are ordered by its
+monotonic clock, which every line contains too.
 """
 
 import json
@@ -12,9 +12,9 @@
 
 
 class Line:
-    """One log line: when (seconds since the epoch), which process, what.
+    """One log line; ``at`` is in seconds since the epoch.
 
-    ``steady`` is the process's steady clock in seconds, None where it is not told.
+    ``steady`` is the process's monotonic clock in seconds, None if the line has none.
     """
 
     __slots__ = ("at", "fields", "kind", "process", "steady")
@@ -26,25 +26,29 @@
         self.kind = kind
         self.fields = fields
 
-    def names(self, wanted):
-        """Say whether any of its fields is, or holds, this id."""
+    def mentions(self, wanted):
+        """Return whether any field is this id or a list that contains it."""
         return any(
             value == wanted or (isinstance(value, list) and wanted in value)
             for value in self.fields.values()
         )
 
     def __str__(self):
-        shown = " ".join(f"{name}={value}" for name, value in self.fields.items())
-        return f"{self.at:.6f} {self.process} {self.kind} {shown}"
+        fields = " ".join(f"{name}={value}" for name, value in self.fields.items())
+        return f"{self.at:.6f} {self.process} {self.kind} {fields}"
 
     @property
-    def explains(self):
-        """Whether it says why something was not done, or who ended it."""
-        return bool(self.fields.get("reason")) or self.kind in SAYS_WHO_ENDED_IT
+    def has_explanation(self):
+        """Whether it gives the reason of a failure or says who ended the request."""
+        return bool(self.fields.get("reason")) or self.kind in SELF_EXPLANATORY_KINDS
 
 
-SAYS_WHO_ENDED_IT = {"request.caller_left", "request.cut_by_stop", "request.no_route"}
-NOT_SHOWN = {
+SELF_EXPLANATORY_KINDS = {
+    "request.caller_left",
+    "request.cut_by_stop",
+    "request.no_route",
+}
+OMITTED_FIELDS = {
     "timestamp",
     "steady",
     "process",
@@ -55,13 +59,13 @@
 
 
 def parse(text):
-    """Return the ``Line`` in one line of text, or None where there is none."""
+    """Return the ``Line`` in one line of text, or None if there is none."""
     start = text.find("{")
     if start < 0:
         return None
     try:
         document = json.loads(text[start:])
-        fields = {key: document[key] for key in document if key not in NOT_SHOWN}
+        fields = {key: document[key] for key in document if key not in OMITTED_FIELDS}
         return Line(
             float(document["timestamp"]),
             str(document["process"]),
@@ -74,39 +78,41 @@
 
 
 def select(texts, wanted="", kind=""):
-    """Return the lines that name an id and whose kind begins so, in order of time."""
-    found = [line for line in map(parse, texts) if line is not None]
-    _straighten(found)
-    kept = [
+    """Return the lines of an id whose kind begins with ``kind``, in order of time."""
+    lines = [line for line in map(parse, texts) if line is not None]
+    _correct_times(lines)
+    selected = [
         line
-        for line in found
-        if line.kind.startswith(kind) and (not wanted or line.names(wanted))
+        for line in lines
+        if line.kind.startswith(kind) and (not wanted or line.mentions(wanted))
     ]
-    return sorted(kept, key=lambda line: line.at)
+    return sorted(selected, key=lambda line: line.at)
 
 
-def _straighten(lines):
-    """Set the time of each line by its process's steady clock.
+def _correct_times(lines):
+    """Set the time of each line by its process's monotonic clock.
 
-    A jump of the time of day would put a cause behind its effect. Most lines of a
-    process are written outside a jump, so the usual distance of both clocks holds.
+    A jump of the wall clock would put a cause after its effect. Most lines of a process
+    are written outside a jump, so the median offset between its clocks is correct.
     """
-    distances = {}
+    offsets = {}
     for line in lines:
         if line.steady is not None:
-            distances.setdefault(line.process, []).append(line.at - line.steady)
-    usual = {name: statistics.median(found) for name, found in distances.items()}
+            offsets.setdefault(line.process, []).append(line.at - line.steady)
+    median_offsets = {
+        name: statistics.median(values) for name, values in offsets.items()
+    }
     for line in lines:
         if line.steady is not None:
-            line.at = line.steady + usual[line.process]
+            line.at = line.steady + median_offsets[line.process]
 
 
 def reasons(texts, wanted):
-    """Return by id the last line that explains what became of it, or None."""
-    found = dict.fromkeys(wanted)
+    """Return for each id the last line that explains its outcome, or None."""
+    explanations = dict.fromkeys(wanted)
     for line in select(texts):
-        if line.explains:
-            for one in found:
-                if line.names(one):
-                    found[one] = line
-    return found
+        if line.has_explanation:
+            for identifier in explanations:
+                if line.mentions(identifier):
+                    explanations[identifier] = line
+    return explanations
--- a/sassafrasdoor/timeline/sources.py
+++ b/sassafrasdoor/timeline/sources.py
@@ -1,4 +1,4 @@
-"""Where the time line's events come from: entry and control processes."""
+"""Sources of the timeline's events: entry and control processes."""
 
 import json
 
@@ -11,13 +11,13 @@
 from sassafrasdoor.outcomes import Unavailable
 from sassafrasdoor.peers.link import PeerLink
 
-READ_TIMEOUT = 5.0
-OWN_FIELDS = ("stamp", "process", "kind")
-UNREADABLE = (ValueError, KeyError, TypeError, AttributeError, RecursionError)
+READ_TIMEOUT = 5.0  # seconds
+ENVELOPE_FIELDS = ("stamp", "process", "kind")
+PARSE_ERRORS = (ValueError, KeyError, TypeError, AttributeError, RecursionError)
 
 
 class EntrySource:
-    """The ring of an entry process, over HTTP."""
+    """The event ring of an entry process, over HTTP."""
 
     __slots__ = ("_address", "_ca_file", "_client")
 
@@ -28,7 +28,7 @@
 
     @property
     def name(self):
-        """What messages call this source."""
+        """The name of this source in messages."""
         return f"entry {self._address}"
 
     async def read(self, since):
@@ -45,7 +45,7 @@
             return [event_from(document) for document in documents]
         except (HTTPError, OSError) as error:
             return Unavailable(str(error))
-        except UNREADABLE as error:
+        except PARSE_ERRORS as error:
             return Unavailable(f"unreadable: {type(error).__name__}")
 
     def close(self):
@@ -54,7 +54,7 @@
 
 
 class ControlSource:
-    """The ring of a control process, over a peer link; needs a ``kj_loop``."""
+    """The event ring of a control process, over a peer link; needs a ``kj_loop``."""
 
     __slots__ = ("_link",)
 
@@ -63,19 +63,19 @@
 
     @property
     def name(self):
-        """What messages call this source."""
+        """The name of this source in messages."""
         return f"control {self._link.address}"
 
     async def read(self, since):
         """Return a page of events above a stamp, or ``Unavailable``."""
         if not self._link.connected:
-            failed = await self._link.open()
-            if failed is not None:
-                return failed
+            failure = await self._link.open()
+            if failure is not None:
+                return failure
         stamp = EVENTS.clock.stamp()
-        answer = await self._link.call("events", since=since, stamp=stamp)
-        if not answer:
-            return answer
+        reply = await self._link.call("events", since=since, stamp=stamp)
+        if not reply:
+            return reply
         try:
             return [
                 event_from(
@@ -86,9 +86,9 @@
                         "kind": event.kind,
                     }
                 )
-                for event in answer.events
+                for event in reply.events
             ]
-        except UNREADABLE as error:
+        except PARSE_ERRORS as error:
             return Unavailable(f"unreadable: {type(error).__name__}")
 
     def close(self):
@@ -97,14 +97,16 @@
 
 
 def event_from(document):
-    """Return the ``Event`` in a mapping made by its ``as_dict``.
+    """Return the ``Event`` of a mapping made by its ``as_dict``.
 
-    Raises one of ``UNREADABLE`` if it is none: a stamp that is no number could
-    not be put in order with the others.
+    Raises one of ``PARSE_ERRORS`` if it is malformed: events could not be sorted by
+    a stamp that is no integer.
     """
     if type(document["stamp"]) is not int:
         raise TypeError("stamp")
-    fields = {key: item for key, item in document.items() if key not in OWN_FIELDS}
+    fields = {
+        key: value for key, value in document.items() if key not in ENVELOPE_FIELDS
+    }
     return Event(
         document["stamp"], str(document["process"]), str(document["kind"]), fields
     )
