--- a/samples/measure_entry.py
+++ b/samples/measure_entry.py
@@ -16,7 +16,7 @@
 from tornado.httpclient import HTTPRequest
 
 from sassafrasdoor.cluster import KEYS, MODEL, TABLE, Cluster
-from sassafrasdoor.fetch import reply_to
+from sassafrasdoor.fetch import fetch_response
 from sassafrasdoor.steps.client import Trainer
 
 SIZES = (128, 256, 512, 1024, 2048)
@@ -76,7 +76,7 @@
     before = processor_seconds(entry.entry.pid)
     url = f"http://{entry.address}/v1/addresses?row=idempotent"
     for _ in range(calls):
-        reply = await reply_to(client, HTTPRequest(url))
+        reply = await fetch_response(client, HTTPRequest(url))
         assert reply.code == 200, reply.code
     return (processor_seconds(entry.entry.pid) - before) * 1000 / calls
 
@@ -98,7 +98,7 @@
     await cluster.propose(TABLE)
     instance = cluster.start_instance("entry-1")
     cluster.backends.pop("engine")  # One process of four: none has this name.
-    await cluster.ready()
+    await cluster.wait_ready()
     return instance
 
 
--- a/samples/measure_passthrough.py
+++ b/samples/measure_passthrough.py
@@ -19,7 +19,7 @@
 from tornado.httpclient import HTTPRequest
 
 from sassafrasdoor.cluster import KEYS, Cluster
-from sassafrasdoor.fetch import reply_to
+from sassafrasdoor.fetch import fetch_response
 from sassafrasdoor.support import until
 
 AT_ONCE = 8
@@ -70,7 +70,7 @@
                 headers=headers,
                 body=json.dumps({"number": number}),
             )
-            reply = await reply_to(client, request)
+            reply = await fetch_response(client, request)
             assert reply.code == 200, (reply.code, reply.body)
 
     await asyncio.gather(*(lane() for _ in range(AT_ONCE)))
--- a/sassafrasdoor/backends/http.py
+++ b/sassafrasdoor/backends/http.py
@@ -15,14 +15,14 @@
 from sassafrasdoor.backends.stream import StreamReader
 from sassafrasdoor.backends.transfer import Client, Request
 from sassafrasdoor.clock import deadline_in
-from sassafrasdoor.headers import ONE_HOP
+from sassafrasdoor.headers import HOP_BY_HOP_HEADERS
 from sassafrasdoor.outcomes import Outcome, ReplyLost, Unavailable
 
 SHORT_CALL_TIMEOUT = 2.0
 JSON_HEADERS = {"Content-Type": "application/json"}
 OK, REFUSED_FENCE = 200, 409
 
-NOT_FORWARDED = ONE_HOP | {"x-http-reason"}  # the latter is Tornado's own
+NOT_FORWARDED = HOP_BY_HOP_HEADERS | {"x-http-reason"}  # the latter is Tornado's own
 
 
 class _Adapter:
--- a/sassafrasdoor/budget.py
+++ b/sassafrasdoor/budget.py
@@ -8,20 +8,20 @@
 class Budget:
     """Allows ``burst`` repeats at once, and ``share`` of the first tries over time."""
 
-    __slots__ = ("_burst", "_left", "_share")
+    __slots__ = ("_burst", "_tokens", "_share")
 
     def __init__(self, share, burst):
         self._share = share
         self._burst = burst
-        self._left = burst
+        self._tokens = burst
 
-    def tried(self):
+    def record_attempt(self):
         """Count a first try."""
-        self._left = min(self._burst, self._left + self._share)
+        self._tokens = min(self._burst, self._tokens + self._share)
 
     def take(self):
         """Say whether one more repeat is allowed, and count it."""
-        if self._left < 1:
+        if self._tokens < 1:
             return False
-        self._left -= 1
+        self._tokens -= 1
         return True
--- a/sassafrasdoor/clock.py
+++ b/sassafrasdoor/clock.py
@@ -60,7 +60,7 @@
         self._last_tick = current
         return self._paused
 
-    def refreshed(self):
+    def clear_pause(self):
         """Trust what is known again: it was read anew after the pause."""
         self._last_tick = now()
         self._paused = False
--- a/sassafrasdoor/cluster.py
+++ b/sassafrasdoor/cluster.py
@@ -8,7 +8,7 @@
 
 from tornado.simple_httpclient import SimpleAsyncHTTPClient
 
-from sassafrasdoor.fetch import entry_request, reply_to
+from sassafrasdoor.fetch import entry_request, fetch_response
 from sassafrasdoor.support import ROOT, Processes, until
 
 ZONES = ("zone-a", "zone-b", "zone-c")
@@ -25,7 +25,7 @@
 TABLE = json.loads((ROOT / "samples" / "table.json").read_text("utf-8"))
 
 # Short periods, so that tests wait for conditions and not for production timers.
-QUICK = {
+SHORT_INTERVALS = {
     "lease": {"duration": 3.0, "renew_interval": 1.0},
     "drain": {"spread": 1.0},
     "membership": {"probe_interval": 0.3, "suspicion_timeout": 1.0},
@@ -79,7 +79,7 @@
         self.platform = None
         self.backends = {}
         self.instances = []
-        self._extra = settings or {}
+        self._settings = settings or {}
         self._http = SimpleAsyncHTTPClient(force_instance=True, max_clients=500)
 
     async def __aenter__(self):
@@ -109,9 +109,9 @@
         return self._start_backend("service", name, service, zone, *options)
 
     def _start_backend(self, kind, name, service, zone, *options):
-        place = ["--platform", self.platform_url, "--name", name]
-        place += ["--service", service, "--zone", zone]
-        process = self.processes.serve("standin", kind, *place, *options)
+        location = ["--platform", self.platform_url, "--name", name]
+        location += ["--service", service, "--zone", zone]
+        process = self.processes.serve("standin", kind, *location, *options)
         self.backends[name] = process
         return process
 
@@ -126,14 +126,18 @@
             },
             "membership": {"seeds": self._seeds(), "peer_keys": [PEER_KEY]},
         }
-        for extra in (QUICK, self._extra):
-            for section, values in extra.items():
+        for overrides in (SHORT_INTERVALS, self._settings):
+            for section, values in overrides.items():
                 document.setdefault(section, {}).update(values)
         return document
 
     def _seeds(self):
-        live = [one for one in self.instances if one.control.returncode is None]
-        return [one.control.ready["gossip"] for one in live]
+        running = [
+            instance
+            for instance in self.instances
+            if instance.control.returncode is None
+        ]
+        return [instance.control.ready["gossip"] for instance in running]
 
     def start_instance(self, name, zone=ZONES[0], **platform):
         """Start an entry instance: its control process, then its entry process."""
@@ -161,23 +165,31 @@
         await self.propose(TABLE)
         for index in range(instances):
             self.start_instance(f"entry-{index + 1}", ZONES[index % len(ZONES)])
-        await self.ready()
+        await self.wait_ready()
         return self
 
-    async def ready(self):
+    async def wait_ready(self):
         """Wait until every running instance is ready and knows all backends."""
         for instance in self.instances:
             if instance.entry.returncode is None:
-                await until(lambda one=instance: self._is_ready(one), what="ready")
+                await until(
+                    lambda instance=instance: self._is_ready(instance), what="ready"
+                )
 
     async def _is_ready(self, instance):
         status, _ = await self.get(instance.address, "/readyz")
         if status != 200:
             return False
-        _, seen = await self.get(instance.address, "/v1/status")
-        alive = {one["name"] for one in seen["backends"] if one["state"] == "alive"}
+        _, status_page = await self.get(instance.address, "/v1/status")
+        alive = {
+            backend["name"]
+            for backend in status_page["backends"]
+            if backend["state"] == "alive"
+        }
         return alive >= {
-            name for name, one in self.backends.items() if one.returncode is None
+            name
+            for name, process in self.backends.items()
+            if process.returncode is None
         }
 
     async def propose(self, table, base=0, proposal="proposal-1"):
@@ -210,10 +222,10 @@
 
     async def truth(self, name):
         """Return what a backend server stand-in truly did."""
-        _, truth = await self.get(
+        _, actions = await self.get(
             self.backends[name].ready["address"], "/standin/truth"
         )
-        return truth
+        return actions
 
     async def get(self, address, path, key=""):
         """GET; return ``(status, JSON document)``; status 599 when there is no reply."""
@@ -232,18 +244,18 @@
 
     async def raw(self, method, address, path, key="", document=None, headers=None):
         """Call one address once and return Tornado's response."""
-        sent = dict(headers or {})
+        all_headers = dict(headers or {})
         if key:
-            sent["Authorization"] = f"Bearer {key}"
-        entries = {one.address for one in self.instances}
+            all_headers["Authorization"] = f"Bearer {key}"
+        entry_addresses = {instance.address for instance in self.instances}
         request = entry_request(
             address,
             path,
-            self._ca_file if address in entries else "",
+            self._ca_file if address in entry_addresses else "",
             method=method,
-            headers=sent,
+            headers=all_headers,
             body=None if document is None else json.dumps(document),
             request_timeout=CALL_TIMEOUT,
             allow_nonstandard_methods=True,
         )
-        return await reply_to(self._http, request)
+        return await fetch_response(self._http, request)
--- a/sassafrasdoor/control/process.py
+++ b/sassafrasdoor/control/process.py
@@ -23,7 +23,11 @@
 from sassafrasdoor.membership.node import Membership
 from sassafrasdoor.peers.link import PeerLink
 from sassafrasdoor.peers.server import PeerServer
-from sassafrasdoor.stopping import lasting, planned_stop, say_ready
+from sassafrasdoor.stopping import (
+    install_stop_handler,
+    print_ready_line,
+    start_critical_tasks,
+)
 from sassafrasdoor.view import Member, State
 
 PUBLISH_DELAY = 0.05  # seconds; batches member changes, which come in bursts
@@ -108,7 +112,7 @@
             self._read_list(),
             self._watch_entry(),
         ]
-        self._tasks = lasting(jobs)
+        self._tasks = start_critical_tasks(jobs)
         self.weights.start()
 
     async def close(self):
@@ -312,8 +316,8 @@
     async with capnp.kj_loop():
         process = ControlProcess(settings)
         await process.start()
-        stop = planned_stop()
-        say_ready(
+        stop = install_stop_handler()
+        print_ready_line(
             settings.instance.name,
             control=process.address,
             gossip=process.membership.address,
--- a/sassafrasdoor/demo.py
+++ b/sassafrasdoor/demo.py
@@ -30,10 +30,10 @@
 class Demo:
     """One run of the demo; ``say`` receives lines of progress."""
 
-    __slots__ = ("_cluster", "_killed", "_samples", "_say", "_started")
+    __slots__ = ("_cluster", "_killed", "_samples", "_print_progress", "_started")
 
-    def __init__(self, say):
-        self._say = say
+    def __init__(self, print_progress):
+        self._print_progress = print_progress
         self._cluster = Cluster()
         self._samples = []
         self._killed = ""
@@ -42,21 +42,23 @@
     async def run(self):
         """Run all of it; return the report as a JSON-ready mapping."""
         async with self._cluster as cluster:
-            self._progress("starting the platform, 2 engines, 1 service, 3 instances")
+            self._report_progress(
+                "starting the platform, 2 engines, 1 service, 3 instances"
+            )
             await cluster.start(engine_options=ENGINE_OPTIONS)
-            self._progress("table accepted and in force on every instance")
-            calls = asyncio.ensure_future(self._calls())
-            step = await self._train()
+            self._report_progress("table accepted and in force on every instance")
+            calls = asyncio.ensure_future(self._call_services())
+            step = await self._run_step()
             applications = await calls
             return await self._report(step, applications)
 
-    def _progress(self, line):
-        self._say(f"{now() - self._started:6.1f} s  {line}")
+    def _report_progress(self, line):
+        self._print_progress(f"{now() - self._started:6.1f} s  {line}")
 
     def _addresses(self):
-        return [one.address for one in self._cluster.instances]
+        return [instance.address for instance in self._cluster.instances]
 
-    async def _calls(self):
+    async def _call_services(self):
         http = CurlAsyncHTTPClient(force_instance=True, max_clients=200)
         loads = []
         for number, row in enumerate(("idempotent", "once")):
@@ -68,7 +70,7 @@
         http.close()
         return results
 
-    async def _train(self):
+    async def _run_step(self):
         prompts = json.loads((ROOT / "samples" / "prompts.json").read_text("utf-8"))
         trainer = Trainer(
             self._addresses(), "trainer", KEYS["trainer"], newest_version=1
@@ -84,20 +86,22 @@
             }
         )
         total = len(prompts) * SAMPLES_PER_GROUP
-        self._progress(f"step of {len(prompts)} groups x {SAMPLES_PER_GROUP} submitted")
+        self._report_progress(
+            f"step of {len(prompts)} groups x {SAMPLES_PER_GROUP} submitted"
+        )
         milestones = [(ANNOUNCE_AT, self._announce), (KILL_AT, self._kill_owner)]
         async for sample in step.samples():
             self._samples.append(sample)
             while milestones and len(self._samples) >= milestones[0][0] * total:
                 await milestones.pop(0)[1](trainer)
         trainer.close()
-        self._progress(f"step ended: {len(self._samples)} of {total} samples")
+        self._report_progress(f"step ended: {len(self._samples)} of {total} samples")
         return step
 
     async def _announce(self, trainer):
         await self._cluster.announce(MODEL, 2)
         trainer.newest_version = 2
-        self._progress("new weights announced: version 2")
+        self._report_progress("new weights announced: version 2")
 
     async def _kill_owner(self, trainer):
         for instance in self._cluster.instances:
@@ -105,12 +109,12 @@
             if status.get("steps"):
                 instance.kill()
                 self._killed = instance.name
-                self._progress(f"killed {instance.name}, which owns the step")
+                self._report_progress(f"killed {instance.name}, which owns the step")
                 return
 
-    def _live(self):
+    def _running_instances(self):
         instances = self._cluster.instances
-        return [one for one in instances if one.entry.returncode is None]
+        return [instance for instance in instances if instance.entry.returncode is None]
 
     async def _report(self, step, applications):
         cluster = self._cluster
@@ -118,14 +122,18 @@
         for name in ("engine-1", "engine-2"):
             streams.update((await cluster.truth(name))["streams"])
         executions = (await cluster.truth("service-1"))["by_request"]
-        revisions = await until(self._one_revision, what="one table revision")
-        delivered = Counter((one["group"], one["index"]) for one in self._samples)
+        revisions = await until(self._common_revision, what="one table revision")
+        delivered = Counter(
+            (sample["group"], sample["index"]) for sample in self._samples
+        )
         expected = len(step.token)
         return {
-            "requests": {one.row: dict(one.outcomes) for one in applications},
-            "executed_twice": _doubled_keys(executions),
+            "requests": {
+                results.row: dict(results.outcomes) for results in applications
+            },
+            "executed_twice": _count_repeated_executions(executions),
             "samples": len(self._samples),
-            "versions": _versions(self._samples),
+            "versions": _count_versions(self._samples),
             "duplicates": sum(delivered.values()) - len(delivered),
             "missing": expected - len(delivered),
             "largest_staleness": max(step.report.staleness, default=0),
@@ -139,27 +147,27 @@
             "failure": str(step.failure or ""),
         }
 
-    async def _one_revision(self):
-        found = {}
-        for instance in self._live():
+    async def _common_revision(self):
+        revisions = {}
+        for instance in self._running_instances():
             _, status = await self._cluster.get(instance.address, "/v1/status")
-            found[instance.name] = status["revision"]
-        return found if len(set(found.values())) == 1 else None
+            revisions[instance.name] = status["revision"]
+        return revisions if len(set(revisions.values())) == 1 else None
 
 
-def _doubled_keys(executions):
+def _count_repeated_executions(executions):
     """Count keyed requests that ran more than once."""
     return sum(count > 1 for key, count in executions.items() if key)
 
 
-def _versions(samples):
+def _count_versions(samples):
     labels = Counter(
         "+".join(str(span[0]) for span in sample["spans"]) for sample in samples
     )
     return dict(sorted(labels.items()))
 
 
-def broken_promises(report):
+def violated_guarantees(report):
     """Return the promises that a report shows to be broken, as sentences."""
     checks = {
         "a sample was delivered twice": report["duplicates"],
@@ -178,4 +186,4 @@
         )
         != 1,
     }
-    return [sentence for sentence, broken in checks.items() if broken]
+    return [message for message, failed in checks.items() if failed]
--- a/sassafrasdoor/deployments.py
+++ b/sassafrasdoor/deployments.py
@@ -12,7 +12,7 @@
 from sassafrasdoor.load import profile as profiles, run as runs
 from sassafrasdoor.outcomes import Finding, Rejected
 
-NEW_WEIGHTS_EVERY = 5.0
+ANNOUNCE_INTERVAL = 5.0
 
 
 class Deployment:
@@ -52,29 +52,31 @@
     return Deployment(document, table, load)
 
 
-async def run(deployment, say):
+async def run(deployment, print_progress):
     """Start the deployment, run its load, announce weights meanwhile.
 
     Returns ``(caller results, summary)`` as ``load.run.run`` does.
     """
     async with Cluster(deployment.settings) as cluster:
-        await start(cluster, deployment, say)
-        announcing = asyncio.ensure_future(_announce(cluster, deployment.models, say))
+        await start(cluster, deployment, print_progress)
+        announcements = asyncio.ensure_future(
+            _announce(cluster, deployment.models, print_progress)
+        )
         try:
-            addresses = [one.address for one in cluster.instances]
+            addresses = [instance.address for instance in cluster.instances]
             return await runs.run(deployment.load, addresses)
         finally:
-            announcing.cancel()
+            announcements.cancel()
 
 
-async def start(cluster, deployment, say):
+async def start(cluster, deployment, print_progress):
     """Start every process of the deployment and wait until all are ready."""
     cluster.start_platform()
     zones = deployment.zones
     for backend in deployment.backends:
-        start = {"engine": cluster.start_engine, "service": cluster.start_service}
+        starters = {"engine": cluster.start_engine, "service": cluster.start_service}
         for number in range(backend["count"]):
-            start[backend["kind"]](
+            starters[backend["kind"]](
                 f"{backend['service']}-{number + 1}",
                 *backend["options"],
                 service=backend["service"],
@@ -83,18 +85,18 @@
     for model in deployment.models:
         await cluster.announce(model, 1)
     await cluster.propose(deployment.table)
-    say(f"starting {deployment.instances} instances in {len(zones)} zones")
+    print_progress(f"starting {deployment.instances} instances in {len(zones)} zones")
     for number in range(deployment.instances):
         cluster.start_instance(f"entry-{number + 1}", zones[number % len(zones)])
-    await cluster.ready()
-    say("every instance is ready")
+    await cluster.wait_ready()
+    print_progress("every instance is ready")
 
 
-async def _announce(cluster, models, say):
+async def _announce(cluster, models, print_progress):
     version = 1
     while True:
-        await asyncio.sleep(NEW_WEIGHTS_EVERY)
+        await asyncio.sleep(ANNOUNCE_INTERVAL)
         version += 1
         for model in models:
             await cluster.announce(model, version)
-        say(f"announced version {version} of {', '.join(models)}")
+        print_progress(f"announced version {version} of {', '.join(models)}")
--- a/sassafrasdoor/entry/parts.py
+++ b/sassafrasdoor/entry/parts.py
@@ -14,7 +14,7 @@
 from sassafrasdoor.routing.loads import LoadPoller
 from sassafrasdoor.steps import handlers as step_handlers
 from sassafrasdoor.steps.handlers import StepsService
-from sassafrasdoor.stopping import lasting
+from sassafrasdoor.stopping import start_critical_tasks
 from sassafrasdoor.view import State
 
 REPORT_INTERVAL = 0.2
@@ -73,7 +73,7 @@
             self.admission.run(self.view),
             self._send_report(),
         ]
-        self._tasks = lasting(jobs)
+        self._tasks = start_critical_tasks(jobs)
 
     async def close(self):
         """End all tasks and the work they hold."""
--- a/sassafrasdoor/entry/process.py
+++ b/sassafrasdoor/entry/process.py
@@ -12,7 +12,7 @@
 from sassafrasdoor.events import EVENTS
 from sassafrasdoor.peers.server import PeerServer
 from sassafrasdoor.requests.peer import capability
-from sassafrasdoor.stopping import planned_stop, say_ready
+from sassafrasdoor.stopping import install_stop_handler, print_ready_line
 
 DRAIN_POLL = 0.05
 
@@ -39,8 +39,8 @@
     await peers.start()
     link.set_addresses(address, peers.address)
     parts.start()
-    stop = planned_stop()
-    say_ready(settings.instance.name, entry=address, peer=peers.address)
+    stop = install_stop_handler()
+    print_ready_line(settings.instance.name, entry=address, peer=peers.address)
     await stop.wait()
     await _drain(settings, parts)
     await peers.close()
--- a/sassafrasdoor/entry/tests/test_drain.py
+++ b/sassafrasdoor/entry/tests/test_drain.py
@@ -8,7 +8,7 @@
 from tornado.simple_httpclient import SimpleAsyncHTTPClient
 
 from sassafrasdoor.cluster import KEYS, ZONES, Cluster
-from sassafrasdoor.fetch import NO_REPLY, reply_to
+from sassafrasdoor.fetch import NO_REPLY, fetch_response
 from sassafrasdoor.load.callers import Addresses
 from sassafrasdoor.steps.client import Trainer
 
@@ -35,7 +35,7 @@
                 headers={"Authorization": f"Bearer {KEYS['idempotent']}"},
                 body="{}",
             )
-            reply = await reply_to(self._http, request)
+            reply = await fetch_response(self._http, request)
             self.codes.append(reply.code)
             if reply.code != 200:
                 self._addresses.drop(address)
@@ -51,7 +51,7 @@
         body=json.dumps({**body, "stream": True}),
         request_timeout=60.0,
     )
-    reply = await reply_to(http, request)
+    reply = await fetch_response(http, request)
     lines = (reply.body or b"").decode().splitlines()
     return [json.loads(line) for line in lines]
 
@@ -77,7 +77,7 @@
                 await asyncio.to_thread(
                     cluster.start_instance, f"{instance.name}-next", ZONES[0]
                 )
-                await cluster.ready()
+                await cluster.wait_ready()
             run = await step
             for caller in callers:
                 caller.stop = True
--- a/sassafrasdoor/entry/tests/test_tls.py
+++ b/sassafrasdoor/entry/tests/test_tls.py
@@ -11,12 +11,12 @@
 
 from sassafrasdoor import settings as settings_module
 from sassafrasdoor.cluster import KEYS, Cluster
-from sassafrasdoor.fetch import NO_REPLY, entry_request, reply_to
+from sassafrasdoor.fetch import NO_REPLY, entry_request, fetch_response
 from sassafrasdoor.load import run as runs
 from sassafrasdoor.load.profile import CallerProfile, Profile, TrainerProfile
 from sassafrasdoor.support import until
 from sassafrasdoor.timeline.sources import EntrySource
-from sassafrasdoor.tools.in_force import Survey
+from sassafrasdoor.tools.in_force import StatusClient
 
 CALL = "/v1/call/idempotent/work"
 PROMPTS = ["How full is the car park?", "Which level is free?"]
@@ -66,7 +66,7 @@
         request = entry_request(
             self.address, CALL, ca_file, method="POST", body="{}", headers=headers
         )
-        reply = await reply_to(http, request)
+        reply = await fetch_response(http, request)
         http.close()
         self.assertTrue(reply.code == 200 or reply.code == NO_REPLY)
         return reply.code
@@ -93,16 +93,16 @@
         platform = {"instances_url": cluster.platform_url}
         for ca_file, seen in ((self.ca_file, True), ("", False)):
             document = {"platform": platform, "tls": {"ca_certificate": ca_file}}
-            survey = Survey(settings_module.from_document(document))
+            client = StatusClient(settings_module.from_document(document))
             if seen:  # The instance list lags: at first it lacks the address.
-                found = await until(lambda survey=survey: self.all_seen(survey))
+                found = await until(lambda client=client: self.all_seen(client))
             else:
-                found = await survey.ask(1)
-            survey.close()
+                found = await client.query(1)
+            client.close()
             self.assertEqual(found.everywhere, seen)
 
-    async def all_seen(self, survey):
-        found = await survey.ask(1)
+    async def all_seen(self, client):
+        found = await client.query(1)
         return found if found and found.everywhere else None
 
     def test_files_are_findings(self):
@@ -131,6 +131,6 @@
             with self.subTest(tls=tls):
                 path = self.folder / "settings.json"
                 path.write_text(json.dumps({"tls": tls}))
-                loaded = settings_module.load(path, listens=True)
+                loaded = settings_module.load(path, has_listener=True)
                 found = [finding.place for finding in getattr(loaded, "findings", ())]
                 self.assertEqual(found, places)
--- a/sassafrasdoor/fetch.py
+++ b/sassafrasdoor/fetch.py
@@ -17,7 +17,7 @@
     )
 
 
-async def reply_to(client, request):
+async def fetch_response(client, request):
     """Return the response to ``request``; code 599 stands for no whole reply.
 
     Tornado raises when there is no response at all, even with
--- a/sassafrasdoor/headers.py
+++ b/sassafrasdoor/headers.py
@@ -2,7 +2,7 @@
 
 # Those of one connection (RFC 9110, section 7.6.1), and those that our own HTTP
 # client and the request's identity set anew.
-ONE_HOP = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     {
         "connection",
         "content-length",
--- a/sassafrasdoor/lease/holder.py
+++ b/sassafrasdoor/lease/holder.py
@@ -210,7 +210,7 @@
         self._claims_sent_at.clear()
         self._deadline = LONG_AGO
         self._next_claim = LONG_AGO
-        self._pauses.refreshed()
+        self._pauses.clear_pause()
 
     def _observe(self):
         lease = self.leases(self._follower.state).get(self._name, VACANT)
--- a/sassafrasdoor/load/callers.py
+++ b/sassafrasdoor/load/callers.py
@@ -9,7 +9,7 @@
 from hdrh.histogram import HdrHistogram
 
 from sassafrasdoor.clock import deadline_in, now, passed, remaining
-from sassafrasdoor.fetch import NO_REPLY, entry_request, reply_to
+from sassafrasdoor.fetch import NO_REPLY, entry_request, fetch_response
 from sassafrasdoor.load.arrivals import arrivals
 
 LOWEST_MICROSECONDS = 1
@@ -97,7 +97,7 @@
                 self._ca_file,
                 request_timeout=DISCOVERY_TIMEOUT,
             )
-            reply = await reply_to(self._http, asked)
+            reply = await fetch_response(self._http, asked)
             if reply.code == 200:
                 answer = json.loads(reply.body)
                 self._known = [one["address"] for one in answer["addresses"]]
@@ -143,7 +143,7 @@
         while True:
             address = await self._addresses.pick()
             request = self._request(address, key, deadline)
-            reply = await reply_to(self._http, request)
+            reply = await fetch_response(self._http, request)
             if reply.code != NO_REPLY or passed(deadline):
                 return reply
             self._addresses.drop(address)
--- a/sassafrasdoor/log/relay.py
+++ b/sassafrasdoor/log/relay.py
@@ -124,7 +124,7 @@
         after a failure, or as soon as another call has switched to relays. A long poll
         would otherwise switch only at its own timeout, 1.5 s later.
         """
-        self._budget.tried()
+        self._budget.record_attempt()
         direct = asyncio.ensure_future(call)
         relayed = None
         cut_off = asyncio.ensure_future(self._cut_off.wait())
--- a/sassafrasdoor/log/tests/test_retention_cluster.py
+++ b/sassafrasdoor/log/tests/test_retention_cluster.py
@@ -42,7 +42,7 @@
             revision = await cluster.propose(TABLE)
             for name in ("old-1", "old-2", "old-3"):
                 cluster.start_instance(name)
-            await cluster.ready()
+            await cluster.wait_ready()
 
             await until(
                 lambda: self.has_outlived_record(cluster, revision),
@@ -53,5 +53,5 @@
             cluster.instances.clear()
             for name in ("new-1", "new-2"):
                 cluster.start_instance(name)
-            await cluster.ready()
+            await cluster.wait_ready()
             self.assertEqual(set(await self.revisions(cluster)), {revision})
--- a/sassafrasdoor/logs.py
+++ b/sassafrasdoor/logs.py
@@ -16,6 +16,6 @@
     logging.getLogger("tornado.general").setLevel(logging.ERROR)
 
 
-def changed(what, **fields):
+def changed(message_type, **fields):
     """Log one change of state; secrets never go in ``fields``."""
-    eliot.log_message(message_type=what, **fields)
+    eliot.log_message(message_type=message_type, **fields)
--- a/sassafrasdoor/membership/node.py
+++ b/sassafrasdoor/membership/node.py
@@ -265,7 +265,7 @@
         self._send(address, "differ", last, buckets=self._roster.buckets)
 
     def _refreshed(self):
-        self._pause.refreshed()
+        self._pause.clear_pause()
         self._distrust_until = None
 
     def _differed(self, message, address):
--- a/sassafrasdoor/outcomes.py
+++ b/sassafrasdoor/outcomes.py
@@ -5,7 +5,7 @@
 """
 
 MAX_FINDINGS = 100
-MAX_PLACE = 120
+MAX_PLACE_CHARS = 120
 
 
 class Outcome:
@@ -114,4 +114,4 @@
 
 
 def _place(parts):
-    return ".".join(str(part) for part in parts)[:MAX_PLACE] or "(root)"
+    return ".".join(str(part) for part in parts)[:MAX_PLACE_CHARS] or "(root)"
--- a/sassafrasdoor/platform/process.py
+++ b/sassafrasdoor/platform/process.py
@@ -38,7 +38,7 @@
 from sassafrasdoor.steps.durable.service import SHARD_COUNT, TOPIC, StepService
 from sassafrasdoor.steps.durable.shards import ShardLease, Shards
 from sassafrasdoor.steps.durable.state import Steps
-from sassafrasdoor.stopping import lasting
+from sassafrasdoor.stopping import start_critical_tasks
 from sassafrasdoor.table.routes import RoutesInForce
 from sassafrasdoor.weights.controller import WeightsController
 
@@ -253,7 +253,7 @@
         )
         self._listen()
         self._routes.on_change(self._apply_limits)
-        tasks = lasting(self._jobs())
+        tasks = start_critical_tasks(self._jobs())
         await self._stop.wait()
         await self._leave()
         for task in tasks:
--- a/sassafrasdoor/platform/soak_callers.py
+++ b/sassafrasdoor/platform/soak_callers.py
@@ -8,7 +8,7 @@
 
 from sassafrasdoor.backends.connections import Outgoing, Reply
 from sassafrasdoor.clock import deadline_in, passed
-from sassafrasdoor.fetch import reply_to
+from sassafrasdoor.fetch import fetch_response
 from sassafrasdoor.platform import wire
 from sassafrasdoor.soak import checks
 from sassafrasdoor.soak.checks import Call, StepSeen
@@ -37,7 +37,7 @@
             request_timeout=CALL_TIMEOUT,
             connect_timeout=1.0,
         )
-        return await reply_to(self._client, request)
+        return await fetch_response(self._client, request)
 
     async def _call_on(self):
         number = 0
--- a/sassafrasdoor/platform/tests/cases.py
+++ b/sassafrasdoor/platform/tests/cases.py
@@ -10,7 +10,7 @@
 from tornado.httpclient import AsyncHTTPClient, HTTPRequest
 
 from sassafrasdoor.clock import deadline_in, passed
-from sassafrasdoor.fetch import reply_to
+from sassafrasdoor.fetch import fetch_response
 from sassafrasdoor.platform import configuration, wire
 from sassafrasdoor.platform.local import LocalInstance
 from sassafrasdoor.platform.standin import ReplicaStandin, StoreStandin
@@ -136,7 +136,7 @@
             headers={"Host": HOST, **headers},
             request_timeout=10,
         )
-        reply = await reply_to(self.client, request)
+        reply = await fetch_response(self.client, request)
         self.answers.append((address, path, reply.code, reply.body[:BODY_SHOWN]))
         return reply
 
--- a/sassafrasdoor/platform/wire.py
+++ b/sassafrasdoor/platform/wire.py
@@ -1,6 +1,6 @@
 """Header names of the platform's wire, and what is never passed on."""
 
-from sassafrasdoor.headers import ONE_HOP
+from sassafrasdoor.headers import HOP_BY_HOP_HEADERS
 
 REQUEST_ID = "Sassafrasdoor-Request-Id"
 DEADLINE = "Sassafrasdoor-Deadline-Ms"
@@ -18,8 +18,8 @@
 MISDIRECTED = 421
 
 _SET_ANEW = {name.lower() for name in (DEADLINE, EXPECT_INSTANCE)}
-NOT_SENT_ON = (ONE_HOP | _SET_ANEW) - {"host", "x-request-id"}
-NOT_SENT_BACK = ONE_HOP - {"x-request-id"}
+NOT_SENT_ON = (HOP_BY_HOP_HEADERS | _SET_ANEW) - {"host", "x-request-id"}
+NOT_SENT_BACK = HOP_BY_HOP_HEADERS - {"x-request-id"}
 
 
 def header_pairs(headers, left_out):
--- a/sassafrasdoor/requests/reading.py
+++ b/sassafrasdoor/requests/reading.py
@@ -5,7 +5,7 @@
 from pydantic import BaseModel, ConfigDict, Field, ValidationError
 
 from sassafrasdoor.clock import deadline_in
-from sassafrasdoor.headers import ONE_HOP
+from sassafrasdoor.headers import HOP_BY_HOP_HEADERS
 from sassafrasdoor.outcomes import Finding, Rejected, findings_of
 from sassafrasdoor.requests import messages
 from sassafrasdoor.requests.messages import Request, keyed_request_id
@@ -16,7 +16,7 @@
 REPEATABLE = {"": True, "yes": True, "no": False}
 
 # Headers of one connection or addressed to this service, not sent to backend servers.
-NOT_FORWARDED = ONE_HOP | {"authorization", "x-deadline-ms", "x-repeatable"}
+NOT_FORWARDED = HOP_BY_HOP_HEADERS | {"authorization", "x-deadline-ms", "x-repeatable"}
 # Headers of an answer that this HTTP server sets itself.
 NOT_RETURNED = NOT_FORWARDED | {"date", "server"}
 
--- a/sassafrasdoor/requests/tests/test_operation_processes.py
+++ b/sassafrasdoor/requests/tests/test_operation_processes.py
@@ -74,7 +74,7 @@
         cut = cluster.start_instance(
             "entry-cut", "zone-b", instances_url=f"http://{proxy.address}"
         )
-        await cluster.ready()
+        await cluster.wait_ready()
         await until(lambda: self.is_served(cut, "idempotent"))
         proxy.freeze()
         await cluster.platform_faults(list_lag=60)
--- a/sassafrasdoor/security.py
+++ b/sassafrasdoor/security.py
@@ -47,7 +47,9 @@
         "tls.private_key": tls.private_key,
         "tls.ca_certificate": tls.ca_certificate,
     }
-    findings = [Finding(at, _unreadable(path)) for at, path in paths.items() if path]
+    findings = [
+        Finding(place, _read_error(path)) for place, path in paths.items() if path
+    ]
     findings = [finding for finding in findings if finding.reason]
     if bool(tls.certificate) != bool(tls.private_key):
         missing = "private_key" if tls.certificate else "certificate"
@@ -62,7 +64,7 @@
     return findings
 
 
-def _unreadable(path):
+def _read_error(path):
     try:
         with open(path, "rb"):
             return ""
--- a/sassafrasdoor/settings.py
+++ b/sassafrasdoor/settings.py
@@ -283,7 +283,7 @@
     ca_certificate: str
 
     @property
-    def trusted(self):
+    def trusted_ca_file(self):
         """The file to trust when calling instances; empty for plain TCP."""
         return self.ca_certificate or self.certificate
 
@@ -305,7 +305,7 @@
     tls: TlsSettings
 
 
-def load(path, listens=False):
+def load(path, has_listener=False):
     """Return the ``Settings`` in the JSON file at ``path``, or ``Rejected``.
 
     With ``listens`` the files that a listener needs are checked too.
@@ -319,11 +319,11 @@
         return Rejected("settings are not JSON", [Finding(str(path), str(error))])
     except RecursionError:
         return Rejected("settings are not JSON", [Finding(str(path), "too deep")])
-    loaded = from_document(document)
-    faults = _file_findings(document) if listens else []
+    result = from_document(document)
+    faults = _file_findings(document) if has_listener else []
     if faults:
-        return Rejected("settings invalid", [*getattr(loaded, "findings", ()), *faults])
-    return loaded
+        return Rejected("settings invalid", [*getattr(result, "findings", ()), *faults])
+    return result
 
 
 def _file_findings(document):
@@ -348,9 +348,9 @@
 def _merged(document):
     merged = {name: dict(section) for name, section in DEFAULT.items()}
     for name, section in document.items():
-        known = merged.get(name)
-        if known is not None and isinstance(section, dict):
-            known.update(section)
+        defaults = merged.get(name)
+        if defaults is not None and isinstance(section, dict):
+            defaults.update(section)
         else:
             merged[name] = section
     return merged
--- a/sassafrasdoor/stopping.py
+++ b/sassafrasdoor/stopping.py
@@ -8,38 +8,38 @@
 
 from sassafrasdoor import logs
 
-ENDED_AT_ONCE = 1
-TASK_FAILED = 3
+FORCED_EXIT_CODE = 1
+TASK_FAILURE_EXIT_CODE = 3
 
 
-def say_ready(name, **addresses):
+def print_ready_line(name, **addresses):
     """Print the ready line: the daemon serves at these ``host:port`` addresses."""
     print(json.dumps({"ready": True, "name": name, **addresses}), flush=True)
 
 
-def planned_stop():
+def install_stop_handler():
     """Return an event set by SIGTERM; a second SIGTERM ends the process at once."""
     stop = asyncio.Event()
 
-    def asked():
+    def handle_signal():
         if stop.is_set():
-            sys.exit(ENDED_AT_ONCE)
+            sys.exit(FORCED_EXIT_CODE)
         stop.set()
 
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, asked)
+    for signum in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signum, handle_signal)
     return stop
 
 
-def lasting(jobs):
+def start_critical_tasks(coroutines):
     """Start tasks that run for as long as the process; return them.
 
     A daemon whose follower or membership task has died goes on serving an old
     view, and nothing shows it. So the failure of one ends the process: others
     notice that at once, and whoever starts daemons starts it anew.
     """
-    tasks = [asyncio.ensure_future(job) for job in jobs]
+    tasks = [asyncio.ensure_future(coroutine) for coroutine in coroutines]
     for task in tasks:
         task.add_done_callback(_end_if_failed)
     return tasks
@@ -50,4 +50,4 @@
         return
     logs.changed("process:failed", reason=repr(task.exception()))
     sys.stdout.flush()
-    os._exit(TASK_FAILED)
+    os._exit(TASK_FAILURE_EXIT_CODE)
--- a/sassafrasdoor/support.py
+++ b/sassafrasdoor/support.py
@@ -17,7 +17,7 @@
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 START_TIMEOUT = 30.0
 STOP_TIMEOUT = 30.0
-POLL = 0.02
+POLL_INTERVAL = 0.02
 
 
 class Process:
@@ -66,19 +66,19 @@
 
     def wait_ready(self):
         """Wait for the ready line and return it."""
-        limit = deadline_in(START_TIMEOUT)
+        deadline = deadline_in(START_TIMEOUT)
         while self.ready is None:
-            if self.returncode is not None or passed(limit):
+            if self.returncode is not None or passed(deadline):
                 raise AssertionError(
                     f"{self.program} did not start:\n" + "\n".join(self._lines[-40:])
                 )
-            time.sleep(POLL)
+            time.sleep(POLL_INTERVAL)
         return self.ready
 
-    def signal(self, number):
+    def signal(self, signum):
         """Send a signal; a process that has ended already is no error."""
         with contextlib.suppress(ProcessLookupError):
-            self._popen.send_signal(number)
+            self._popen.send_signal(signum)
 
     def kill(self):
         """End it at once, with nothing said to anybody."""
@@ -151,13 +151,13 @@
 
 async def until(condition, timeout=START_TIMEOUT, what="condition"):
     """Wait until ``condition()`` (plain or async) is truthy and return its value."""
-    limit = deadline_in(timeout)
+    deadline = deadline_in(timeout)
     while True:
         value = condition()
         if asyncio.iscoroutine(value):
             value = await value
         if value:
             return value
-        if passed(limit):
+        if passed(deadline):
             raise AssertionError(f"waited {timeout} s in vain for {what}")
-        await asyncio.sleep(POLL)
+        await asyncio.sleep(POLL_INTERVAL)
--- a/sassafrasdoor/tests/test_clock_jumps.py
+++ b/sassafrasdoor/tests/test_clock_jumps.py
@@ -6,14 +6,20 @@
 from sassafrasdoor.support import ROOT
 
 SOURCE = ROOT / "sassafrasdoor"
-WALL = {"time.time", "time.time_ns", "datetime", "CLOCK_REALTIME", "localtime"}
+WALL_CLOCK_NAMES = {
+    "time.time",
+    "time.time_ns",
+    "datetime",
+    "CLOCK_REALTIME",
+    "localtime",
+}
 ALLOWED = {
     "clock.py": "the hybrid clock that orders events of the time line",
     "membership/node.py": "an incarnation's number, compared with its own only",
 }
 
 
-def wall_readers():
+def wall_clock_modules():
     """Yield the modules that name the time of day, tests left out."""
     for path in sorted(SOURCE.rglob("*.py")):
         if "tests" in path.parts:
@@ -22,15 +28,15 @@
         if any(
             wall in name.split(".")[0] or wall == name
             for name in names
-            for wall in WALL
+            for wall in WALL_CLOCK_NAMES
         ):
             yield str(path.relative_to(SOURCE))
 
 
 class TimeOfDayTest(unittest.TestCase):
-    def test_only_what_is_named_here_reads_it(self):
+    def test_only_allowed_modules_read_the_wall_clock(self):
         """Guards against deadlines counted on the time of day."""
-        self.assertEqual(set(wall_readers()), set(ALLOWED))
+        self.assertEqual(set(wall_clock_modules()), set(ALLOWED))
 
 
 if __name__ == "__main__":
--- a/sassafrasdoor/tests/test_pages.py
+++ b/sassafrasdoor/tests/test_pages.py
@@ -21,7 +21,7 @@
 
     @staticmethod
     def findall(code):
-        decisions = [one for one in DECISION.findall(code) if "." in one]
+        decisions = [name for name in DECISION.findall(code) if "." in name]
         replicas = [f"replica.{kind}" for kind in REPLICA_LINES]
         return [*LINE.findall(code), *decisions, *replicas]
 
@@ -46,7 +46,7 @@
         samples = sorted((ROOT / "samples").glob("library_*.py"))
         self.assertTrue(samples)
         quoted = FENCED.findall(page("LIBRARY.md"))
-        self.assertCountEqual(quoted, [one.read_text("utf-8") for one in samples])
+        self.assertCountEqual(quoted, [path.read_text("utf-8") for path in samples])
 
     def test_the_operating_page_lists_what_the_code_has(self):
         """Guards against metrics, events and log lines that no page explains."""
@@ -57,17 +57,17 @@
             ("events", EVENT, r"^\| event `([\w-]+)`"),
             ("log lines", LINES, r"^\| line `([\w.:-]+)`"),
         ]
-        for name, made, listed in cases:
+        for name, defined, row_pattern in cases:
             with self.subTest(name):
-                found = re.findall(listed, text, re.MULTILINE)
-                self.assertEqual(sorted(found), sorted(set(made.findall(code))))
+                documented = re.findall(row_pattern, text, re.MULTILINE)
+                self.assertEqual(sorted(documented), sorted(set(defined.findall(code))))
 
     def test_the_pages_name_settings_that_exist(self):
         lines = set(LINE.findall(sources()))
         for name in ("OPERATING.md", "LIBRARY.md", "USING.md"):
             for section, setting in SETTING.findall(page(name)):
-                known = section in settings.DEFAULT
-                if known and f"{section}.{setting}" not in lines:
+                is_section = section in settings.DEFAULT
+                if is_section and f"{section}.{setting}" not in lines:
                     with self.subTest(page=name, setting=f"{section}.{setting}"):
                         self.assertIn(setting, settings.DEFAULT[section])
 
@@ -80,7 +80,7 @@
     def test_the_samples_of_the_library_run(self):
         for path in sorted((ROOT / "samples").glob("library_*.py")):
             with self.subTest(path.name):
-                done = subprocess.run(
+                completed = subprocess.run(
                     [sys.executable, path],
                     cwd=ROOT,
                     env={"PYTHONPATH": str(ROOT)},
@@ -88,5 +88,5 @@
                     text=True,
                     timeout=60,
                 )
-                self.assertEqual((done.returncode, done.stderr), (0, ""))
-                self.assertTrue(done.stdout)
+                self.assertEqual((completed.returncode, completed.stderr), (0, ""))
+                self.assertTrue(completed.stdout)
--- a/sassafrasdoor/tests/test_settings.py
+++ b/sassafrasdoor/tests/test_settings.py
@@ -12,7 +12,7 @@
     def test_defaults_are_valid(self):
         self.assertTrue(settings.from_document({}))
 
-    def test_five_mistakes_are_reported_together(self):
+    def test_all_findings_are_reported_together(self):
         rejected = settings.from_document(
             {
                 "instance": {"entry_port": 70000, "nick": "x"},
@@ -37,20 +37,20 @@
         for section, values in settings.DEFAULT.items():
             for key, value in values.items():
                 with self.subTest(setting=f"{section}.{key}"):
-                    line = next(
+                    table_row = next(
                         (
-                            one
-                            for one in page.splitlines()
-                            if f"`{section}.{key}`" in one
+                            row
+                            for row in page.splitlines()
+                            if f"`{section}.{key}`" in row
                         ),
                         "",
                     )
-                    self.assertIn(f"`{json.dumps(value)}`", line)
+                    self.assertIn(f"`{json.dumps(value)}`", table_row)
 
 
 class PauseDetectorTest(unittest.TestCase):
     def test_a_gap_is_a_pause_until_refreshed(self):
         detector = PauseDetector(limit=0.0)
         self.assertTrue(detector.paused)
-        patient = PauseDetector(limit=60.0)
-        self.assertFalse(patient.paused)
+        tolerant = PauseDetector(limit=60.0)
+        self.assertFalse(tolerant.paused)
--- a/sassafrasdoor/tests/test_whole_path.py
+++ b/sassafrasdoor/tests/test_whole_path.py
@@ -2,12 +2,12 @@
 
 import unittest
 
-from sassafrasdoor.demo import broken_promises
+from sassafrasdoor.demo import violated_guarantees
 from sassafrasdoor.support import Processes
 
 DEMO_TIMEOUT = 120.0
 
-GOOD = {
+GOOD_REPORT = {
     "duplicates": 0,
     "missing": 0,
     "executed_twice": 0,
@@ -21,15 +21,15 @@
 
 
 class WholePathTest(unittest.TestCase):
-    def test_demo_keeps_every_promise(self):
+    def test_demo_holds_every_guarantee(self):
         """Guards against state that is lost with a killed instance."""
         with Processes() as processes:
             process = processes.start("demo", "--json")
-            code = process.wait(DEMO_TIMEOUT)
-            self.assertEqual(code, 0, "\n".join(process.output))
+            exit_code = process.wait(DEMO_TIMEOUT)
+            self.assertEqual(exit_code, 0, "\n".join(process.output))
 
-    def test_each_broken_promise_is_noticed(self):
-        self.assertEqual(broken_promises(GOOD), [])
+    def test_each_violation_is_reported(self):
+        self.assertEqual(violated_guarantees(GOOD_REPORT), [])
         faults = {
             "duplicates": 1,
             "missing": 1,
@@ -41,4 +41,6 @@
         }
         for name, value in faults.items():
             with self.subTest(fault=name):
-                self.assertEqual(len(broken_promises({**GOOD, name: value})), 1)
+                self.assertEqual(
+                    len(violated_guarantees({**GOOD_REPORT, name: value})), 1
+                )
--- a/sassafrasdoor/tools/control.py
+++ b/sassafrasdoor/tools/control.py
@@ -20,7 +20,7 @@
 
     Exit codes: 0 ended well, 1 ended at once, 2 usage, 3 a task of its own failed.
     """
-    asyncio.run(process.run(read(settings, check, listens=True)))
+    asyncio.run(process.run(read(settings, check, has_listener=True)))
 
 
 def main():
--- a/sassafrasdoor/tools/demo.py
+++ b/sassafrasdoor/tools/demo.py
@@ -25,19 +25,19 @@
         typer.echo(json.dumps(report))
     else:
         _print(console, report)
-    broken = demo.broken_promises(report)
-    for sentence in broken:
-        console.print(f"[bold red]BROKEN[/]: {sentence}")
-    if not broken:
+    violations = demo.violated_guarantees(report)
+    for violation in violations:
+        console.print(f"[bold red]BROKEN[/]: {violation}")
+    if not violations:
         console.print("[bold green]every promise held[/]")
-    raise typer.Exit(1 if broken else 0)
+    raise typer.Exit(1 if violations else 0)
 
 
 def _print(console, report):
     table = Table("figure", "value", title="sassafrasdoor demo")
     for name, value in report.items():
-        shown = value if isinstance(value, str) else json.dumps(value)
-        table.add_row(name.replace("_", " "), shown)
+        text = value if isinstance(value, str) else json.dumps(value)
+        table.add_row(name.replace("_", " "), text)
     console.print(table)
 
 
--- a/sassafrasdoor/tools/entry.py
+++ b/sassafrasdoor/tools/entry.py
@@ -23,9 +23,9 @@
 
     Exit codes: 0 ended well, 1 ended at once, 2 usage, 3 a task of its own failed.
     """
-    checked = read(settings, check, listens=True)
-    own = f"{checked.instance.host}:{checked.instance.control_port}"
-    asyncio.run(process.run(checked, control or own))
+    checked = read(settings, check, has_listener=True)
+    default_control = f"{checked.instance.host}:{checked.instance.control_port}"
+    asyncio.run(process.run(checked, control or default_control))
 
 
 def main():
--- a/sassafrasdoor/tools/in_force.py
+++ b/sassafrasdoor/tools/in_force.py
@@ -12,11 +12,11 @@
 
 MAX_CLIENTS = 50
 CALL_TIMEOUT = 2.0
-ASK_AGAIN = 0.2
-NO_ANSWER = (HTTPError, OSError, ValueError, KeyError, TypeError, AttributeError)
+QUERY_INTERVAL = 0.2
+CALL_ERRORS = (HTTPError, OSError, ValueError, KeyError, TypeError, AttributeError)
 
 
-class InForce:
+class RevisionCoverage:
     """Instances by name, with the revision each one uses; None: it did not say."""
 
     __slots__ = ("revision", "revisions")
@@ -28,10 +28,12 @@
     @property
     def count(self):
         """On how many instances the revision, or a later one, is in force."""
-        return sum((used or 0) >= self.revision for used in self.revisions.values())
+        return sum(
+            (revision or 0) >= self.revision for revision in self.revisions.values()
+        )
 
     @property
-    def everywhere(self):
+    def is_everywhere(self):
         """Whether it is in force on all instances listed."""
         return self.count == len(self.revisions)
 
@@ -39,11 +41,13 @@
     def missing(self):
         """The names of the others."""
         return sorted(
-            name for name, used in self.revisions.items() if (used or 0) < self.revision
+            name
+            for name, revision in self.revisions.items()
+            if (revision or 0) < self.revision
         )
 
 
-class Survey:
+class StatusClient:
     """Asks the instances in the platform's list; close it after use."""
 
     __slots__ = ("_client", "_settings")
@@ -59,39 +63,40 @@
     async def wait(self, revision, deadline):
         """Return ``InForce`` once true everywhere, or as it is at ``deadline``."""
         while True:
-            found = await self.ask(revision)
-            if (found and found.everywhere) or passed(deadline):
-                return found
-            await asyncio.sleep(min(ASK_AGAIN, remaining(deadline)))
+            coverage = await self.query(revision)
+            if (coverage and coverage.is_everywhere) or passed(deadline):
+                return coverage
+            await asyncio.sleep(min(QUERY_INTERVAL, remaining(deadline)))
 
-    async def ask(self, revision):
+    async def query(self, revision):
         """Return ``InForce`` as of now, or ``Unavailable``: no instance list."""
         try:
-            listed = await self._get(
+            listing = await self._get(
                 f"{self._settings.platform.instances_url}/instances"
             )
             entries = {
-                str(one["name"]): one["address"]
-                for one in listed["instances"]
-                if one.get("kind") == "entry" and one.get("state", "alive") == "alive"
+                str(instance["name"]): instance["address"]
+                for instance in listing["instances"]
+                if instance.get("kind") == "entry"
+                and instance.get("state", "alive") == "alive"
             }
-        except NO_ANSWER as error:
+        except CALL_ERRORS as error:
             return Unavailable(f"no instance list: {error}")
-        used = await asyncio.gather(*map(self._revision, entries.values()))
-        return InForce(revision, dict(zip(entries, used, strict=True)))
+        revisions = await asyncio.gather(*map(self._revision, entries.values()))
+        return RevisionCoverage(revision, dict(zip(entries, revisions, strict=True)))
 
     async def status(self, address):
         """Return the status page of an instance, or ``Unavailable``."""
-        scheme = "https" if self._settings.tls.trusted else "http"
+        scheme = "https" if self._settings.tls.trusted_ca_file else "http"
         try:
             return await self._get(f"{scheme}://{address}/v1/status")
-        except NO_ANSWER as error:
+        except CALL_ERRORS as error:
             return Unavailable(f"no status from {address}: {error}")
 
     async def _revision(self, address):
         try:
             return int((await self.status(address))["revision"])
-        except NO_ANSWER:
+        except CALL_ERRORS:
             return None
 
     async def _get(self, url):
@@ -100,7 +105,7 @@
             follow_redirects=False,
             connect_timeout=CALL_TIMEOUT,
             request_timeout=CALL_TIMEOUT,
-            ca_certs=self._settings.tls.trusted or None,
+            ca_certs=self._settings.tls.trusted_ca_file or None,
             prepare_curl_callback=lambda curl: curl.setopt(pycurl.NOPROXY, "*"),
         )
         return json.loads((await self._client.fetch(request)).body)
--- a/sassafrasdoor/tools/load.py
+++ b/sassafrasdoor/tools/load.py
@@ -29,10 +29,10 @@
     """Run a load. Exit codes: 0 done, 2 usage or an invalid profile."""
     console = Console(stderr=as_json)
     if deployment:
-        checked = _valid(deployment, deployments.read(deployment), check)
+        checked = _valid_or_exit(deployment, deployments.read(deployment), check)
         callers, document = asyncio.run(deployments.run(checked, console.print))
     else:
-        checked = _valid(profile, profiles.load(profile), check)
+        checked = _valid_or_exit(profile, profiles.load(profile), check)
         if not address:
             raise typer.BadParameter("name --address or --deployment")
         callers, document = asyncio.run(runs.run(checked, address, ca_file))
@@ -45,7 +45,7 @@
     console.print(report.trainer_table(document))
 
 
-def _valid(path, loaded, check):
+def _valid_or_exit(path, loaded, check):
     if not loaded:
         for finding in loaded.findings:
             typer.echo(f"{path}: {finding}", err=True)
--- a/sassafrasdoor/tools/options.py
+++ b/sassafrasdoor/tools/options.py
@@ -7,8 +7,8 @@
 USAGE_ERROR = 2
 
 
-def _print_version(wanted):
-    if wanted:
+def _print_version(is_requested):
+    if is_requested:
         typer.echo(__version__)
         raise typer.Exit
 
@@ -23,12 +23,12 @@
 )
 
 
-def read(path, check, listens=False):
+def read(path, check, has_listener=False):
     """Return the settings at ``path``; end with all findings if it has any.
 
     A daemon ``listens``: the files that its listener needs must be there.
     """
-    loaded = settings.load(path, listens)
+    loaded = settings.load(path, has_listener)
     if not loaded:
         typer.echo(f"{path}: {loaded.reason}", err=True)
         for finding in loaded.findings:
--- a/sassafrasdoor/tools/status_view.py
+++ b/sassafrasdoor/tools/status_view.py
@@ -1,8 +1,8 @@
 """An instance's status page as tables to read."""
 
 ABSENT = "-"
-MEMBER = ("name", "state", "availability_zone", "incarnation")
-BACKEND = (
+MEMBER_COLUMNS = ("name", "state", "availability_zone", "incarnation")
+BACKEND_COLUMNS = (
     "name",
     "service",
     "state",
@@ -14,7 +14,7 @@
     "suspect",
     "report_age_seconds",
 )
-QUOTA = (
+QUOTA_COLUMNS = (
     "granted",
     "lapses_in_seconds",
     "fallback",
@@ -25,38 +25,50 @@
 )
 
 
-def status_line(seen):
-    """Return the status page ``seen`` in one line."""
-    leaving = ", leaving" if seen["leaving"] else ""
-    age = seen["unconfirmed_seconds"]
+def status_line(status_page):
+    """Return the status page ``status_page`` in one line."""
+    leaving = ", leaving" if status_page["leaving"] else ""
+    age = status_page["unconfirmed_seconds"]
     confirmed = "never confirmed" if age is None else f"confirmed {age} s ago"
     return (
-        f"{seen['instance']}{leaving}: table revision {seen['revision']}, "
-        f"{confirmed}; {len(seen['steps'])} steps, "
-        f"{seen['requests']['in_progress']} requests in progress"
+        f"{status_page['instance']}{leaving}: table revision {status_page['revision']}, "
+        f"{confirmed}; {len(status_page['steps'])} steps, "
+        f"{status_page['requests']['in_progress']} requests in progress"
     )
 
 
-def status_grids(seen):
-    """Return ``(title, heads, rows)`` of each table of the status page ``seen``."""
+def status_grids(status_page):
+    """Return ``(title, columns, rows)`` of each table of the status page ``status_page``."""
     return [
-        ("newest weights", ("model", "newest version"), list(seen["weights"].items())),
-        ("members", MEMBER, _cells(seen["members"], MEMBER)),
-        ("backend servers", BACKEND, _cells(seen["backends"], BACKEND)),
-        ("quota and queues", ("row", *QUOTA), _quota(seen["quota"])),
+        (
+            "newest weights",
+            ("model", "newest version"),
+            list(status_page["weights"].items()),
+        ),
+        ("members", MEMBER_COLUMNS, _rows(status_page["members"], MEMBER_COLUMNS)),
+        (
+            "backend servers",
+            BACKEND_COLUMNS,
+            _rows(status_page["backends"], BACKEND_COLUMNS),
+        ),
+        (
+            "quota and queues",
+            ("row", *QUOTA_COLUMNS),
+            _quota_rows(status_page["quota"]),
+        ),
     ]
 
 
-def _quota(rows):
-    cells = _cells(rows.values(), QUOTA)
-    return [[name, *one] for name, one in zip(rows, cells, strict=True)]
+def _quota_rows(rows):
+    cells = _rows(rows.values(), QUOTA_COLUMNS)
+    return [[name, *values] for name, values in zip(rows, cells, strict=True)]
 
 
-def _cells(items, heads):
-    return [[_cell(item.get(head)) for head in heads] for item in items]
+def _rows(items, columns):
+    return [[_cell_text(item.get(column)) for column in columns] for item in items]
 
 
-def _cell(value):
+def _cell_text(value):
     if isinstance(value, dict):
         value = ", ".join(f"{name}: {number}" for name, number in value.items())
     return ABSENT if value in (None, "") else value
--- a/sassafrasdoor/tools/table.py
+++ b/sassafrasdoor/tools/table.py
@@ -23,7 +23,7 @@
 from sassafrasdoor.table.accepted import NO_REVISION
 from sassafrasdoor.table.publisher import propose
 from sassafrasdoor.table.rows import table_from
-from sassafrasdoor.tools.in_force import Survey
+from sassafrasdoor.tools.in_force import StatusClient
 from sassafrasdoor.tools.options import VersionOption, read
 from sassafrasdoor.tools.table_changes import changes
 from sassafrasdoor.tools.table_report import Report
@@ -54,12 +54,12 @@
         finally:
             self.log.close()
 
-    async def state(self, seconds):
+    async def agreed_state(self, seconds):
         """Return the agreed state, or ``Unavailable``."""
         follower = Follower(self.settings, self.log, agreed.fold, agreed.Agreed())
         return await follower.catch_up(deadline_in(seconds))
 
-    def demand(self, value):
+    def value_or_exit(self, value):
         """Return ``value``; report an outcome that is none and end."""
         if not value:
             raise typer.Exit(self.report.outcome(value))
@@ -87,7 +87,9 @@
 def check(context: typer.Context, sheet: str = SheetArgument):
     """Check a sheet; needs no platform."""
     tool = context.obj
-    table = tool.demand(table_from(tool.demand(sheets.read(sheet)).document))
+    table = tool.value_or_exit(
+        table_from(tool.value_or_exit(sheets.read(sheet)).document)
+    )
     tool.report.checked(table)
 
 
@@ -100,8 +102,10 @@
     Shares are of the service's capacity when every row wants all it may have.
     """
     tool = context.obj
-    table = tool.demand(table_from(tool.demand(sheets.read(sheet)).document))
-    state = tool.demand(tool.run(lambda: tool.state(timeout)))
+    table = tool.value_or_exit(
+        table_from(tool.value_or_exit(sheets.read(sheet)).document)
+    )
+    state = tool.value_or_exit(tool.run(lambda: tool.agreed_state(timeout)))
     tool.report.changes(state.revision, changes(state.table, table))
 
 
@@ -120,7 +124,7 @@
     whose it is.
     """
     tool = context.obj
-    edited = tool.demand(sheets.read(sheet))
+    edited = tool.value_or_exit(sheets.read(sheet))
     if base is None:
         base = edited.revision
     raise typer.Exit(tool.run(lambda: _apply(tool, edited, base, author, timeout)))
@@ -129,7 +133,7 @@
 async def _apply(tool, edited, base, author, timeout):
     deadline = deadline_in(timeout)
     if base is None:
-        base = await _first_base(tool, timeout)
+        base = await _initial_base(tool, timeout)
     if not isinstance(base, int):
         return tool.report.outcome(base)
     decision = await propose(
@@ -142,16 +146,16 @@
     )
     if not decision:
         return tool.report.outcome(decision)
-    survey = Survey(tool.settings)
+    client = StatusClient(tool.settings)
     try:
-        found = await survey.wait(decision.offset, deadline)
+        coverage = await client.wait(decision.offset, deadline)
     finally:
-        survey.close()
-    return tool.report.published(decision, found)
+        client.close()
+    return tool.report.published(decision, coverage)
 
 
-async def _first_base(tool, timeout):
-    state = await tool.state(timeout)
+async def _initial_base(tool, timeout):
+    state = await tool.agreed_state(timeout)
     if not state:
         return state
     if state.table is None:
@@ -170,7 +174,7 @@
 ):
     """Show the table in force, or write it as a sheet."""
     tool = context.obj
-    state = tool.demand(tool.run(lambda: tool.state(timeout)))
+    state = tool.value_or_exit(tool.run(lambda: tool.agreed_state(timeout)))
     if not output:
         return tool.report.table(state)
     if state.table is None:
@@ -186,7 +190,7 @@
 def history(context: typer.Context, timeout: float = TimeoutOption):
     """List the latest proposals, what became of them, and who was first."""
     tool = context.obj
-    state = tool.demand(tool.run(lambda: tool.state(timeout)))
+    state = tool.value_or_exit(tool.run(lambda: tool.agreed_state(timeout)))
     tool.report.history(state.accepted.decisions)
 
 
@@ -197,15 +201,15 @@
 ):
     """Show the system as one instance sees it: members, weights, quota, queues."""
     tool = context.obj
-    tool.report.status(tool.demand(asyncio.run(_status(tool.settings, address))))
+    tool.report.status(tool.value_or_exit(asyncio.run(_status(tool.settings, address))))
 
 
 async def _status(settings, address):
-    survey = Survey(settings)
+    client = StatusClient(settings)
     try:
-        return await survey.status(address)
+        return await client.status(address)
     finally:
-        survey.close()
+        client.close()
 
 
 @app.command()
@@ -222,7 +226,7 @@
         deadline = deadline_in(timeout)
         return announce_version(tool.settings, tool.log, model, version, deadline)
 
-    tool.report.announced(model, tool.demand(tool.run(job)))
+    tool.report.announced(model, tool.value_or_exit(tool.run(job)))
 
 
 @app.command("key-hash")
--- a/sassafrasdoor/tools/table_changes.py
+++ b/sassafrasdoor/tools/table_changes.py
@@ -2,7 +2,7 @@
 
 from sassafrasdoor.admission.shares import fractional_shares
 
-IGNORED = {"name"}
+IGNORED_COLUMNS = {"name"}
 
 
 class Change:
@@ -31,18 +31,18 @@
 
     A row whose cells stay but whose share moves, because others changed, is one.
     """
-    before, after = _by_name(old), _by_name(new)
+    before, after = _rows_by_name(old), _rows_by_name(new)
     old_shares, new_shares = (
         shares_under_full_demand(old),
         shares_under_full_demand(new),
     )
-    found = []
+    differences = []
     for name in dict.fromkeys([*before, *after]):
-        fields = _fields(before.get(name), after.get(name))
+        fields = _changed_fields(before.get(name), after.get(name))
         shares = (old_shares.get(name, 0.0), new_shares.get(name, 0.0))
         if fields or abs(shares[0] - shares[1]) > 1e-9:
-            found.append(Change(name, fields, *shares))
-    return found
+            differences.append(Change(name, fields, *shares))
+    return differences
 
 
 def shares_under_full_demand(table):
@@ -50,21 +50,21 @@
     shares = {}
     rows = table.rows if table else []
     for service in {row.service for row in rows}:
-        group = [row for row in rows if row.service == service]
-        limits = {row.name: row.limit for row in group}
-        shares.update(fractional_shares(group, limits, 1.0))
+        service_rows = [row for row in rows if row.service == service]
+        limits = {row.name: row.limit for row in service_rows}
+        shares.update(fractional_shares(service_rows, limits, 1.0))
     return shares
 
 
-def _by_name(table):
+def _rows_by_name(table):
     return {row.name: row for row in table.rows} if table else {}
 
 
-def _fields(old, new):
+def _changed_fields(old, new):
     before = old.model_dump(mode="json") if old else {}
     after = new.model_dump(mode="json") if new else {}
     return {
         name: (before.get(name), after.get(name))
         for name in dict.fromkeys([*before, *after])
-        if name not in IGNORED and before.get(name) != after.get(name)
+        if name not in IGNORED_COLUMNS and before.get(name) != after.get(name)
     }
--- a/sassafrasdoor/tools/table_report.py
+++ b/sassafrasdoor/tools/table_report.py
@@ -13,10 +13,10 @@
 from sassafrasdoor.table.publisher import LostRace
 from sassafrasdoor.tools.status_view import status_grids, status_line
 
-DONE, REJECTED, NO_ANSWER, NOT_EVERYWHERE = 0, 1, 3, 4
+EXIT_DONE, EXIT_REJECTED, EXIT_UNAVAILABLE, EXIT_NOT_IN_FORCE = 0, 1, 3, 4
 PIPE_WIDTH = 200
-HASH_SHOWN = 8
-SHOWN = (
+HASH_PREFIX_LENGTH = 8
+ROW_COLUMNS = (
     "name",
     "kind",
     "service",
@@ -49,7 +49,7 @@
 
     def checked(self, table):
         """Say that a table is valid."""
-        self._say(
+        self._print_text(
             {"outcome": "valid", "rows": len(table.rows)},
             f"valid: {len(table.rows)} rows",
         )
@@ -64,8 +64,10 @@
             "weights": state.weights,
         }
         title = f"revision {state.revision} by {state.accepted.author or 'nobody'}"
-        grid = _grid(title, SHOWN, [[row[name] for name in SHOWN] for row in rows])
-        self._show(document, grid)
+        grid = _grid(
+            title, ROW_COLUMNS, [[row[name] for name in ROW_COLUMNS] for row in rows]
+        )
+        self._print_grid(document, grid)
 
     def changes(self, revision, changes):
         """Show what would change, with the shares before and after."""
@@ -74,10 +76,11 @@
             "changes": [change.as_document() for change in changes],
         }
         rows = [
-            [change.name, _cells(change.fields), *_shares(change)] for change in changes
+            [change.name, _describe_fields(change.fields), *_format_shares(change)]
+            for change in changes
         ]
-        heads = ("row", "cells", "share before", "share after")
-        self._show(document, _grid(f"against revision {revision}", heads, rows))
+        columns = ("row", "cells", "share before", "share after")
+        self._print_grid(document, _grid(f"against revision {revision}", columns, rows))
 
     def history(self, decisions):
         """Show decisions, newest last."""
@@ -92,72 +95,76 @@
             ]
             for decision in decisions
         ]
-        heads = ("offset", "author", "base", "decision", "findings")
-        self._show(document, _grid("proposals", heads, rows))
+        columns = ("offset", "author", "base", "decision", "findings")
+        self._print_grid(document, _grid("proposals", columns, rows))
 
-    def status(self, seen):
+    def status(self, status_page):
         """Show an instance's status page."""
-        self._show(
-            seen, Group(status_line(seen), *[_grid(*one) for one in status_grids(seen)])
+        self._print_grid(
+            status_page,
+            Group(
+                status_line(status_page),
+                *[_grid(*grid) for grid in status_grids(status_page)],
+            ),
         )
 
     def announced(self, model, version):
         """Say which version is the newest announced one."""
         document = {"outcome": "announced", "model": model, "version": version}
-        self._say(document, f"announced: version {version} of {model}")
+        self._print_text(document, f"announced: version {version} of {model}")
 
-    def published(self, decision, found):
+    def published(self, decision, coverage):
         """Say that a table was accepted and where it is in force; the exit code."""
         document = {"outcome": "accepted", "revision": decision.offset}
         text = f"accepted: revision {decision.offset}"
-        if not found:
-            document["reason"] = found.reason
-            self._say(document, f"{text}; {found.reason}")
-            return NOT_EVERYWHERE
+        if not coverage:
+            document["reason"] = coverage.reason
+            self._print_text(document, f"{text}; {coverage.reason}")
+            return EXIT_NOT_IN_FORCE
         document |= {
-            "in_force": found.count,
-            "instances": len(found.revisions),
-            "missing": found.missing,
+            "in_force": coverage.count,
+            "instances": len(coverage.revisions),
+            "missing": coverage.missing,
         }
-        text += f"; in force on {found.count} of {len(found.revisions)} instances"
-        if found.missing:
-            text += f"; not yet on {', '.join(found.missing)}"
-        self._say(document, text)
-        return DONE if found.everywhere else NOT_EVERYWHERE
+        text += f"; in force on {coverage.count} of {len(coverage.revisions)} instances"
+        if coverage.missing:
+            text += f"; not yet on {', '.join(coverage.missing)}"
+        self._print_text(document, text)
+        return EXIT_DONE if coverage.is_everywhere else EXIT_NOT_IN_FORCE
 
     @singledispatchmethod
     def outcome(self, outcome: Outcome):
         """Print an outcome and return the exit code."""
-        self._fail({"outcome": "unavailable", "reason": outcome.reason})
-        return NO_ANSWER
+        self._print_error({"outcome": "unavailable", "reason": outcome.reason})
+        return EXIT_UNAVAILABLE
 
     @outcome.register
     def _(self, outcome: ReplyLost):
         # It may still take effect: the operator looks before publishing again.
-        self._fail({"outcome": "unknown", "reason": outcome.reason})
-        return NO_ANSWER
+        self._print_error({"outcome": "unknown", "reason": outcome.reason})
+        return EXIT_UNAVAILABLE
 
     @outcome.register
     def _(self, outcome: Rejected):
-        self._fail(_rejection(outcome))
-        return REJECTED
+        self._print_error(_rejection(outcome))
+        return EXIT_REJECTED
 
     @outcome.register
     def _(self, outcome: LostRace):
         winner = {"winner": outcome.winner, "winner_author": outcome.winner_author}
-        self._fail(_rejection(outcome) | winner)
-        return REJECTED
+        self._print_error(_rejection(outcome) | winner)
+        return EXIT_REJECTED
 
-    def _show(self, document, grid):
+    def _print_grid(self, document, grid):
         if self._as_json:
             print(json.dumps(document))
         else:
             self._console.print(grid)
 
-    def _say(self, document, text):
+    def _print_text(self, document, text):
         print(json.dumps(document) if self._as_json else text)
 
-    def _fail(self, document):
+    def _print_error(self, document):
         if self._as_json:
             print(json.dumps(document))
             return
@@ -171,32 +178,33 @@
     return {"outcome": "rejected", "reason": outcome.reason, "findings": findings}
 
 
-def _grid(title, heads, rows):
-    grid = Grid(*heads, title=Text(title), box=box.SIMPLE, title_justify="left")
+def _grid(title, columns, rows):
+    grid = Grid(*columns, title=Text(title), box=box.SIMPLE, title_justify="left")
     for row in rows:
         # Cells are operators' text: square brackets in them are no markup.
         grid.add_row(*[Text(str(cell)) for cell in row])
     return grid
 
 
-def _cells(fields):
+def _describe_fields(fields):
     """Say what changes; of a row added or removed only what it holds."""
     added = all(old is None for old, _ in fields.values())
     removed = all(new is None for _, new in fields.values())
     if fields and (added or removed):
-        cells = (f"{name} {_short(pair[added])}" for name, pair in fields.items())
+        cells = (f"{name} {_cell_text(pair[added])}" for name, pair in fields.items())
         return f"{'new' if added else 'removed'} row: {', '.join(cells)}"
     return "; ".join(
-        f"{name}: {_short(old)} -> {_short(new)}" for name, (old, new) in fields.items()
+        f"{name}: {_cell_text(old)} -> {_cell_text(new)}"
+        for name, (old, new) in fields.items()
     )
 
 
-def _short(value):
+def _cell_text(value):
     """Return a cell's text; a key's hash by its first characters."""
     if isinstance(value, list):
-        return " ".join(f"{one[:HASH_SHOWN]}.." for one in value)
+        return " ".join(f"{item[:HASH_PREFIX_LENGTH]}.." for item in value)
     return str(value) or "-"
 
 
-def _shares(change):
+def _format_shares(change):
     return f"{change.old_share:.1%}", f"{change.new_share:.1%}"
--- a/sassafrasdoor/tools/tests/test_in_force.py
+++ b/sassafrasdoor/tools/tests/test_in_force.py
@@ -13,30 +13,32 @@
         rows = [{**row, "weight": weight} for row in TABLE["rows"]]
         document = {"rows": rows, "revision": base}
         sheet = cluster.processes.write_json("sheet.json", document)
-        given = ("--platform", cluster.platform_url, "--json", "apply", sheet)
-        tool = cluster.processes.start("table", *given, *options)
+        command = ("--platform", cluster.platform_url, "--json", "apply", sheet)
+        tool = cluster.processes.start("table", *command, *options)
         await until(lambda: tool.returncode is not None, what="tool to end")
         await until(lambda: tool.output, what="its output")
         return tool.returncode, json.loads(tool.output[-1])
 
-    async def test_it_says_on_how_many_instances_and_which_are_missing(self):
+    async def test_apply_reports_the_instances_without_the_revision(self):
         """Guards against an accepted table taken for one in force everywhere."""
         async with Cluster() as cluster:
             await cluster.start(instances=3, engines=1)
-            _, seen = await cluster.get(cluster.instances[0].address, "/v1/status")
-            code, first = await self.apply(cluster, seen["revision"], 2.0)
+            _, initial_status = await cluster.get(
+                cluster.instances[0].address, "/v1/status"
+            )
+            code, first = await self.apply(cluster, initial_status["revision"], 2.0)
             self.assertEqual((code, first["in_force"], first["missing"]), (0, 3, []))
-            stopped = cluster.instances[1]
-            stopped.freeze()
+            frozen = cluster.instances[1]
+            frozen.freeze()
             code, second = await self.apply(
                 cluster, first["revision"], 3.0, "--timeout", "8"
             )
             self.assertEqual((code, second["in_force"]), (4, 2))
-            self.assertEqual(second["missing"], [stopped.name])
-            stopped.thaw()
+            self.assertEqual(second["missing"], [frozen.name])
+            frozen.thaw()
 
             async def caught_up():
-                _, status = await cluster.get(stopped.address, "/v1/status")
+                _, status = await cluster.get(frozen.address, "/v1/status")
                 return status["revision"] == second["revision"]
 
             await until(caught_up, what="the woken instance")
--- a/sassafrasdoor/tools/tests/test_programs.py
+++ b/sassafrasdoor/tools/tests/test_programs.py
@@ -13,19 +13,19 @@
 from sassafrasdoor.support import ROOT
 
 TIMEOUT = 60
-USAGE = 2
+USAGE_ERROR = 2
 PROJECT = tomllib.loads((ROOT / "pyproject.toml").read_text("utf-8"))["project"]
 MODULES = [entry.partition(":")[0] for entry in PROJECT["scripts"].values()]
 PROGRAMS = {module.rpartition(".")[2]: module for module in sorted(MODULES)}
 DAEMONS = ("control", "entry")
 
-MISTAKES = {
+FAULTY_SETTINGS = {
     "instance": {"entry_port": 70_000, "nick": "x"},
     "lease": {"duration": -1},
     "membership": {"peer_keys": [""]},
     "tls": {"certificate": "/no/such/file", "private_key": "/no/such/file"},
 }
-PLACES = (
+FINDING_PLACES = (
     "instance.entry_port",
     "instance.nick",
     "lease.duration",
@@ -33,7 +33,7 @@
     "tls.certificate",
     "tls.private_key",
 )
-DEEP = "[" * 100_000
+DEEPLY_NESTED = "[" * 100_000
 
 # program, arguments ({name}: a file of FILES), what it says about the mistake.
 PROFILE = '{"duration": 1, "callers": [{"row": "r", "key": "k", "rate": 1}]}'
@@ -41,11 +41,11 @@
     "profile": PROFILE,
     "empty": "[]",
     "broken": "{",
-    "deep": DEEP,
+    "deep": DEEPLY_NESTED,
     "step": '["a prompt"]',
 }
 TRAINER = ("--address", "127.0.0.1:9", "--row", "trainer", "--key", "a-key")
-WRONG = [
+WRONG_USAGE = [
     *((name, ("--no-such-option",), "--no-such-option") for name in PROGRAMS),
     *((name, (), "--settings") for name in DAEMONS),
     *(
@@ -73,7 +73,7 @@
 
 def run(program, *arguments):
     """Run a program to its end; return ``(exit code, all output)``."""
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", PROGRAMS[program], *arguments],
         cwd=ROOT,
         stdin=subprocess.DEVNULL,
@@ -83,7 +83,7 @@
         timeout=TIMEOUT,
         env={"PATH": "", "TERM": "dumb", "COLUMNS": "200"},
     )
-    return done.returncode, done.stdout
+    return completed.returncode, completed.stdout
 
 
 def run_all(calls):
@@ -104,10 +104,10 @@
         return str(path)
 
     def test_help_and_version(self):
-        asked = [
+        calls = [
             (name, option) for name in PROGRAMS for option in ("--help", "--version")
         ]
-        for (name, option), (code, output) in zip(asked, run_all(asked), strict=True):
+        for (name, option), (code, output) in zip(calls, run_all(calls), strict=True):
             with self.subTest(program=name, option=option):
                 self.assertEqual(code, 0, output)
                 if option == "--version":
@@ -118,33 +118,38 @@
                     self.assertIn("--settings", output)
                     self.assertIn("--check", output)
 
-    def test_all_mistakes_of_a_settings_file_at_once(self):
+    def test_all_faults_of_a_settings_file_are_reported_together(self):
         """Guards against a check of settings that stops at its first finding."""
-        wrong = self.write("wrong", json.dumps(MISTAKES))
-        right = self.write("right", "{}")
-        asked = [
+        faulty_path = self.write("wrong", json.dumps(FAULTY_SETTINGS))
+        valid_path = self.write("right", "{}")
+        calls = [
             (name, "--settings", path, *check)
             for name in DAEMONS
-            for path in (wrong, right)
+            for path in (faulty_path, valid_path)
             for check in (("--check",), ())
-            if check or path == wrong
+            if check or path == faulty_path
         ]
-        for call, (code, output) in zip(asked, run_all(asked), strict=True):
+        for call, (code, output) in zip(calls, run_all(calls), strict=True):
             with self.subTest(call=call):
                 self.assertNotIn("Traceback", output)
-                self.assertEqual(code, USAGE if wrong in call else 0, output)
-                for place in PLACES if wrong in call else ():
+                self.assertEqual(
+                    code, USAGE_ERROR if faulty_path in call else 0, output
+                )
+                for place in FINDING_PLACES if faulty_path in call else ():
                     self.assertIn(f"{place}:", output)
 
-    def test_wrong_usage(self):
+    def test_usage_errors(self):
         """Guards against a traceback for a wrong command line."""
         paths = {name: self.write(name, text) for name, text in FILES.items()}
-        asked = [
-            (name, *(paths.get(one.strip("{}"), one) for one in arguments))
-            for name, arguments, _ in WRONG
+        calls = [
+            (
+                name,
+                *(paths.get(argument.strip("{}"), argument) for argument in arguments),
+            )
+            for name, arguments, _ in WRONG_USAGE
         ]
-        for case, (code, output) in zip(WRONG, run_all(asked), strict=True):
+        for case, (code, output) in zip(WRONG_USAGE, run_all(calls), strict=True):
             with self.subTest(program=case[0], arguments=case[1]):
                 self.assertNotIn("Traceback", output)
-                self.assertEqual(code, USAGE, output)
+                self.assertEqual(code, USAGE_ERROR, output)
                 self.assertIn(case[2], output)
--- a/sassafrasdoor/tools/tests/test_race.py
+++ b/sassafrasdoor/tools/tests/test_race.py
@@ -13,8 +13,8 @@
 from sassafrasdoor.table.publisher import propose
 from sassafrasdoor.table.tests.test_accepted import table
 
-OPERATORS = 5
-PATIENCE = 30
+OPERATOR_COUNT = 5
+TIMEOUT = 30
 
 
 class PlatformCase(unittest.IsolatedAsyncioTestCase):
@@ -41,43 +41,43 @@
             if record["body"]["kind"] == kind
         ]
 
-    def operator(self, name, weight, base):
+    def start_apply(self, name, weight, base):
         """Start one who publishes; return its process."""
         document = {**table(weight), "revision": base}
         sheet = self.processes.write_json(f"{name}.json", document)
         options = ("--platform", self.url, "--json")
         return self.processes.start("table", *options, "apply", sheet, "--author", name)
 
-    async def ended(self, process):
+    async def result_of(self, process):
         """Wait for a tool; return its exit code and what it printed."""
         await until(lambda: process.returncode is not None, what="tool to end")
         await until(lambda: process.output, what="its output")
         return process.returncode, json.loads(process.output[-1])
 
 
-class OperatorsTest(PlatformCase):
-    async def test_one_of_many_on_one_base_wins_and_the_rest_learn_whose(self):
+class ConcurrentOperatorsTest(PlatformCase):
+    async def test_one_of_many_proposals_on_one_base_is_accepted(self):
         """Guards against two accepted proposals on one base."""
         self.faults(lose_reply=1)
-        tools = [self.operator(f"op-{n}", n + 1.0, 0) for n in range(OPERATORS)]
-        results = [await self.ended(tool) for tool in tools]
-        won = [document for code, document in results if code == 0]
-        self.assertEqual(len(won), 1, results)
-        winner = min(one["offset"] for one in self.records("proposal"))
-        self.assertEqual(won[0]["revision"], winner)
+        tools = [self.start_apply(f"op-{n}", n + 1.0, 0) for n in range(OPERATOR_COUNT)]
+        results = [await self.result_of(tool) for tool in tools]
+        accepted = [document for code, document in results if code == 0]
+        self.assertEqual(len(accepted), 1, results)
+        winner = min(record["offset"] for record in self.records("proposal"))
+        self.assertEqual(accepted[0]["revision"], winner)
         for code, document in results:
             if code:
                 self.assertEqual((code, document["winner"]), (1, winner))
                 self.assertTrue(document["winner_author"].startswith("op-"))
 
-    async def test_an_outage_right_after_an_append_whose_reply_was_lost(self):
+    async def test_outage_after_an_append_with_a_lost_reply(self):
         """Guards against an unreachable log taken for a failed proposal."""
         self.faults(lose_reply=1, then_down=True)
-        tool = self.operator("anna", 1.0, 0)
+        tool = self.start_apply("anna", 1.0, 0)
         await until(lambda: self.records("proposal"), what="the append")
         self.assertIsNone(tool.returncode)
         self.faults(down=False)
-        code, document = await self.ended(tool)
+        code, document = await self.result_of(tool)
         self.assertEqual((code, document["outcome"]), (0, "accepted"))
         self.assertEqual(len(self.records("proposal")), 1)
 
@@ -87,31 +87,33 @@
         return Follower(self.settings, self.log, agreed.fold, agreed.Agreed())
 
     async def caught_up(self, follower):
-        self.assertTrue(await follower.catch_up(deadline_in(PATIENCE)))
+        self.assertTrue(await follower.catch_up(deadline_in(TIMEOUT)))
         return follower
 
     async def publish(self, base, weight):
         decision = await propose(
-            self.settings, self.log, table(weight), base, "anna", deadline_in(PATIENCE)
+            self.settings, self.log, table(weight), base, "anna", deadline_in(TIMEOUT)
         )
         self.assertTrue(decision)
         return decision.offset
 
-    async def test_expiry_under_a_slow_reader_and_a_checkpoint_that_comes_late(self):
+    async def test_expiry_with_a_slow_reader_and_a_late_checkpoint(self):
         """Guards against reading on over a gap, or from an outdated checkpoint."""
-        first = await self.publish(0, 1.0)
-        slow = await self.caught_up(self.follower())
-        held = checkpoints.body(slow.state, slow.as_of)
-        third = await self.publish(await self.publish(first, 2.0), 3.0)
-        awake = await self.caught_up(self.follower())
-        newer = checkpoints.body(awake.state, awake.as_of)
-        await self.log.append(self.stream, newer)
-        await self.log.append(self.stream, held)
+        first_revision = await self.publish(0, 1.0)
+        slow_reader = await self.caught_up(self.follower())
+        outdated_checkpoint = checkpoints.body(slow_reader.state, slow_reader.as_of)
+        third_revision = await self.publish(
+            await self.publish(first_revision, 2.0), 3.0
+        )
+        current_reader = await self.caught_up(self.follower())
+        newer_checkpoint = checkpoints.body(current_reader.state, current_reader.as_of)
+        await self.log.append(self.stream, newer_checkpoint)
+        await self.log.append(self.stream, outdated_checkpoint)
         self.faults(retain=2)
-        self.assertFalse(await self.log.read(self.stream, slow.as_of, 1, 0))
-        for name, reader in (("slow", slow), ("new", self.follower())):
+        self.assertFalse(await self.log.read(self.stream, slow_reader.as_of, 1, 0))
+        for name, reader in (("slow", slow_reader), ("new", self.follower())):
             with self.subTest(name):
                 await self.caught_up(reader)
-                self.assertEqual(reader.state.revision, third)
-                document = awake.state.as_document()
+                self.assertEqual(reader.state.revision, third_revision)
+                document = current_reader.state.as_document()
                 self.assertEqual(reader.state.as_document(), document)
--- a/sassafrasdoor/tools/tests/test_table.py
+++ b/sassafrasdoor/tools/tests/test_table.py
@@ -23,7 +23,7 @@
 
 
 class SheetsTest(unittest.TestCase):
-    def test_both_forms_give_back_the_same_table(self):
+    def test_both_formats_restore_the_same_table(self):
         before = table_from(sheets.from_csv(SHEET).document)
         self.assertEqual(before.rows[0].limit, 1.0)
         for parse, text in (
@@ -34,7 +34,7 @@
             self.assertEqual(sheet.revision, 7)
             self.assertEqual(table_from(sheet.document), before)
 
-    def test_bad_sheets_say_where(self):
+    def test_invalid_sheets_report_the_place(self):
         cases = [
             (sheets.from_json, "{", "(root)"),
             (sheets.from_json, "[]", "(root)"),
@@ -49,7 +49,7 @@
 
 
 class ChangesTest(unittest.TestCase):
-    def test_a_row_whose_share_moves_is_a_change(self):
+    def test_row_with_a_changed_share_is_a_change(self):
         new = table_from(sheets.from_csv(SHEET).document)
         old = new.model_copy(update={"rows": new.rows[:1]})
         found = {change.name: change for change in changes(old, new)}
@@ -61,7 +61,7 @@
         self.assertEqual(changes(new, new), [])
 
 
-class Status(http.server.BaseHTTPRequestHandler):
+class StatusHandler(http.server.BaseHTTPRequestHandler):
     """An instance that only says which revision it uses."""
 
     def do_GET(self):
@@ -87,7 +87,7 @@
     def write(self, document, name="sheet.json"):
         return self.processes.write_json(name, document)
 
-    def tool(self, *arguments):
+    def run_tool(self, *arguments):
         """Run the tool; return its exit code and the JSON that it printed."""
         command = ["--platform", self.url, "--json", *map(str, arguments)]
         result = CliRunner().invoke(app, command)
@@ -102,9 +102,9 @@
         with urllib.request.urlopen(request, timeout=20) as response:
             return json.loads(response.read())
 
-    def instance(self, name, revision):
+    def serve_instance(self, name, revision):
         """Serve an instance and register it."""
-        server = http.server.ThreadingHTTPServer(("127.0.0.1", 0), Status)
+        server = http.server.ThreadingHTTPServer(("127.0.0.1", 0), StatusHandler)
         server.revision = revision
         threading.Thread(target=server.serve_forever, daemon=True).start()
         self.addCleanup(server.server_close)
@@ -113,8 +113,8 @@
         self.call("PUT", f"/instances/{name}", {"kind": "entry", "address": address})
         return server
 
-    def test_an_edit_from_show_to_in_force(self):
-        code, first = self.tool("apply", self.sheet, "--author", "anna")
+    def test_edit_from_show_to_in_force(self):
+        code, first = self.run_tool("apply", self.sheet, "--author", "anna")
         self.assertEqual((code, first["outcome"]), (0, "accepted"))
         path = pathlib.Path(self.sheet).with_name("edited.csv")
         result = CliRunner().invoke(
@@ -122,33 +122,33 @@
         )
         self.assertEqual(result.exit_code, 0)
         path.write_text(path.read_text().replace(",1.0,", ",2.0,", 1))
-        code, found = self.tool("diff", path)
+        code, found = self.run_tool("diff", path)
         self.assertEqual(found["changes"][0]["fields"], {"weight": [1.0, 2.0]})
-        code, second = self.tool("apply", path)
+        code, second = self.run_tool("apply", path)
         self.assertEqual(code, 0)
         self.assertGreater(second["revision"], first["revision"])
-        self.assertEqual(self.tool("show")[1]["rows"][0]["weight"], 2.0)
+        self.assertEqual(self.run_tool("show")[1]["rows"][0]["weight"], 2.0)
 
-    def test_the_slower_of_two_operators_is_told_who_was_first(self):
+    def test_second_of_two_operators_is_rejected_with_the_winner(self):
         """Guards against publishing onto a revision that was not edited."""
-        first = self.tool("apply", self.sheet)[1]["revision"]
-        mine = self.write({**table(2.0), "revision": first}, "mine.json")
-        theirs = self.write({**table(3.0), "revision": first}, "theirs.json")
-        won = self.tool("apply", theirs, "--author", "ben")[1]
-        code, lost = self.tool("apply", mine, "--author", "anna")
-        self.assertEqual((code, lost["outcome"]), (1, "rejected"))
-        self.assertEqual(lost["winner"], won["revision"])
-        self.assertEqual(lost["winner_author"], "ben")
-        self.assertEqual(self.tool("show")[1]["rows"][0]["weight"], 3.0)
-        unsaid, rejected = self.tool("apply", self.sheet)
-        self.assertEqual((unsaid, rejected["findings"][0]["place"]), (1, "revision"))
-
-    def test_in_force_counts_the_instances_that_say_so(self):
-        self.instance("one", 10**9)
-        self.instance("two", 0)
-        code, done = self.tool("apply", self.sheet, "--timeout", 1)
-        self.assertEqual((code, done["in_force"], done["instances"]), (4, 1, 2))
-        self.assertEqual(done["missing"], ["two"])
+        base = self.run_tool("apply", self.sheet)[1]["revision"]
+        second = self.write({**table(2.0), "revision": base}, "mine.json")
+        first = self.write({**table(3.0), "revision": base}, "theirs.json")
+        accepted = self.run_tool("apply", first, "--author", "ben")[1]
+        code, rejected = self.run_tool("apply", second, "--author", "anna")
+        self.assertEqual((code, rejected["outcome"]), (1, "rejected"))
+        self.assertEqual(rejected["winner"], accepted["revision"])
+        self.assertEqual(rejected["winner_author"], "ben")
+        self.assertEqual(self.run_tool("show")[1]["rows"][0]["weight"], 3.0)
+        code, rejected = self.run_tool("apply", self.sheet)
+        self.assertEqual((code, rejected["findings"][0]["place"]), (1, "revision"))
+
+    def test_in_force_counts_the_instances_with_the_revision(self):
+        self.serve_instance("one", 10**9)
+        self.serve_instance("two", 0)
+        code, result = self.run_tool("apply", self.sheet, "--timeout", 1)
+        self.assertEqual((code, result["in_force"], result["instances"]), (4, 1, 2))
+        self.assertEqual(result["missing"], ["two"])
 
     def test_exit_codes(self):
         bad = self.write(table(-1.0), "bad.json")
@@ -168,25 +168,25 @@
             with self.subTest(arguments):
                 down = code == 3
                 self.call("POST", "/standin/faults", {"down": down})
-                found, document = self.tool(*arguments)
+                found, document = self.run_tool(*arguments)
                 self.assertEqual(found, code)
                 self.assertEqual(document and document["outcome"], outcome)
 
-    def test_a_lost_reply_publishes_once(self):
+    def test_lost_reply_publishes_once(self):
         self.call("POST", "/standin/faults", {"lose_reply": 1})
-        code, done = self.tool("apply", self.sheet)
-        self.assertEqual((code, done["outcome"]), (0, "accepted"))
+        code, result = self.run_tool("apply", self.sheet)
+        self.assertEqual((code, result["outcome"]), (0, "accepted"))
         with urllib.request.urlopen(self.url + "/standin/truth") as response:
             records = json.loads(response.read())["streams"]["agreed"]
         self.assertEqual(len(records), 1)
 
-    def test_history_names_every_decision(self):
-        self.tool("apply", self.sheet, "--author", "anna")
-        decisions = self.tool("history")[1]["decisions"]
-        self.assertEqual([one["author"] for one in decisions], ["anna"])
+    def test_history_lists_every_decision(self):
+        self.run_tool("apply", self.sheet, "--author", "anna")
+        decisions = self.run_tool("history")[1]["decisions"]
+        self.assertEqual([decision["author"] for decision in decisions], ["anna"])
 
-    def test_people_get_tables_and_findings_with_places(self):
-        self.tool("apply", self.sheet, "--author", "[anna]")
+    def test_text_output_has_tables_and_findings(self):
+        self.run_tool("apply", self.sheet, "--author", "[anna]")
         shown = CliRunner().invoke(app, ["--platform", self.url, "show"])
         self.assertIn("boards", shown.stdout)
         self.assertIn("by [anna]", shown.stdout)
--- a/sassafrasdoor/tools/timeline.py
+++ b/sassafrasdoor/tools/timeline.py
@@ -16,7 +16,7 @@
 from sassafrasdoor.timeline.sources import ControlSource, EntrySource
 from sassafrasdoor.tools.options import USAGE_ERROR, CaFileOption, VersionOption, read
 
-INCOMPLETE = 1
+INCOMPLETE_EXIT_CODE = 1
 STANDARD_INPUT = "-"
 
 app = typer.Typer(add_completion=True)
@@ -74,36 +74,36 @@
     for name, reason in unavailable.items():
         typer.echo(f"not read: {name}: {reason}", err=True)
     if unavailable:
-        raise typer.Exit(INCOMPLETE)
+        raise typer.Exit(INCOMPLETE_EXIT_CODE)
 
 
-def _show_lines(paths, wanted, kind):
+def _show_lines(paths, wanted_id, kind):
     """Print the log lines that name an id, over all files, in order of time."""
-    for line in select(_texts(paths), wanted, kind):
+    for line in select(_read_lines(paths), wanted_id, kind):
         typer.echo(str(line))
 
 
 def _show_reasons(paths, ids):
     """Print for each id the line with its reason, and how many have none."""
-    found = reasons(_texts(paths), ids)
-    for one, line in found.items():
-        typer.echo(f"{one}: {line or 'no line with a reason'}")
-    unexplained = sum(line is None for line in found.values())
-    typer.echo(f"{unexplained} of {len(found)} without a reason")
+    reason_lines = reasons(_read_lines(paths), ids)
+    for event_id, line in reason_lines.items():
+        typer.echo(f"{event_id}: {line or 'no line with a reason'}")
+    unexplained = sum(line is None for line in reason_lines.values())
+    typer.echo(f"{unexplained} of {len(reason_lines)} without a reason")
     if unexplained:
-        raise typer.Exit(INCOMPLETE)
+        raise typer.Exit(INCOMPLETE_EXIT_CODE)
 
 
-def _texts(paths):
+def _read_lines(paths):
     """Return the lines of all files."""
-    texts = []
+    log_lines = []
     for path in paths:
         if path == STANDARD_INPUT:
-            texts.extend(sys.stdin)
+            log_lines.extend(sys.stdin)
         else:
             text = pathlib.Path(path).read_text("utf-8", errors="replace")
-            texts.extend(text.splitlines())
-    return texts
+            log_lines.extend(text.splitlines())
+    return log_lines
 
 
 async def _run(settings, entries, controls, discover, keep, write, follow, trace):
@@ -112,7 +112,10 @@
         if discover:
             entries, controls, missing = await _discovered(settings, entries, controls)
         collector = Collector(
-            [EntrySource(one, ca_file=settings.tls.trusted) for one in entries]
+            [
+                EntrySource(address, ca_file=settings.tls.trusted_ca_file)
+                for address in entries
+            ]
             + [ControlSource(settings, address) for address in controls]
         )
         try:
@@ -128,9 +131,14 @@
     instances.close()
     if not listing:
         return entries, controls, {"instance list": listing.reason}
-    entries = [*entries, *(m.entry_address for m in listing.members if m.entry_address)]
-    found = (m.control_address for m in listing.members if m.control_address)
-    return entries, [*controls, *found], {}
+    entries = [
+        *entries,
+        *(member.entry_address for member in listing.members if member.entry_address),
+    ]
+    control_addresses = (
+        member.control_address for member in listing.members if member.control_address
+    )
+    return entries, [*controls, *control_addresses], {}
 
 
 async def _show(collector, keep, write, follow, trace):
--- a/sassafrasdoor/tools/trainer.py
+++ b/sassafrasdoor/tools/trainer.py
@@ -13,8 +13,8 @@
 from sassafrasdoor.steps.spec import StepSpec, checked
 from sassafrasdoor.tools.options import USAGE_ERROR, CaFileOption, VersionOption
 
-MAX_PROMPTS_FILE = 64_000_000
-LONGEST_DEADLINE = 24 * 3600
+MAX_PROMPTS_CHARS = 64_000_000
+MAX_DEADLINE = 24 * 3600
 
 app = typer.Typer(add_completion=False)
 
@@ -43,11 +43,11 @@
 
     Exit codes: 0 all samples came, 1 the step ended early, 2 usage.
     """
-    if not 0 < deadline <= LONGEST_DEADLINE:
-        raise typer.BadParameter(f"--deadline: not within 0..{LONGEST_DEADLINE}")
+    if not 0 < deadline <= MAX_DEADLINE:
+        raise typer.BadParameter(f"--deadline: not within 0..{MAX_DEADLINE}")
     document = {
         "step": step,
-        "groups": [_group(one) for one in _read(prompts)],
+        "groups": [_group(entry) for entry in _read(prompts)],
         "samples_per_group": samples,
         "max_tokens": max_tokens,
         "deadline_ms": int(deadline * 1000),
@@ -56,37 +56,37 @@
     _check(document)
     trainer = {"row": row, "key": key, "zone": zone, "ca_file": ca_file}
     trainer["newest_version"] = newest_version
-    done, lines = asyncio.run(_collect(address, trainer, document))
+    finished_step, lines = asyncio.run(_collect(address, trainer, document))
     if output:
         pathlib.Path(output).write_text("".join(lines), "utf-8")
-    _print(done, as_json)
-    raise typer.Exit(0 if done.complete else 1)
+    _print(finished_step, as_json)
+    raise typer.Exit(0 if finished_step.complete else 1)
 
 
 def _read(path):
     try:
         with open(path, encoding="utf-8") as file:
-            found = json.loads(file.read(MAX_PROMPTS_FILE))
+            entries = json.loads(file.read(MAX_PROMPTS_CHARS))
     except (OSError, ValueError, RecursionError) as error:
         raise typer.BadParameter(f"{path}: {error}") from error
-    if not isinstance(found, list) or not all(map(_is_group, found)):
+    if not isinstance(entries, list) or not all(map(_is_group, entries)):
         raise typer.BadParameter(f"{path}: not a list of strings or objects")
-    return found
+    return entries
 
 
-def _is_group(one):
-    return isinstance(one, (str, dict))
+def _is_group(entry):
+    return isinstance(entry, (str, dict))
 
 
-def _group(one):
+def _group(entry):
     """Return the group of an entry: its prompt alone, or with its reward call."""
-    return {"prompt": one} if isinstance(one, str) else one
+    return {"prompt": entry} if isinstance(entry, str) else entry
 
 
 def _check(document):
-    found = checked(StepSpec, json.dumps({**document, "attach": 1}))
-    if not found:
-        for finding in found.findings:
+    spec = checked(StepSpec, json.dumps({**document, "attach": 1}))
+    if not spec:
+        for finding in spec.findings:
             typer.echo(str(finding), err=True)
         raise typer.Exit(USAGE_ERROR)
 
