--- a/sassafrasdoor/tests/test_fuzz.py
+++ b/sassafrasdoor/tests/test_fuzz.py
@@ -28,9 +28,9 @@
 
 # What ``json.loads`` can give: lone surrogates and infinities included.
 TEXT = st.text(st.characters(exclude_categories=()), max_size=12)
-EXTREME_VALUES = [10**30, 2**64 - 1, 0, -1, 1e999, "\ud800", "", "x" * 5000, {}, []]
+EXTREMES = [10**30, 2**64 - 1, 0, -1, 1e999, "\ud800", "", "x" * 5000, {}, []]
 SCALARS = st.none() | st.booleans() | st.integers() | st.floats() | TEXT
-SCALARS |= st.sampled_from(EXTREME_VALUES)
+SCALARS |= st.sampled_from(EXTREMES)
 JSON = st.recursive(
     SCALARS,
     lambda inner: (
@@ -39,7 +39,7 @@
     max_leaves=6,
 )
 
-VALUES = JSON | st.sampled_from(EXTREME_VALUES)
+VALUES = JSON | st.sampled_from(EXTREMES)
 NAMES = TEXT | st.sampled_from(["\ud800", "x" * 5000])
 
 
@@ -55,19 +55,19 @@
 
 
 @st.composite
-def mutated(draw, document):
+def nearly(draw, document):
     """``document`` with some values replaced, left out or put in."""
-    root = {"": copy.deepcopy(document)}
+    whole = {"": copy.deepcopy(document)}
     for _ in range(draw(st.integers(1, 2))):
-        *parents, last = draw(st.sampled_from(list(paths_in(root))[1:]))
-        container = root
+        *parents, last = draw(st.sampled_from(list(paths_in(whole))[1:]))
+        place = whole
         for name in parents:
-            container = container[name]
-        if isinstance(container, dict) and last and draw(st.booleans()):
-            container[draw(NAMES)] = container.pop(last)
+            place = place[name]
+        if isinstance(place, dict) and last and draw(st.booleans()):
+            place[draw(NAMES)] = place.pop(last)
         else:
-            container[last] = draw(VALUES)
-    return root[""]
+            place[last] = draw(VALUES)
+    return whole[""]
 
 
 def bytes_of(document):
@@ -114,7 +114,7 @@
 
 STATE = accepted_state()
 CHECKPOINT = {"kind": "checkpoint", "as_of": 4, "state": STATE.as_document()}
-LEASE = CHECKPOINT["state"]["leases"]["weights"]
+A_LEASE = CHECKPOINT["state"]["leases"]["weights"]
 
 
 def checkpoint_with(part, name, value):
@@ -123,7 +123,7 @@
     return {**CHECKPOINT, "state": state}
 
 
-RECORDS = st.one_of(JSON, *map(mutated, (PROPOSAL, CLAIM, WEIGHTS, CHECKPOINT)))
+RECORDS = st.one_of(JSON, *map(nearly, (PROPOSAL, CLAIM, WEIGHTS, CHECKPOINT)))
 
 
 class InputTest(unittest.TestCase):
@@ -138,17 +138,17 @@
             self.assertLess(len(str(finding).encode()), 1000)
 
     @fuzzed
-    @given(JSON | mutated(settings.DEFAULT))
+    @given(JSON | nearly(settings.DEFAULT))
     @example({"lease": {"duration": 1e999}})
     @example({"\ud800": {}})
     def test_settings(self, document):
-        result = settings.from_document(document)
-        self.check(result, settings.Settings)
-        if result:
-            json.dumps(result.model_dump(mode="json"), allow_nan=False)
+        read = settings.from_document(document)
+        self.check(read, settings.Settings)
+        if read:
+            json.dumps(read.model_dump(mode="json"), allow_nan=False)
 
     @fuzzed
-    @given(JSON | mutated(TABLE))
+    @given(JSON | nearly(TABLE))
     def test_table(self, document):
         self.check(table_from(document), Table)
 
@@ -158,7 +158,7 @@
         st.one_of(
             TEXT,
             st.text("#revisonam,\n\"'19 \0\r", max_size=60),
-            mutated({"revision": 3, **TABLE}).map(json.dumps),
+            nearly({"revision": 3, **TABLE}).map(json.dumps),
             st.sampled_from(
                 ["[" * 100_000, "# revision " + "9" * 5000, "9" * 5000, "a\n" * 5000]
             ),
@@ -175,8 +175,8 @@
         st.sampled_from([StepSpec, FetchSpec]),
         st.binary(max_size=40)
         | JSON.map(bytes_of)
-        | mutated(STEP).map(bytes_of)
-        | mutated(FETCH).map(bytes_of),
+        | nearly(STEP).map(bytes_of)
+        | nearly(FETCH).map(bytes_of),
     )
     def test_step(self, model, body):
         spec = checked(model, body)
@@ -193,12 +193,12 @@
             self.assertEqual(token.encode(), text)
 
     @fuzzed
-    @given(st.binary(max_size=40) | JSON.map(bytes_of) | mutated(PROMPT).map(bytes_of))
+    @given(st.binary(max_size=40) | JSON.map(bytes_of) | nearly(PROMPT).map(bytes_of))
     def test_generate_body(self, body):
-        result = reading.generate_body(body)
-        self.check(result, reading.GenerateBody)
-        if result:
-            self.assertTrue(result.model_dump_json().encode())
+        read = reading.generate_body(body)
+        self.check(read, reading.GenerateBody)
+        if read:
+            self.assertTrue(read.model_dump_json().encode())
 
     @fuzzed
     @given(
@@ -212,11 +212,11 @@
         http = SimpleNamespace(method="GET", headers=HTTPHeaders(headers))
         row = SimpleNamespace(name="r", repeatable=True)
         options = settings.from_document({})
-        result = reading.request_from(options, row, http, b"", path="/")
-        self.check(result, reading.Request)
+        read = reading.request_from(options, row, http, b"", path="/")
+        self.check(read, reading.Request)
 
     @fuzzed
-    @given(JSON | mutated(EVENT))
+    @given(JSON | nearly(EVENT))
     def test_event(self, document):
         try:
             event = event_from(document)
@@ -225,22 +225,17 @@
         self.assertIsInstance(event.stamp, int)
 
     @fuzzed
-    @given(st.lists(JSON | mutated(BACKEND) | mutated(ENTRY), max_size=4))
+    @given(st.lists(JSON | nearly(BACKEND) | nearly(ENTRY), max_size=4))
     @example([{**BACKEND, "capacity": 1e999}, {**BACKEND, "capacity": 10**30}])
     def test_instance_list(self, documents):
         """What is taken can be told to the entry and asked for by name."""
         listing = listing_from([*documents, BACKEND, ENTRY])
         self.assertTrue(listing.backends and listing.members)
         control_messages.SCHEMA.Update.new_message(
-            members=[
-                control_messages.member_message(member) for member in listing.members
-            ],
-            backends=[
-                control_messages.backend_message(backend)
-                for backend in listing.backends
-            ],
+            members=[control_messages.member_message(one) for one in listing.members],
+            backends=[control_messages.backend_message(b) for b in listing.backends],
         ).to_bytes()
-        self.assertTrue({member.name for member in listing.members})
+        self.assertTrue({one.name for one in listing.members})
 
 
 class FoldTest(unittest.TestCase):
@@ -250,10 +245,10 @@
     @example([{**WEIGHTS, "model": "\ud800"}], True)
     @example([{**WEIGHTS, "version": 1}], False)
     @example([{**PROPOSAL, "id": "late"}], False)
-    def test_fold(self, bodies, starts_empty):
+    def test_fold(self, bodies, fresh):
         """Every record is folded; the table in force never goes back."""
-        state = Agreed() if starts_empty else STATE
-        for offset, body in enumerate(bodies, 0 if starts_empty else 4):
+        state = Agreed() if fresh else STATE
+        for offset, body in enumerate(bodies, 0 if fresh else 4):
             after = fold(state, Record(offset, body))
             self.assertGreaterEqual(after.revision, state.revision)
             if after.revision != state.revision:
@@ -264,27 +259,27 @@
                 self.assertGreaterEqual(after.leases[name].epoch, lease.epoch)
             state = after
         text = json.dumps(state.as_document())
-        restored = Agreed.from_document(json.loads(text))
-        self.assertEqual(json.dumps(restored.as_document()), text)
+        again = Agreed.from_document(json.loads(text))
+        self.assertEqual(json.dumps(again.as_document()), text)
         control_messages.SCHEMA.Update.new_message(
             weights=control_messages.weights_messages(state.weights)
         ).to_bytes()
 
     @fuzzed
-    @given(JSON | mutated(CHECKPOINT))
+    @given(JSON | nearly(CHECKPOINT))
     @example(checkpoint_with("weights", "m", 1e999))
     @example(checkpoint_with("accepted", "revision", "x"))
     @example(checkpoint_with("accepted", "revision", None))
-    @example(checkpoint_with("leases", "weights", {**LEASE, "epoch": None}))
+    @example(checkpoint_with("leases", "weights", {**A_LEASE, "epoch": None}))
     def test_checkpoint(self, body):
         """A checkpoint that is taken can be gone on from."""
-        checkpoint = checkpoints.decode(Record(9, body), Agreed)
-        if checkpoint is None:
+        found = checkpoints.decode(Record(9, body), Agreed)
+        if found is None:
             return
-        state = checkpoint.state
+        state = found.state
         for offset, record in enumerate((PROPOSAL, CLAIM, WEIGHTS), 10):
             state = fold(state, Record(offset, record))
-        self.assertGreaterEqual(state.revision, checkpoint.state.revision)
+        self.assertGreaterEqual(state.revision, found.state.revision)
         for name, lease in state.leases.items():
-            self.assertGreaterEqual(lease.epoch, checkpoint.state.leases[name].epoch)
+            self.assertGreaterEqual(lease.epoch, found.state.leases[name].epoch)
         json.dumps(state.as_document()).encode()
