--- a/sassafrasdoor/budget.py
+++ b/sassafrasdoor/budget.py
@@ -1,12 +1,12 @@
-"""Repeats as a share of first tries.
+"""Limits retries to a share of the first attempts.
 
-Load pattern: a server slows down for everybody. Each call that is sent a second time
-adds to its load, so that it stays slow after the cause has gone.
+Load pattern: a server slows down for all callers. Each retry adds to its load and
+keeps it slow after the cause has gone.
 """
 
 
 class Budget:
-    """Allows ``burst`` repeats at once, and ``share`` of the first tries over time."""
+    """Allows ``burst`` retries at once and ``share`` per first attempt over time."""
 
     __slots__ = ("_burst", "_tokens", "_share")
 
@@ -16,11 +16,11 @@
         self._tokens = burst
 
     def record_attempt(self):
-        """Count a first try."""
+        """Count a first attempt."""
         self._tokens = min(self._burst, self._tokens + self._share)
 
     def take(self):
-        """Say whether one more repeat is allowed, and count it."""
+        """Return whether another retry is allowed, and count it."""
         if self._tokens < 1:
             return False
         self._tokens -= 1
--- a/sassafrasdoor/clock.py
+++ b/sassafrasdoor/clock.py
@@ -1,4 +1,4 @@
-"""Points in time: monotonic deadlines, pauses of the process, hybrid clock."""
+"""Monotonic deadlines, detection of process pauses, and a hybrid logical clock."""
 
 import time
 
@@ -7,16 +7,16 @@
 
 
 def boot_now():
-    """Return the seconds since boot, those of a suspended machine included.
+    """Return the seconds since boot, including those of a suspended machine.
 
-    The monotonic clock stands still while a machine is suspended; a lease judged by
-    it would be held by one who slept through its end.
+    The monotonic clock stops while a machine is suspended; judged by it, a lease
+    that ended during the suspension would still be held afterwards.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 def deadline_in(seconds):
-    """Return the point on the monotonic clock that many seconds from now."""
+    """Return the monotonic time ``seconds`` from now."""
     return now() + seconds
 
 
@@ -26,17 +26,17 @@
 
 
 def passed(deadline):
-    """Say whether ``deadline`` lies behind us."""
+    """Return whether ``deadline`` has passed."""
     return now() >= deadline
 
 
 class PauseDetector:
-    """Notices that this process did not run for a while.
+    """Detects that this process did not run for a while.
 
-    A process that was stopped and continued believes its leases, its view of
-    the members and its load reports to be current. One would notice by two
-    holders acting at once. Ticks that lie further apart than ``limit`` seconds
-    reveal the pause; until ``refreshed`` is called nothing may be trusted.
+    A process that was stopped and continued takes its leases, its view of the
+    members and its load reports for current, so two holders could act at once.
+    A gap of more than ``limit`` seconds between ticks reveals the pause; until
+    ``clear_pause()`` is called none of this state may be trusted.
     """
 
     __slots__ = ("_last_tick", "_limit", "_paused")
@@ -48,12 +48,12 @@
 
     @property
     def paused(self):
-        """Whether a pause was seen and nothing was refreshed since."""
+        """Whether a pause was detected and not cleared since."""
         self.tick()
         return self._paused
 
     def tick(self):
-        """Record that the process runs; return whether a gap lies behind it."""
+        """Record that the process runs; return whether there is an uncleared pause."""
         current = now()
         if current - self._last_tick > self._limit:
             self._paused = True
@@ -61,7 +61,7 @@
         return self._paused
 
     def clear_pause(self):
-        """Trust what is known again: it was read anew after the pause."""
+        """Clear the pause, after the state has been read again."""
         self._last_tick = now()
         self._paused = False
 
@@ -69,8 +69,8 @@
 class HybridClock:
     """A hybrid logical clock: wall milliseconds plus a counter, as one integer.
 
-    Stamps of causally related events order correctly on all processes although
-    their wall clocks differ (Kulkarni et al., 2014). The low 16 bits count.
+    Stamps of causally related events are in the right order on all processes even if
+    their wall clocks differ (Kulkarni et al., 2014). The low 16 bits are the counter.
     """
 
     __slots__ = ("_last", "_wall")
@@ -83,16 +83,16 @@
         self._last = 0
 
     def stamp(self):
-        """Return a stamp later than every stamp seen or given before."""
+        """Return a stamp later than every stamp observed or returned before."""
         physical = int(self._wall() * 1000) << self.COUNTER_BITS
         self._last = max(physical, self._last + 1)
         return self._last
 
     def observe(self, stamp):
-        """Take note of a stamp that came with a message.
+        """Advance the clock to a stamp received with a message.
 
-        One from far in the future would carry all processes there with it; at
-        the end of 64 bits no message could be sent any more. So it is ignored.
+        A stamp from far in the future is ignored: it would advance the clocks of all
+        processes, and beyond 64 bits no message could be sent any more.
         """
         limit = int(self._wall() * 1000) + self.MAX_AHEAD_MS
         if stamp <= limit << self.COUNTER_BITS:
--- a/sassafrasdoor/cluster.py
+++ b/sassafrasdoor/cluster.py
@@ -1,7 +1,7 @@
 """A small cluster of real processes on one machine, for tests and the demo.
 
 Starts the platform stand-in, backend server stand-ins and entry instances (an
-entry and a control process each), publishes a table and speaks HTTP to them.
+entry and a control process each), publishes a table and calls them over HTTP.
 """
 
 import json
@@ -24,7 +24,7 @@
 
 TABLE = json.loads((ROOT / "samples" / "table.json").read_text("utf-8"))
 
-# Short periods, so that tests wait for conditions and not for production timers.
+# Tests wait for conditions and not for production timers.
 SHORT_INTERVALS = {
     "lease": {"duration": 3.0, "renew_interval": 1.0},
     "drain": {"spread": 1.0},
@@ -51,27 +51,27 @@
         return self.entry.ready["entry"]
 
     def kill(self):
-        """End both processes at once."""
+        """Kill both processes."""
         self.entry.kill()
         self.control.kill()
 
     def freeze(self):
-        """Stop both processes from running."""
+        """Suspend both processes."""
         self.entry.freeze()
         self.control.freeze()
 
     def thaw(self):
-        """Let both processes run on."""
+        """Resume both processes."""
         self.entry.thaw()
         self.control.thaw()
 
     def stop(self):
-        """Stop both as planned; return the exit codes (entry, control)."""
+        """Stop both with SIGTERM; return the exit codes (entry, control)."""
         return self.entry.stop(), self.control.stop()
 
 
 class Cluster:
-    """Processes of one run; use as an async context manager."""
+    """The processes of one run; an async context manager."""
 
     def __init__(self, settings=None, ca_file=""):
         self.processes = Processes()
@@ -153,7 +153,7 @@
         return instance
 
     async def start(self, instances=3, engines=2, services=1, engine_options=()):
-        """Start a whole cluster with ``TABLE`` in force; return it."""
+        """Start a cluster with ``TABLE`` in force and return it."""
         self.start_platform()
         for index in range(engines):
             zone = ZONES[index % len(ZONES)]
@@ -169,7 +169,7 @@
         return self
 
     async def wait_ready(self):
-        """Wait until every running instance is ready and knows all backends."""
+        """Wait until each running instance is ready and lists all backends as alive."""
         for instance in self.instances:
             if instance.entry.returncode is None:
                 await until(
@@ -211,24 +211,24 @@
         return answer["offset"]
 
     async def platform_faults(self, **faults):
-        """Switch faults of the platform stand-in."""
+        """Set faults of the platform stand-in."""
         address = self.platform_url.removeprefix("http://")
         return await self.post(address, "/standin/faults", faults)
 
     async def faults(self, name, **faults):
-        """Switch faults of a backend server stand-in."""
+        """Set faults of a backend server stand-in."""
         address = self.backends[name].ready["address"]
         return await self.post(address, "/standin/faults", faults)
 
     async def truth(self, name):
-        """Return what a backend server stand-in truly did."""
+        """Return a backend server stand-in's own record of what it did."""
         _, actions = await self.get(
             self.backends[name].ready["address"], "/standin/truth"
         )
         return actions
 
     async def get(self, address, path, key=""):
-        """GET; return ``(status, JSON document)``; status 599 when there is no reply."""
+        """GET; return ``(status, JSON document)``; status 599 if there is no reply."""
         return await self.call("GET", address, path, key)
 
     async def post(self, address, path, document, key="", headers=None):
@@ -236,14 +236,14 @@
         return await self.call("POST", address, path, key, document, headers)
 
     async def call(self, method, address, path, key="", document=None, headers=None):
-        """Call one address once, with no retry; return ``(status, document)``."""
+        """Call an address once, without retries; return ``(status, document)``."""
         response = await self.raw(method, address, path, key, document, headers)
         if response.body and "json" in response.headers.get("Content-Type", "json"):
             return response.code, json.loads(response.body)
         return response.code, {}
 
     async def raw(self, method, address, path, key="", document=None, headers=None):
-        """Call one address once and return Tornado's response."""
+        """Call an address once and return Tornado's response."""
         all_headers = dict(headers or {})
         if key:
             all_headers["Authorization"] = f"Bearer {key}"
--- a/sassafrasdoor/decisions.py
+++ b/sassafrasdoor/decisions.py
@@ -1,10 +1,10 @@
-"""Lines that explain a decision afterwards: bounded in number, never blocking.
+"""Log lines that explain decisions, limited in rate and written without blocking.
 
 ``note("request.given_up", request="…", reason="…")`` writes one JSON line through
-``eliot``. A process under load would spend its time on lines, and a reader of
-standard output that stopped would stop the process with it: so there is a budget of
-lines a second, and what cannot be written at once is kept in a bounded buffer. What
-was left out is counted and said. Bodies and secrets never go in.
+``eliot``. Under load a process could spend most of its time on logging, and a stalled
+reader of standard output would block it. So the lines per second are limited, and lines
+that cannot be written at once are kept in a bounded buffer. Dropped lines are counted
+and reported. Bodies and secrets are never logged.
 """
 
 import os
@@ -14,12 +14,9 @@
 from sassafrasdoor.clock import now
 from sassafrasdoor.metrics import counter
 
-LINES_PER_SECOND = 60.0
-"""Budget, so that writing lines stays a small part of a core under any load."""
-BURST_LINES = 240.0
-"""Lines that may come at once: the items of one step and their results."""
-MAX_BUFFER_BYTES = 512 * 1024
-"""What waits for a slow reader of standard output; beyond it lines are dropped."""
+LINES_PER_SECOND = 60.0  # limits logging to a small part of a core under any load
+BURST_LINES = 240.0  # the items of one step and their results
+MAX_BUFFER_BYTES = 512 * 1024  # for a slow reader of standard output
 
 DROPPED = counter("log_lines_dropped_total", "Log lines left out, by reason.")
 
@@ -35,9 +32,9 @@
         self._dropped = 0
 
     def take(self, reserved=0.0):
-        """Return how many lines were left out before this one; None: leave it out.
+        """Return the number of lines dropped before this one, or None to drop it.
 
-        ``reserved`` lines are kept for others.
+        ``reserved`` tokens are kept for other lines.
         """
         current = now()
         refill = (current - self._last) * LINES_PER_SECOND
@@ -53,7 +50,7 @@
 
 
 class NonBlockingOutput:
-    """A file for ``eliot`` that writes to a descriptor without ever waiting."""
+    """A file for ``eliot`` that writes to a descriptor without blocking."""
 
     __slots__ = ("_descriptor", "_buffer")
 
@@ -63,7 +60,7 @@
         os.set_blocking(descriptor, False)
 
     def write(self, text):
-        """Take one line; drop it where too much waits already."""
+        """Write one line; drop it if the buffer is full."""
         data = text.encode() if isinstance(text, str) else text
         if len(self._buffer) + len(data) > MAX_BUFFER_BYTES:
             DROPPED.inc({"reason": "reader"})
@@ -72,14 +69,14 @@
         self.flush()
 
     def flush(self):
-        """Write what the reader takes now."""
+        """Write as much of the buffer as the reader accepts now."""
         while self._buffer:
             try:
                 written = os.write(self._descriptor, self._buffer)
             except BlockingIOError:
                 return
             except OSError:
-                # Nobody reads any more; the process serves on without its log.
+                # The reader has closed its end; the process continues without a log.
                 DROPPED.inc({"reason": "closed"})
                 self._buffer.clear()
                 return
@@ -90,12 +87,12 @@
 
 
 def note(message_type, **fields):
-    """Write one line on a decision, if the budget allows it."""
+    """Write a line about a decision, if the budget allows it."""
     _write(_BUDGET.take(), message_type, fields)
 
 
 def note_routine(message_type, **fields):
-    """Write one line on what went well; half of the budget is kept for troubles."""
+    """Write a line about a success; half of the budget is reserved for failures."""
     _write(_BUDGET.take(BURST_LINES / 2), message_type, fields)
 
 
@@ -104,11 +101,11 @@
         return
     if dropped:
         fields["lines_left_out_before"] = dropped
-    # The time of day may jump; lines of one process are ordered by the steady clock.
+    # The wall clock may jump; ``steady`` gives the order of one process's lines.
     eliot.log_message(message_type=message_type, steady=round(now(), 4), **fields)
 
 
 def start(process):
-    """Send the lines of this process to standard output."""
+    """Write the lines of this process to standard output."""
     eliot.add_destinations(eliot.FileDestination(file=NonBlockingOutput(1)))
     eliot.add_global_fields(process=process)
--- a/sassafrasdoor/demo.py
+++ b/sassafrasdoor/demo.py
@@ -1,8 +1,9 @@
-"""The demo: a whole cluster of real processes, one killed, and a judged report.
+"""The demo: a cluster of real processes, one of them killed, and a checked report.
 
 A table is accepted, applications call an idempotent and a non-repeatable
-service, a trainer runs a step; new weights come in the middle of it, and the
-entry instance that owns the step is killed. The stand-ins' own records judge.
+service, and a trainer runs a step. During the step new weights are announced and
+the entry instance that owns it is killed. The report is checked against the
+stand-ins' own records.
 """
 
 import asyncio
@@ -28,7 +29,7 @@
 
 
 class Demo:
-    """One run of the demo; ``say`` receives lines of progress."""
+    """One run of the demo; ``print_progress`` receives each line of progress."""
 
     __slots__ = ("_cluster", "_killed", "_samples", "_print_progress", "_started")
 
@@ -40,7 +41,7 @@
         self._started = now()
 
     async def run(self):
-        """Run all of it; return the report as a JSON-ready mapping."""
+        """Run the demo; return the report as a JSON-ready mapping."""
         async with self._cluster as cluster:
             self._report_progress(
                 "starting the platform, 2 engines, 1 service, 3 instances"
@@ -122,7 +123,9 @@
         for name in ("engine-1", "engine-2"):
             streams.update((await cluster.truth(name))["streams"])
         executions = (await cluster.truth("service-1"))["by_request"]
-        revisions = await until(self._common_revision, what="one table revision")
+        revisions = await until(
+            self._common_revision, what="the same table revision on all instances"
+        )
         delivered = Counter(
             (sample["group"], sample["index"]) for sample in self._samples
         )
@@ -168,7 +171,7 @@
 
 
 def violated_guarantees(report):
-    """Return the promises that a report shows to be broken, as sentences."""
+    """Return the guarantees that a report shows as violated, as sentences."""
     checks = {
         "a sample was delivered twice": report["duplicates"],
         "a sample is missing": report["missing"],
@@ -181,7 +184,7 @@
             "no-reply" in outcomes or "rejected" in outcomes
             for outcomes in report["requests"].values()
         ),
-        "instances differ in their table": len(
+        "instances use different table revisions": len(
             set(report["revision_in_force"].values())
         )
         != 1,
--- a/sassafrasdoor/deployments.py
+++ b/sassafrasdoor/deployments.py
@@ -1,7 +1,7 @@
-"""A whole deployment of stand-ins on one machine, from a folder in ``samples``.
+"""A deployment of stand-ins on one machine, read from a folder in ``samples``.
 
-``deployment.json`` names zones, instances and backend servers; ``table.json``
-is its table, ``load.json`` its load.
+``deployment.json`` lists zones, instances and backend servers; ``table.json`` is
+the table, ``load.json`` the load profile.
 """
 
 import asyncio
@@ -12,7 +12,7 @@
 from sassafrasdoor.load import profile as profiles, run as runs
 from sassafrasdoor.outcomes import Finding, Rejected
 
-ANNOUNCE_INTERVAL = 5.0
+ANNOUNCE_INTERVAL = 5.0  # seconds between new versions of the weights
 
 
 class Deployment:
@@ -53,7 +53,7 @@
 
 
 async def run(deployment, print_progress):
-    """Start the deployment, run its load, announce weights meanwhile.
+    """Start the deployment, run its load and announce new weights meanwhile.
 
     Returns ``(caller results, summary)`` as ``load.run.run`` does.
     """
--- a/sassafrasdoor/events.py
+++ b/sassafrasdoor/events.py
@@ -1,6 +1,6 @@
-"""The ring of recent events each process keeps for the time line.
+"""Ring buffer of the recent events of this process, for the time line.
 
-Any slice may call ``EVENTS.add``; the collector reads ``EVENTS.since``.
+Any module may call ``EVENTS.add``; the collector reads ``EVENTS.since``.
 """
 
 import os
@@ -12,7 +12,7 @@
 
 
 class Event:
-    """One thing that happened: where, when (hybrid stamp), what, to what."""
+    """An event: its hybrid stamp, process, kind and fields."""
 
     __slots__ = ("fields", "kind", "process", "stamp")
 
@@ -33,7 +33,7 @@
 
 
 class EventRing:
-    """A bounded ring of events; the oldest fall out."""
+    """A bounded ring of events; the oldest are dropped."""
 
     __slots__ = ("_ring", "clock", "process")
 
--- a/sassafrasdoor/fetch.py
+++ b/sassafrasdoor/fetch.py
@@ -1,4 +1,4 @@
-"""One HTTP call whose failure is a reply, not an exception."""
+"""HTTP calls that return a failure as a response instead of raising it."""
 
 from tornado.httpclient import HTTPError, HTTPRequest, HTTPResponse
 
@@ -18,10 +18,10 @@
 
 
 async def fetch_response(client, request):
-    """Return the response to ``request``; code 599 stands for no whole reply.
+    """Return the response to ``request``; status 599 means no complete response.
 
-    Tornado raises when there is no response at all, even with
-    ``raise_error=False``; callers of ours treat that as one more status.
+    Tornado raises if there is no response at all, even with ``raise_error=False``;
+    callers of this function handle that case as one more status.
     """
     try:
         return await client.fetch(request, raise_error=False)
--- a/sassafrasdoor/headers.py
+++ b/sassafrasdoor/headers.py
@@ -1,7 +1,7 @@
-"""HTTP headers that no hop passes on."""
+"""Hop-by-hop HTTP headers, which are not forwarded."""
 
-# Those of one connection (RFC 9110, section 7.6.1), and those that our own HTTP
-# client and the request's identity set anew.
+# Headers of a single connection (RFC 9110, section 7.6.1), and headers that are set
+# again on each hop by the HTTP client or from the request's identity.
 HOP_BY_HOP_HEADERS = frozenset(
     {
         "connection",
--- a/sassafrasdoor/metrics.py
+++ b/sassafrasdoor/metrics.py
@@ -1,7 +1,7 @@
 """Counters, gauges and histograms of this process, by ``aioprometheus``.
 
-Label values are never strings that a caller chose: rows, instances, reasons
-from a fixed set. Names carry their unit.
+Label values are rows, instances and reasons from a fixed set, never strings that a
+caller chose. Names include the unit.
 """
 
 from aioprometheus import Counter, Gauge, Histogram, Registry, render
@@ -10,17 +10,17 @@
 
 
 def counter(name, doc):
-    """Return the counter of that name, made on first use."""
+    """Return the counter of that name, created on first use."""
     return _metric(Counter, name, doc)
 
 
 def gauge(name, doc):
-    """Return the gauge of that name, made on first use."""
+    """Return the gauge of that name, created on first use."""
     return _metric(Gauge, name, doc)
 
 
 def histogram(name, doc, buckets):
-    """Return the histogram of that name, made on first use."""
+    """Return the histogram of that name, created on first use."""
     return _metric(Histogram, name, doc, buckets=buckets)
 
 
--- a/sassafrasdoor/outcomes.py
+++ b/sassafrasdoor/outcomes.py
@@ -1,7 +1,7 @@
-"""Falsy sentinels with a reason, returned in place of raising across slices.
+"""Falsy results with a reason, returned between modules instead of raising.
 
-A function that can end otherwise than well returns ``Value | Outcome``; callers
-branch with ``if not result`` or with ``functools.singledispatch`` on the class.
+A function that can fail returns ``Value | Outcome``; callers branch with ``if not
+result`` or with ``functools.singledispatch`` on the class.
 """
 
 MAX_FINDINGS = 100
@@ -9,7 +9,7 @@
 
 
 class Outcome:
-    """Something other than the value asked for, and why."""
+    """A result other than the requested value, with the reason."""
 
     __slots__ = ("reason",)
 
@@ -30,10 +30,9 @@
 
 
 class NotRun(Outcome):
-    """The request truly did not run; ``retry_after`` is in seconds.
+    """The request certainly did not run; ``retry_after`` is in seconds.
 
-    Only to be returned if no byte of the request can have reached a backend
-    server.
+    To be returned only if no byte of the request can have reached a backend server.
     """
 
     __slots__ = ("retry_after",)
@@ -44,25 +43,25 @@
 
 
 class Unknown(Outcome):
-    """The request may have run; nothing of ours runs it again."""
+    """The request may have run; it is not retried."""
 
     __slots__ = ()
 
 
 class Unavailable(Outcome):
-    """A peer or a platform service gave no answer and took no effect."""
+    """A peer or a platform service did not answer, and the call had no effect."""
 
     __slots__ = ()
 
 
 class ReplyLost(Outcome):
-    """The call may have taken effect although its reply never came."""
+    """The call may have taken effect, but its reply was lost."""
 
     __slots__ = ()
 
 
 class Expired(Outcome):
-    """The log no longer keeps this offset; ``first`` is the first it keeps."""
+    """The log no longer holds this offset; ``first`` is the first one it holds."""
 
     __slots__ = ("first",)
 
@@ -72,7 +71,7 @@
 
 
 class Rejected(Outcome):
-    """An input or a proposal was refused; ``findings`` say where and why."""
+    """An input or a proposal was rejected; ``findings`` state where and why."""
 
     __slots__ = ("findings",)
 
@@ -82,7 +81,7 @@
 
 
 class Finding:
-    """One fault of an input: its place (a dotted path) and the reason."""
+    """A fault of an input: its place (a dotted path) and the reason."""
 
     __slots__ = ("place", "reason")
 
@@ -104,8 +103,8 @@
 def findings_of(error):
     """Return the first findings of a ``pydantic.ValidationError``, in its order.
 
-    Places hold names that the sender chose: they are cut, and there are at most
-    ``MAX_FINDINGS``, so that a refusal is never longer than what it refuses.
+    Places contain names that the sender chose. They are truncated, and there are at
+    most ``MAX_FINDINGS``, so that a rejection is never longer than what it rejects.
     """
     return [
         Finding(_place(item["loc"]), item["msg"])
--- a/sassafrasdoor/rendezvous.py
+++ b/sassafrasdoor/rendezvous.py
@@ -1,8 +1,8 @@
-"""Rendezvous hashing: every process picks the same ones, with nobody asked.
+"""Rendezvous hashing: all processes make the same choice without communication.
 
-All that see the same names pick alike; when a name joins or leaves, only the places
-that it takes or gives change. Who sees other names differs in as few as can be, so a
-disagreement must be harmless to the caller.
+Processes that see the same names choose alike; when a name is added or removed, only
+the keys that it gains or loses change. Processes that see different names disagree on
+as few keys as possible; such a disagreement must be harmless to the caller.
 """
 
 from hashlib import blake2b
@@ -11,12 +11,12 @@
 
 
 def ranked(items, key, name=str):
-    """Return ``items`` in the order in which ``key`` (a string) prefers them."""
+    """Return ``items`` ranked by preference for ``key`` (a string)."""
     return sorted(items, key=lambda item: _score(key, name(item)), reverse=True)
 
 
 def chosen(names, key, count=1):
-    """Return the ``count`` names that ``key`` prefers."""
+    """Return the ``count`` names ranked highest for ``key``."""
     return ranked(names, key)[:count]
 
 
--- a/sassafrasdoor/settings.py
+++ b/sassafrasdoor/settings.py
@@ -1,8 +1,8 @@
-"""Settings: one JSON file, one ``DEFAULT`` mapping, checked in one go.
+"""Settings: a JSON file over the ``DEFAULT`` mapping, validated as a whole.
 
 ``load`` merges the file over ``DEFAULT`` and returns ``Settings`` or a
-``Rejected`` with every finding and its place. ``docs/SETTINGS.md`` lists all.
-Durations in settings are in seconds; code turns them into deadlines at once.
+``Rejected`` with every finding and its place. ``docs/SETTINGS.md`` lists all
+settings. Durations are in seconds; code converts them to deadlines immediately.
 """
 
 import json
@@ -99,12 +99,12 @@
 class Section(BaseModel):
     """A part of the settings; unknown keys are findings."""
 
-    # 1e999 is JSON and reads as infinity, of which no deadline can be made.
+    # 1e999 is valid JSON and parses as infinity, which cannot be used as a deadline.
     model_config = ConfigDict(extra="forbid", frozen=True, allow_inf_nan=False)
 
 
 class InstanceSettings(Section):
-    """This instance: its name, place and ports (0: the system picks one)."""
+    """This instance: its name, location and ports (0: any free port)."""
 
     name: str = Field(min_length=1, max_length=64, pattern=r"^[A-Za-z0-9_.-]+$")
     availability_zone: str = Field(min_length=1, max_length=64)
@@ -117,9 +117,9 @@
 
 
 class PlatformSettings(Section):
-    """Where the platform's services are and how they are called.
+    """Addresses of the platform's services and how they are called.
 
-    ``checkpoint_interval`` stays well below half of what the log retains.
+    ``checkpoint_interval`` must be well below half of the log's retention period.
     """
 
     log_url: str
@@ -131,25 +131,25 @@
     checkpoint_interval: float = Field(gt=0)
 
 
-# An empty key would prove nothing, and look like one in a settings file.
+# An empty key would authenticate nothing, but look like a key in a settings file.
 PeerKey = Annotated[str, Field(min_length=1, max_length=256)]
 
 
 class MembershipSettings(Section):
     """Probing of other instances; ``seeds`` are gossip addresses host:port.
 
-    ``probe_interval``: one member is probed each; 1 s lets a round trip over
-    regions and an indirect probe end before the next. ``probe_timeout``: well
-    above the slowest round trip (3 ms one way) and a busy process's delay.
+    ``probe_interval``: one member is probed per interval; in 1 s a round trip
+    between regions and an indirect probe end before the next. ``probe_timeout``:
+    well above the slowest round trip (3 ms one way) and a busy process's delay.
     ``suspicion_timeout``: time to refute; longer than a pause of the process,
     shorter than callers keep a discovery answer. ``gossip_interval`` and
-    ``gossip_fanout``: news reaches 400 members in about a second.
-    ``remote_share``: part of the probes and of the gossip that crosses regions.
-    ``compare_interval``: at most one comparison of rosters each.
-    ``reconnect_interval``: how often a dead member or a seed is tried again.
-    ``silence_timeout``: how long a region that nobody reaches, or everybody
-    else when nobody is heard, stays suspect before it counts as dead.
-    ``pollers_per_zone``: instances of a zone that read the log themselves.
+    ``gossip_fanout``: updates reach 400 members in about a second.
+    ``remote_share``: fraction of the probes and of the gossip that crosses regions.
+    ``compare_interval``: rosters are compared at most once per interval.
+    ``reconnect_interval``: time between attempts to reach a dead member or a seed.
+    ``silence_timeout``: how long a region that no instance reaches stays suspect
+    before it counts as dead; likewise all other members if none of them answers.
+    ``pollers_per_zone``: instances of a zone that read the log directly.
     """
 
     seeds: list[str]
@@ -168,31 +168,32 @@
 
 
 class TableSettings(Section):
-    """How long a table that nobody confirms stays usable."""
+    """How long a table stays usable while it is not confirmed."""
 
     unconfirmed_grace: float = Field(gt=0)
 
 
 class LeaseSettings(Section):
-    """Life of a lease and how often its holder renews it."""
+    """Duration of a lease and the interval of its renewals."""
 
     duration: float = Field(gt=0)
     renew_interval: float = Field(gt=0)
 
 
 class ServingShare(Section):
-    """Share of a model's engines that serve while others swap, by preference."""
+    """Share of a model's engines that serve while others swap, per preference."""
 
     staleness: float = Field(ge=0, lt=1)
     idle: float = Field(ge=0, lt=1)
 
 
 class WeightsSettings(Section):
-    """Rollout of weights: swaps at once, the longest order, checks and retries.
+    """Rollout of weights: concurrent swaps, order timeout, checks and retries.
 
-    A finished order has ``confirm_timeout`` to show in the engine's own report;
-    every engine is read again after ``check_interval``; failed orders wait from
-    ``retry_interval`` to ``retry_limit``, doubling, with jitter.
+    A finished order must appear in the engine's own report within
+    ``confirm_timeout``; every engine is read again after ``check_interval``; failed
+    orders are retried after ``retry_interval``, doubled up to ``retry_limit``, with
+    jitter.
     """
 
     store_concurrency: int = Field(gt=0)
@@ -218,9 +219,9 @@
     """Queues, leased quota and the retry budget.
 
     A grant lapses after ``grant_duration``, its fallback ``fallback_duration``
-    later. Calls in progress at an instance that went silent are taken to have
-    ended after ``overhang``; against the capacity, which the backend servers
-    guard themselves, only with ``strict_capacity``.
+    later. Calls in progress at an instance that no longer reports are assumed to
+    have ended after ``overhang``; until then they count against the capacity, which
+    the backend servers enforce themselves, only with ``strict_capacity``.
     """
 
     queue_size: int = Field(gt=0)
@@ -234,8 +235,8 @@
 class RequestsSettings(Section):
     """Applications' requests: bounds, timeouts and lifetime of keys.
 
-    ``claim_streams`` has to be the same on all instances, and may only change
-    while none runs: a key is claimed on one of them.
+    ``claim_streams`` must be the same on all instances and may change only while
+    none runs: each key is claimed on one of these streams.
     """
 
     body_limit: int = Field(gt=0)
@@ -247,7 +248,7 @@
 
 
 class Stragglers(StrEnum):
-    """What is done about the last few samples of a step."""
+    """How the last few samples of a step are handled."""
 
     OFF = "off"
     DUPLICATE = "duplicate"
@@ -255,7 +256,7 @@
 
 
 class StepsSettings(Section):
-    """Training steps: waiting, attachment, batches of samples, the last few."""
+    """Training steps: waits, attachment, batches of samples, stragglers."""
 
     fetch_wait: float = Field(gt=0)
     attach_idle: float = Field(gt=0)
@@ -266,7 +267,7 @@
 
 
 class DrainSettings(Section):
-    """Planned stops: the longest wait for work, and for the news to spread."""
+    """Planned stops: maximum wait for work, and time for the update to spread."""
 
     deadline: float = Field(gt=0)
     spread: float = Field(ge=0)
@@ -275,7 +276,7 @@
 class TlsSettings(Section):
     """PEM files of the callers' listener; empty for plain TCP.
 
-    ``ca_certificate`` is what the operators' tools trust; empty: the certificate.
+    ``ca_certificate`` is trusted by the operators' tools; empty: the certificate.
     """
 
     certificate: str
@@ -308,7 +309,7 @@
 def load(path, has_listener=False):
     """Return the ``Settings`` in the JSON file at ``path``, or ``Rejected``.
 
-    With ``listens`` the files that a listener needs are checked too.
+    With ``has_listener`` the files that a listener needs are checked too.
     """
     try:
         with open(path, encoding="utf-8") as file:
@@ -327,11 +328,11 @@
 
 
 def _file_findings(document):
-    """Return what is wrong with the files that the settings name."""
+    """Return the findings for the files that the settings name."""
     try:
         tls = TlsSettings.model_validate(_merged(document)["tls"])
     except (ValidationError, AttributeError):
-        return []  # ``from_document`` says so.
+        return []  # ``from_document`` reports it.
     return tls_findings(tls)
 
 
--- a/sassafrasdoor/stopping.py
+++ b/sassafrasdoor/stopping.py
@@ -1,4 +1,4 @@
-"""How a daemon says that it serves, and how it is asked to stop."""
+"""Lifecycle of a daemon: its ready line, stop signals and critical tasks."""
 
 import asyncio
 import json
@@ -18,7 +18,7 @@
 
 
 def install_stop_handler():
-    """Return an event set by SIGTERM; a second SIGTERM ends the process at once."""
+    """Return an event set by SIGTERM or SIGINT; a second one exits at once."""
     stop = asyncio.Event()
 
     def handle_signal():
@@ -33,11 +33,11 @@
 
 
 def start_critical_tasks(coroutines):
-    """Start tasks that run for as long as the process; return them.
+    """Start tasks that run as long as the process; return them.
 
-    A daemon whose follower or membership task has died goes on serving an old
-    view, and nothing shows it. So the failure of one ends the process: others
-    notice that at once, and whoever starts daemons starts it anew.
+    A daemon whose follower or membership task has failed would continue to serve an
+    old view unnoticed. So a failed task ends the process: other instances detect
+    that at once, and the process manager restarts it.
     """
     tasks = [asyncio.ensure_future(coroutine) for coroutine in coroutines]
     for task in tasks:
--- a/sassafrasdoor/support.py
+++ b/sassafrasdoor/support.py
@@ -1,4 +1,4 @@
-"""Helpers for tests and the demo: real processes and conditions to wait for."""
+"""Helpers for tests and the demo: real processes and waits for conditions."""
 
 import asyncio
 import contextlib
@@ -21,7 +21,7 @@
 
 
 class Process:
-    """A program of ours as a child of the test, with its ready line read."""
+    """A program of this package as a child process, with its ready line."""
 
     __slots__ = ("_lines", "_popen", "_reader", "program", "ready")
 
@@ -76,35 +76,35 @@
         return self.ready
 
     def signal(self, signum):
-        """Send a signal; a process that has ended already is no error."""
+        """Send a signal; does nothing if the process has ended."""
         with contextlib.suppress(ProcessLookupError):
             self._popen.send_signal(signum)
 
     def kill(self):
-        """End it at once, with nothing said to anybody."""
+        """Kill the process with SIGKILL."""
         self.signal(signal.SIGKILL)
         self._popen.wait(STOP_TIMEOUT)
 
     def freeze(self):
-        """Stop it from running until ``thaw``."""
+        """Suspend the process until ``thaw()``."""
         self.signal(signal.SIGSTOP)
 
     def thaw(self):
-        """Let it run on."""
+        """Resume the process."""
         self.signal(signal.SIGCONT)
 
     def stop(self, timeout=STOP_TIMEOUT):
-        """Ask for a planned stop (SIGTERM) and return the exit code."""
+        """Request a planned stop (SIGTERM) and return the exit code."""
         self.thaw()
         self.signal(signal.SIGTERM)
         return self.wait(timeout)
 
     def wait(self, timeout):
-        """Wait until it has ended by itself and return the exit code."""
+        """Wait for the process to exit and return the exit code."""
         return self._popen.wait(timeout)
 
     def close(self):
-        """Make sure that it is gone, and its pipe closed."""
+        """Kill the process if it still runs, and close its pipe."""
         if self.returncode is None:
             self.thaw()
             self.kill()
@@ -113,7 +113,7 @@
 
 
 class Processes:
-    """Starts programs and ends them all; use as a context manager."""
+    """Starts programs and ends them all on exit; a context manager."""
 
     __slots__ = ("_folder", "all")
 
@@ -136,13 +136,13 @@
         return process
 
     def serve(self, program, *arguments):
-        """Start a program and wait until it says that it is ready."""
+        """Start a program and wait for its ready line."""
         process = self.start(program, *arguments)
         process.wait_ready()
         return process
 
     def write_json(self, name, document):
-        """Write a JSON file into the run's folder and return its path."""
+        """Write a JSON file to the temporary folder and return its path."""
         path = os.path.join(self._folder.name, name)
         with open(path, "w", encoding="utf-8") as file:
             json.dump(document, file)
--- a/sassafrasdoor/view.py
+++ b/sassafrasdoor/view.py
@@ -1,8 +1,8 @@
-"""What an entry process knows of the system: one immutable view at a time.
+"""An entry process's view of the system: one immutable snapshot at a time.
 
-The control process of the same instance sends each new view; decisions on the
-hot path read ``View`` and name its table revision. Members and backend servers
-in it are hints; the table, the weights and their offsets are agreed.
+The control process of the same instance sends each new view; decisions on the hot
+path read ``View`` and refer to its table revision. Its members and backend servers
+are hints; the table, the weights and their offsets are agreed.
 """
 
 from enum import StrEnum
@@ -11,7 +11,7 @@
 
 
 class State(StrEnum):
-    """Life of an instance or a backend server, as far as it is known."""
+    """Last known state of an instance or a backend server."""
 
     ALIVE = "alive"
     SUSPECT = "suspect"
@@ -20,14 +20,14 @@
 
 
 class BackendKind(StrEnum):
-    """What a backend server is."""
+    """Kind of a backend server."""
 
     ENGINE = "engine"
     SERVICE = "service"
 
 
 class Member:
-    """An instance of ours. Addresses are ``host:port`` strings."""
+    """An instance of this service. Addresses are ``host:port`` strings."""
 
     __slots__ = (
         "availability_zone",
@@ -67,8 +67,8 @@
 class Backend:
     """A backend server from the instance list.
 
-    ``capacity`` is how many streams or calls it carries at once;
-    ``checks_fencing`` says whether it refuses orders with an old number.
+    ``capacity`` is its number of concurrent streams or calls; ``checks_fencing`` is
+    whether it rejects orders with an old fencing number.
     """
 
     __slots__ = (
@@ -110,13 +110,13 @@
 
 
 class View:
-    """An immutable snapshot; ``number`` grows with each one.
+    """An immutable snapshot; ``number`` increases with each one.
 
     ``table`` is None until a table is known; ``revision`` is the log offset of
     the table in force; ``weights`` maps a model to its newest announced version
     (an integer); ``confirmed_at`` is the monotonic time at which the log last
-    confirmed the agreed part; ``grants`` maps a row to its leased ``Grant``, and is
-    None where nobody distributes quota.
+    confirmed the agreed part; ``grants`` maps a row to its leased ``Grant`` and is
+    None if no quota is distributed.
     """
 
     __slots__ = (
@@ -164,7 +164,7 @@
         return self.weights.get(model, 0)
 
     def serving(self, service):
-        """Return the backend servers of a service that are neither leaving nor dead."""
+        """Return the backend servers of a service that are alive."""
         return [
             backend
             for backend in self.backends
@@ -173,10 +173,10 @@
 
 
 class Grant:
-    """A leased share: ``slots`` at once until ``deadline`` (monotonic).
+    """A leased share: ``slots`` concurrent calls until ``deadline`` (monotonic).
 
     After the deadline ``fallback`` of them may be used until the next grant.
-    ``number`` is that of the set of grants to which it belongs.
+    ``number`` identifies the set of grants to which it belongs.
     """
 
     __slots__ = ("deadline", "fallback", "number", "slots")
