--- a/sassafrasdoor/tests/test_pure_decisions.py
+++ b/sassafrasdoor/tests/test_pure_decisions.py
@@ -26,12 +26,12 @@
 
 
 class PureDecisionsTest(unittest.TestCase):
-    def test_decisions_import_nothing_that_acts(self):
+    def test_decisions_import_only_allowed_modules(self):
         for name in DECISIONS:
             with self.subTest(name):
                 self.assertLessEqual(set(imported(SOURCE / name)), ALLOWED)
 
-    def test_each_says_which_load_it_answers(self):
+    def test_each_docstring_describes_the_load(self):
         for name in DECISIONS:
             with self.subTest(name):
                 text = ast.get_docstring(ast.parse((SOURCE / name).read_text("utf-8")))
