--- a/sassafrasdoor/tests/test_budget.py
+++ b/sassafrasdoor/tests/test_budget.py
@@ -1,4 +1,4 @@
-"""Repeats as a share of first tries."""
+"""Retries as a share of first attempts."""
 
 import unittest
 
@@ -11,7 +11,7 @@
         self.assertEqual([budget.take() for _ in range(5)], [True] * 3 + [False] * 2)
 
     def test_retries_stay_a_share_of_first_attempts(self):
-        """Guards against a slow server that is kept slow by repeats."""
+        """Guards against a slow server that is kept slow by retries."""
         budget = Budget(share=0.1, burst=3)
         allowed = 0
         for _ in range(1000):
--- a/sassafrasdoor/tests/test_clock_jumps.py
+++ b/sassafrasdoor/tests/test_clock_jumps.py
@@ -1,4 +1,4 @@
-"""No decision follows the time of day: it may jump by seconds, back and forth."""
+"""No decision uses the wall clock: it may jump by seconds in both directions."""
 
 import ast
 import unittest
@@ -20,7 +20,7 @@
 
 
 def wall_clock_modules():
-    """Yield the modules that name the time of day, tests left out."""
+    """Yield the modules other than tests that read the wall clock."""
     for path in sorted(SOURCE.rglob("*.py")):
         if "tests" in path.parts:
             continue
@@ -35,7 +35,7 @@
 
 class TimeOfDayTest(unittest.TestCase):
     def test_only_allowed_modules_read_the_wall_clock(self):
-        """Guards against deadlines counted on the time of day."""
+        """Guards against deadlines computed from the wall clock."""
         self.assertEqual(set(wall_clock_modules()), set(ALLOWED))
 
 
--- a/sassafrasdoor/tests/test_decisions.py
+++ b/sassafrasdoor/tests/test_decisions.py
@@ -1,4 +1,4 @@
-"""Log lines under load, and with a reader who has stopped."""
+"""Log lines under load and with a stalled reader."""
 
 import os
 import unittest
--- a/sassafrasdoor/tests/test_pages.py
+++ b/sassafrasdoor/tests/test_pages.py
@@ -1,4 +1,4 @@
-"""Pages say what the code holds: quoted samples, metrics, events, settings files."""
+"""Pages match the code: quoted samples, metrics, events, log lines, settings files."""
 
 import re
 import subprocess
@@ -36,7 +36,7 @@
 
 
 def sources():
-    """Return the text of all modules but the tests."""
+    """Return the text of all modules except tests."""
     paths = [path for path in SOURCE.rglob("*.py") if "tests" not in path.parts]
     return "\n".join(path.read_text("utf-8") for path in sorted(paths))
 
--- a/sassafrasdoor/tests/test_settings.py
+++ b/sassafrasdoor/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings: defaults hold, and every mistake is reported with its place."""
+"""Settings: defaults are valid, and every fault is reported with its place."""
 
 import json
 import unittest
--- a/sassafrasdoor/tests/test_stopping.py
+++ b/sassafrasdoor/tests/test_stopping.py
@@ -1,4 +1,4 @@
-"""A daemon ends when one of its lasting tasks fails."""
+"""A daemon exits when one of its critical tasks fails."""
 
 import subprocess
 import sys
@@ -26,7 +26,7 @@
 
 class CriticalTasksTest(unittest.TestCase):
     def test_failed_task_ends_the_process(self):
-        """Guards against a process that goes on after one of its tasks has ended."""
+        """Guards against a process that continues after one of its tasks has failed."""
         done = subprocess.run(
             [sys.executable, "-c", DAEMON], cwd=ROOT, capture_output=True, text=True
         )
--- a/sassafrasdoor/tests/test_whole_path.py
+++ b/sassafrasdoor/tests/test_whole_path.py
@@ -1,4 +1,4 @@
-"""The whole path with real processes: the demo, judged by its report."""
+"""End-to-end test with real processes: the demo, checked by its report."""
 
 import unittest
 
--- a/sassafrasdoor/tools/control.py
+++ b/sassafrasdoor/tools/control.py
@@ -16,9 +16,10 @@
     check: bool = CheckOption,
     version: bool = VersionOption,
 ):
-    """Serve the entry and its peers until SIGTERM.
+    """Serve the entry process and peers until SIGTERM.
 
-    Exit codes: 0 ended well, 1 ended at once, 2 usage, 3 a task of its own failed.
+    Exit codes: 0 planned stop, 1 stop forced by a second signal, 2 usage, 3 a
+    critical task failed.
     """
     asyncio.run(process.run(read(settings, check, has_listener=True)))
 
--- a/sassafrasdoor/tools/demo.py
+++ b/sassafrasdoor/tools/demo.py
@@ -18,7 +18,7 @@
     as_json: bool = typer.Option(False, "--json", help="Print the report as JSON."),
     version: bool = VersionOption,
 ):
-    """Run the demo. Exit codes: 0 all promises held, 1 one was broken."""
+    """Run the demo. Exit codes: 0 all guarantees held, 1 one was violated."""
     console = Console(stderr=as_json)
     report = asyncio.run(demo.Demo(console.print).run())
     if as_json:
@@ -27,9 +27,9 @@
         _print(console, report)
     violations = demo.violated_guarantees(report)
     for violation in violations:
-        console.print(f"[bold red]BROKEN[/]: {violation}")
+        console.print(f"[bold red]VIOLATED[/]: {violation}")
     if not violations:
-        console.print("[bold green]every promise held[/]")
+        console.print("[bold green]every guarantee held[/]")
     raise typer.Exit(1 if violations else 0)
 
 
--- a/sassafrasdoor/tools/entry.py
+++ b/sassafrasdoor/tools/entry.py
@@ -21,7 +21,8 @@
 ):
     """Serve callers until SIGTERM.
 
-    Exit codes: 0 ended well, 1 ended at once, 2 usage, 3 a task of its own failed.
+    Exit codes: 0 planned stop, 1 stop forced by a second signal, 2 usage, 3 a
+    critical task failed.
     """
     checked = read(settings, check, has_listener=True)
     default_control = f"{checked.instance.host}:{checked.instance.control_port}"
--- a/sassafrasdoor/tools/in_force.py
+++ b/sassafrasdoor/tools/in_force.py
@@ -1,4 +1,4 @@
-"""Asking every instance which revision of the table it uses."""
+"""Queries all instances for the table revision that they use."""
 
 import asyncio
 import json
@@ -17,7 +17,7 @@
 
 
 class RevisionCoverage:
-    """Instances by name, with the revision each one uses; None: it did not say."""
+    """The revision that each instance uses, by name; None if it did not answer."""
 
     __slots__ = ("revision", "revisions")
 
@@ -27,19 +27,19 @@
 
     @property
     def count(self):
-        """On how many instances the revision, or a later one, is in force."""
+        """The number of instances on which ``revision`` or a later one is in force."""
         return sum(
             (revision or 0) >= self.revision for revision in self.revisions.values()
         )
 
     @property
     def is_everywhere(self):
-        """Whether it is in force on all instances listed."""
+        """Whether ``revision`` is in force on all listed instances."""
         return self.count == len(self.revisions)
 
     @property
     def missing(self):
-        """The names of the others."""
+        """The names of the instances on which ``revision`` is not in force."""
         return sorted(
             name
             for name, revision in self.revisions.items()
@@ -48,7 +48,7 @@
 
 
 class StatusClient:
-    """Asks the instances in the platform's list; close it after use."""
+    """Reads the status of the instances that the platform lists; close it after use."""
 
     __slots__ = ("_client", "_settings")
 
@@ -61,7 +61,7 @@
         self._client.close()
 
     async def wait(self, revision, deadline):
-        """Return ``InForce`` once true everywhere, or as it is at ``deadline``."""
+        """Return the coverage once it is complete, or as it is at ``deadline``."""
         while True:
             coverage = await self.query(revision)
             if (coverage and coverage.is_everywhere) or passed(deadline):
@@ -69,7 +69,7 @@
             await asyncio.sleep(min(QUERY_INTERVAL, remaining(deadline)))
 
     async def query(self, revision):
-        """Return ``InForce`` as of now, or ``Unavailable``: no instance list."""
+        """Return the current coverage, or ``Unavailable`` without an instance list."""
         try:
             listing = await self._get(
                 f"{self._settings.platform.instances_url}/instances"
--- a/sassafrasdoor/tools/load.py
+++ b/sassafrasdoor/tools/load.py
@@ -18,12 +18,12 @@
     profile: str = typer.Option("", help="The JSON profile of the load."),
     address: list[str] = typer.Option([], help="An entry instance, host:port."),
     deployment: str = typer.Option(
-        "", help="A folder of samples: start its stand-ins and run its load."
+        "", help="A deployment's folder: start its stand-ins and run its load."
     ),
     ca_file: str = CaFileOption,
     out: str = typer.Option("", help="A folder for report.json and the plots."),
     as_json: bool = typer.Option(False, "--json", help="Print the summary as JSON."),
-    check: bool = typer.Option(False, "--check", help="Check the profile and end."),
+    check: bool = typer.Option(False, "--check", help="Check the profile and exit."),
     version: bool = VersionOption,
 ):
     """Run a load. Exit codes: 0 done, 2 usage or an invalid profile."""
@@ -34,7 +34,7 @@
     else:
         checked = _valid_or_exit(profile, profiles.load(profile), check)
         if not address:
-            raise typer.BadParameter("name --address or --deployment")
+            raise typer.BadParameter("give --address or --deployment")
         callers, document = asyncio.run(runs.run(checked, address, ca_file))
     if out:
         report.write(document, callers, out)
--- a/sassafrasdoor/tools/options.py
+++ b/sassafrasdoor/tools/options.py
@@ -1,4 +1,4 @@
-"""Options that every program has: ``--settings``, ``--check``, ``--version``."""
+"""Options shared by the programs, and the reading of settings files."""
 
 import typer
 
@@ -14,19 +14,23 @@
 
 
 SettingsOption = typer.Option(..., "--settings", help="The JSON settings file.")
-CheckOption = typer.Option(False, "--check", help="Check the settings and end.")
+CheckOption = typer.Option(False, "--check", help="Check the settings and exit.")
 CaFileOption = typer.Option(
-    "", "--ca-file", help="PEM file of the instances' CA: call them over TLS."
+    "", "--ca-file", help="PEM file of the instances' CA; enables TLS."
 )
 VersionOption = typer.Option(
-    False, "--version", is_eager=True, callback=_print_version, help="Say the version."
+    False,
+    "--version",
+    is_eager=True,
+    callback=_print_version,
+    help="Print the version.",
 )
 
 
 def read(path, check, has_listener=False):
-    """Return the settings at ``path``; end with all findings if it has any.
+    """Return the settings at ``path``; exit with all findings if there are any.
 
-    A daemon ``listens``: the files that its listener needs must be there.
+    With ``has_listener`` the files that a listener needs are checked too.
     """
     loaded = settings.load(path, has_listener)
     if not loaded:
--- a/sassafrasdoor/tools/standin.py
+++ b/sassafrasdoor/tools/standin.py
@@ -1,6 +1,6 @@
 """Stand-ins for the platform and backend servers, for tests and the demo.
 
-Exit codes: 0 ended as asked, 1 at once, 2 usage.
+Exit codes: 0 planned stop, 1 stop forced by a second signal, 2 usage.
 """
 
 import typer
@@ -14,7 +14,7 @@
 
 @main.callback()
 def _group(version: bool = VersionOption):
-    """Keep the subcommand's name necessary, however few there are."""
+    """Make typer require a subcommand, whatever their number."""
 
 
 main.command("platform")(platform.command)
--- a/sassafrasdoor/tools/standin_backends.py
+++ b/sassafrasdoor/tools/standin_backends.py
@@ -14,26 +14,26 @@
     service: str = "engines",
     zone: str = "zone-a",
     region: str = "region-1",
-    model: list[str] = typer.Option(["model"], help="Models that it holds."),
+    model: list[str] = typer.Option(["model"], help="Models that it serves."),
     initial_version: int = 0,
-    capacity: int = typer.Option(16, help="Streams at once."),
+    capacity: int = typer.Option(16, help="Concurrent streams."),
     queue_size: int = 64,
-    token_rate: float = typer.Option(200.0, help="Tokens a second, a lone stream."),
+    token_rate: float = typer.Option(200.0, help="Tokens per second, one stream."),
     tail: float = typer.Option(0.8, help="Shape of the lognormal lengths."),
     swap_seconds: float = 0.5,
-    install_seconds: float = typer.Option(0.0, help="After a fetch of weights."),
+    install_seconds: float = typer.Option(0.0, help="Installation after a fetch."),
     weights_url: str = typer.Option("", help="Weight store; empty: --swap-seconds."),
     checks_fencing: bool = True,
     load_lag: float = 0.2,
     prefill_per_token: float = 0.0005,
     cache_prefixes: int = 32,
     cache_delay: float = 0.2,
-    cache_loss: float = typer.Option(0.1, help="Share of cache events lost."),
+    cache_loss: float = typer.Option(0.1, help="Fraction of cache events lost."),
     keep_done: float = 60.0,
     late: float = 2.0,
-    tick: float = typer.Option(0.02, help="Time between two steps of the batch."),
+    tick: float = typer.Option(0.02, help="Seconds between batch steps."),
 ):
-    """Stand in for a model engine."""
+    """Run stand-ins for model engines."""
     options = engine_standin.EngineOptions(
         platform=platform,
         service=service,
@@ -67,11 +67,11 @@
     service: str = "service",
     zone: str = "zone-a",
     region: str = "region-1",
-    capacity: int = typer.Option(64, help="Calls at once."),
-    delay_ms: float = typer.Option(0.0, help="Time that a call takes."),
+    capacity: int = typer.Option(64, help="Concurrent calls."),
+    delay_ms: float = typer.Option(0.0, help="Duration of a call."),
     load_lag: float = 0.2,
 ):
-    """Stand in for a plain service."""
+    """Run a stand-in for a plain service."""
     options = service_standin.ServiceOptions(
         platform=platform,
         service=service,
--- a/sassafrasdoor/tools/status_view.py
+++ b/sassafrasdoor/tools/status_view.py
@@ -1,4 +1,4 @@
-"""An instance's status page as tables to read."""
+"""Formats an instance's status page as a line and tables."""
 
 ABSENT = "-"
 MEMBER_COLUMNS = ("name", "state", "availability_zone", "incarnation")
@@ -26,7 +26,7 @@
 
 
 def status_line(status_page):
-    """Return the status page ``status_page`` in one line."""
+    """Return a summary of a status page in one line."""
     leaving = ", leaving" if status_page["leaving"] else ""
     age = status_page["unconfirmed_seconds"]
     confirmed = "never confirmed" if age is None else f"confirmed {age} s ago"
@@ -38,7 +38,7 @@
 
 
 def status_grids(status_page):
-    """Return ``(title, columns, rows)`` of each table of the status page ``status_page``."""
+    """Return ``(title, columns, rows)`` of each table of a status page."""
     return [
         (
             "newest weights",
--- a/sassafrasdoor/tools/table.py
+++ b/sassafrasdoor/tools/table.py
@@ -1,8 +1,8 @@
 """The operators' tool: check, compare, publish and show the table.
 
 Exit codes: 0 done; 1 rejected, findings are printed; 2 wrong usage; 3 the platform
-gave no answer (the reason says whether the change may still take effect);
-4 accepted, but not in force on every instance in time.
+did not answer (the reason says whether the change may still take effect);
+4 accepted, but not in force on every instance before the timeout.
 """
 
 import asyncio
@@ -30,11 +30,11 @@
 
 app = typer.Typer(no_args_is_help=True, help=__doc__)
 SheetArgument = typer.Argument(..., help="A .json or .csv sheet.")
-TimeoutOption = typer.Option(30.0, help="Seconds to wait in all.")
+TimeoutOption = typer.Option(30.0, help="Total seconds to wait.")
 
 
 class Context:
-    """What every command needs: settings, where to report, the log while used."""
+    """State of a command: settings, report, and the log while ``run`` runs."""
 
     __slots__ = ("log", "report", "settings")
 
@@ -44,7 +44,7 @@
         self.log = None
 
     def run(self, job):
-        """Run ``job()`` in a loop of its own with the log open."""
+        """Run ``job()`` in a new event loop with the log open."""
         return asyncio.run(self._run(job))
 
     async def _run(self, job):
@@ -60,7 +60,7 @@
         return await follower.catch_up(deadline_in(seconds))
 
     def value_or_exit(self, value):
-        """Return ``value``; report an outcome that is none and end."""
+        """Return ``value``; if it is a failed outcome, report it and exit."""
         if not value:
             raise typer.Exit(self.report.outcome(value))
         return value
@@ -70,7 +70,9 @@
 def _options(
     context: typer.Context,
     settings: str = typer.Option("", help="A JSON settings file."),
-    platform: str = typer.Option("", help="URL of the platform, over the settings'."),
+    platform: str = typer.Option(
+        "", help="URL of the platform; overrides the settings."
+    ),
     as_json: bool = typer.Option(False, "--json", help="Print JSON."),
     version: bool = VersionOption,
 ):
@@ -99,7 +101,7 @@
 ):
     """Show what a sheet would change, and each row's share before and after.
 
-    Shares are of the service's capacity when every row wants all it may have.
+    Shares are of the service's capacity when every row demands its limit.
     """
     tool = context.obj
     table = tool.value_or_exit(
@@ -113,15 +115,14 @@
 def apply(
     context: typer.Context,
     sheet: str = SheetArgument,
-    base: int = typer.Option(None, help="The revision edited, over the sheet's own."),
-    author: str = typer.Option("", help="Who publishes; default: the login name."),
+    base: int = typer.Option(None, help="The revision edited; overrides the sheet's."),
+    author: str = typer.Option("", help="Author; default: the login name."),
     timeout: float = TimeoutOption,
 ):
     """Publish a sheet, and wait until it is in force on every instance.
 
-    The sheet names the revision that it was made from (``show --output`` writes
-    it). If another revision is in force by now, nothing changes and you are told
-    whose it is.
+    The sheet states the revision that it was made from (``show --output`` writes
+    it). If another revision is in force, nothing changes and its author is shown.
     """
     tool = context.obj
     edited = tool.value_or_exit(sheets.read(sheet))
@@ -160,9 +161,9 @@
         return state
     if state.table is None:
         return NO_REVISION
-    # Taking whatever is in force for the base would overwrite what another
-    # operator has published since this sheet was made.
-    reason = "the sheet does not say which revision it edits; give --base"
+    # With the revision in force as the base, the sheet would overwrite changes that
+    # another operator has published since it was made.
+    reason = "the sheet does not state the revision that it edits; give --base"
     return Rejected("base unknown", [Finding("revision", reason)])
 
 
@@ -188,7 +189,7 @@
 
 @app.command()
 def history(context: typer.Context, timeout: float = TimeoutOption):
-    """List the latest proposals, what became of them, and who was first."""
+    """List the latest proposals with their authors, decisions and findings."""
     tool = context.obj
     state = tool.value_or_exit(tool.run(lambda: tool.agreed_state(timeout)))
     tool.report.history(state.accepted.decisions)
@@ -199,7 +200,7 @@
     context: typer.Context,
     address: str = typer.Option(..., help="An entry instance, host:port."),
 ):
-    """Show the system as one instance sees it: members, weights, quota, queues."""
+    """Show one instance's view of the system: members, weights, quota, queues."""
     tool = context.obj
     tool.report.status(tool.value_or_exit(asyncio.run(_status(tool.settings, address))))
 
--- a/sassafrasdoor/tools/table_changes.py
+++ b/sassafrasdoor/tools/table_changes.py
@@ -1,4 +1,4 @@
-"""What changes between two tables, row by row, with the change in shares."""
+"""Differences between two tables, row by row, with the change in shares."""
 
 from sassafrasdoor.admission.shares import fractional_shares
 
@@ -6,11 +6,11 @@
 
 
 class Change:
-    """One row that differs.
+    """A row that differs.
 
     ``fields`` maps a column to its ``(old, new)`` values; for a row added or
-    removed one side is None throughout. ``old_share`` and ``new_share`` are parts
-    (0..1) of the service's capacity when every row wants all that it may have.
+    removed one side is None throughout. ``old_share`` and ``new_share`` are fractions
+    (0..1) of the service's capacity when every row demands its limit.
     """
 
     __slots__ = ("fields", "name", "new_share", "old_share")
@@ -29,7 +29,7 @@
 def changes(old, new):
     """Return the ``Change``s from the table ``old`` (or None) to ``new``.
 
-    A row whose cells stay but whose share moves, because others changed, is one.
+    Includes rows whose cells are equal but whose share changes because of other rows.
     """
     before, after = _rows_by_name(old), _rows_by_name(new)
     old_shares, new_shares = (
@@ -46,7 +46,7 @@
 
 
 def shares_under_full_demand(table):
-    """Return ``{row name: share}`` of each service when all rows want their limit."""
+    """Return ``{row name: share}`` per service when all rows demand their limit."""
     shares = {}
     rows = table.rows if table else []
     for service in {row.service for row in rows}:
--- a/sassafrasdoor/tools/table_report.py
+++ b/sassafrasdoor/tools/table_report.py
@@ -1,4 +1,4 @@
-"""What the operators' tool prints: tables to read, or JSON."""
+"""Output of the operators' tool: tables or JSON."""
 
 import json
 import sys
@@ -33,14 +33,14 @@
 class Report:
     """Prints results on standard output and outcomes on standard error.
 
-    Methods that meet an outcome return the exit code.
+    Methods that print an outcome return the exit code.
     """
 
     __slots__ = ("_as_json", "_console", "_errors")
 
     def __init__(self, as_json):
         self._as_json = as_json
-        # Without a terminal there is no width; rich would cut cells at 80.
+        # Without a terminal rich would assume 80 columns and truncate cells.
         width = None if sys.stdout.isatty() else PIPE_WIDTH
         self._console = Console(width=width, highlight=False)
         self._errors = Console(
@@ -48,7 +48,7 @@
         )
 
     def checked(self, table):
-        """Say that a table is valid."""
+        """Report that a table is valid."""
         self._print_text(
             {"outcome": "valid", "rows": len(table.rows)},
             f"valid: {len(table.rows)} rows",
@@ -70,7 +70,7 @@
         self._print_grid(document, grid)
 
     def changes(self, revision, changes):
-        """Show what would change, with the shares before and after."""
+        """Show the changes, with the shares before and after."""
         document = {
             "revision": revision,
             "changes": [change.as_document() for change in changes],
@@ -83,7 +83,7 @@
         self._print_grid(document, _grid(f"against revision {revision}", columns, rows))
 
     def history(self, decisions):
-        """Show decisions, newest last."""
+        """Show the decisions on proposals, newest last."""
         document = {"decisions": [decision.as_document() for decision in decisions]}
         rows = [
             [
@@ -109,12 +109,12 @@
         )
 
     def announced(self, model, version):
-        """Say which version is the newest announced one."""
+        """Report the newest announced version."""
         document = {"outcome": "announced", "model": model, "version": version}
         self._print_text(document, f"announced: version {version} of {model}")
 
     def published(self, decision, coverage):
-        """Say that a table was accepted and where it is in force; the exit code."""
+        """Report an accepted table and where it is in force; return the exit code."""
         document = {"outcome": "accepted", "revision": decision.offset}
         text = f"accepted: revision {decision.offset}"
         if not coverage:
@@ -140,7 +140,7 @@
 
     @outcome.register
     def _(self, outcome: ReplyLost):
-        # It may still take effect: the operator looks before publishing again.
+        # It may still take effect: the operator must check before publishing again.
         self._print_error({"outcome": "unknown", "reason": outcome.reason})
         return EXIT_UNAVAILABLE
 
@@ -181,13 +181,13 @@
 def _grid(title, columns, rows):
     grid = Grid(*columns, title=Text(title), box=box.SIMPLE, title_justify="left")
     for row in rows:
-        # Cells are operators' text: square brackets in them are no markup.
+        # Cells are operators' text: square brackets in them are not markup.
         grid.add_row(*[Text(str(cell)) for cell in row])
     return grid
 
 
 def _describe_fields(fields):
-    """Say what changes; of a row added or removed only what it holds."""
+    """Describe the changed cells; for a row added or removed, its values."""
     added = all(old is None for old, _ in fields.values())
     removed = all(new is None for _, new in fields.values())
     if fields and (added or removed):
@@ -200,7 +200,7 @@
 
 
 def _cell_text(value):
-    """Return a cell's text; a key's hash by its first characters."""
+    """Return a cell's text, with key hashes abbreviated."""
     if isinstance(value, list):
         return " ".join(f"{item[:HASH_PREFIX_LENGTH]}.." for item in value)
     return str(value) or "-"
--- a/sassafrasdoor/tools/tests/test_in_force.py
+++ b/sassafrasdoor/tools/tests/test_in_force.py
@@ -9,7 +9,7 @@
 
 class InForceTest(unittest.IsolatedAsyncioTestCase):
     async def apply(self, cluster, base, weight, *options):
-        """Publish the cluster's table with another weight; what the tool said."""
+        """Publish the cluster's table with another weight; return code and output."""
         rows = [{**row, "weight": weight} for row in TABLE["rows"]]
         document = {"rows": rows, "revision": base}
         sheet = cluster.processes.write_json("sheet.json", document)
@@ -20,7 +20,7 @@
         return tool.returncode, json.loads(tool.output[-1])
 
     async def test_apply_reports_the_instances_without_the_revision(self):
-        """Guards against an accepted table taken for one in force everywhere."""
+        """Guards against an accepted table reported as in force everywhere."""
         async with Cluster() as cluster:
             await cluster.start(instances=3, engines=1)
             _, initial_status = await cluster.get(
@@ -41,4 +41,4 @@
                 _, status = await cluster.get(frozen.address, "/v1/status")
                 return status["revision"] == second["revision"]
 
-            await until(caught_up, what="the woken instance")
+            await until(caught_up, what="the resumed instance to catch up")
--- a/sassafrasdoor/tools/tests/test_programs.py
+++ b/sassafrasdoor/tools/tests/test_programs.py
@@ -35,7 +35,7 @@
 )
 DEEPLY_NESTED = "[" * 100_000
 
-# program, arguments ({name}: a file of FILES), what it says about the mistake.
+# program, arguments ({name}: a file of FILES), text in its output.
 PROFILE = '{"duration": 1, "callers": [{"row": "r", "key": "k", "rate": 1}]}'
 FILES = {
     "profile": PROFILE,
@@ -72,7 +72,7 @@
 
 
 def run(program, *arguments):
-    """Run a program to its end; return ``(exit code, all output)``."""
+    """Run a program until it exits; return ``(exit code, all output)``."""
     completed = subprocess.run(
         [sys.executable, "-m", PROGRAMS[program], *arguments],
         cwd=ROOT,
--- a/sassafrasdoor/tools/tests/test_race.py
+++ b/sassafrasdoor/tools/tests/test_race.py
@@ -1,4 +1,4 @@
-"""Operators' tools as real processes: races, a lost reply, an outage, expiry."""
+"""Operators' tools as real processes: concurrent edits, a lost reply, an outage, expiry."""
 
 import json
 import unittest
@@ -42,14 +42,14 @@
         ]
 
     def start_apply(self, name, weight, base):
-        """Start one who publishes; return its process."""
+        """Start a tool that publishes a table; return its process."""
         document = {**table(weight), "revision": base}
         sheet = self.processes.write_json(f"{name}.json", document)
         options = ("--platform", self.url, "--json")
         return self.processes.start("table", *options, "apply", sheet, "--author", name)
 
     async def result_of(self, process):
-        """Wait for a tool; return its exit code and what it printed."""
+        """Wait for a tool; return its exit code and the JSON that it printed."""
         await until(lambda: process.returncode is not None, what="tool to end")
         await until(lambda: process.output, what="its output")
         return process.returncode, json.loads(process.output[-1])
@@ -71,7 +71,7 @@
                 self.assertTrue(document["winner_author"].startswith("op-"))
 
     async def test_outage_after_an_append_with_a_lost_reply(self):
-        """Guards against an unreachable log taken for a failed proposal."""
+        """Guards against an unreachable log reported as a failed proposal."""
         self.faults(lose_reply=1, then_down=True)
         tool = self.start_apply("anna", 1.0, 0)
         await until(lambda: self.records("proposal"), what="the append")
@@ -98,7 +98,7 @@
         return decision.offset
 
     async def test_expiry_with_a_slow_reader_and_a_late_checkpoint(self):
-        """Guards against reading on over a gap, or from an outdated checkpoint."""
+        """Guards against readers that skip a gap or use an outdated checkpoint."""
         first_revision = await self.publish(0, 1.0)
         slow_reader = await self.caught_up(self.follower())
         outdated_checkpoint = checkpoints.body(slow_reader.state, slow_reader.as_of)
--- a/sassafrasdoor/tools/tests/test_table.py
+++ b/sassafrasdoor/tools/tests/test_table.py
@@ -62,7 +62,7 @@
 
 
 class StatusHandler(http.server.BaseHTTPRequestHandler):
-    """An instance that only says which revision it uses."""
+    """The status page of an instance, with only its revision."""
 
     def do_GET(self):
         body = json.dumps({"revision": self.server.revision}).encode()
@@ -72,7 +72,7 @@
         self.wfile.write(body)
 
     def log_message(self, *arguments):
-        """Keep the test's output clean."""
+        """Log nothing."""
 
 
 class ToolTest(unittest.TestCase):
@@ -130,7 +130,7 @@
         self.assertEqual(self.run_tool("show")[1]["rows"][0]["weight"], 2.0)
 
     def test_second_of_two_operators_is_rejected_with_the_winner(self):
-        """Guards against publishing onto a revision that was not edited."""
+        """Guards against overwriting a revision that the operator did not edit."""
         base = self.run_tool("apply", self.sheet)[1]["revision"]
         second = self.write({**table(2.0), "revision": base}, "mine.json")
         first = self.write({**table(3.0), "revision": base}, "theirs.json")
--- a/sassafrasdoor/tools/tests/test_trainer_processes.py
+++ b/sassafrasdoor/tools/tests/test_trainer_processes.py
@@ -1,4 +1,4 @@
-"""The trainer program before a real cluster."""
+"""The trainer program against a real cluster."""
 
 import json
 import pathlib
@@ -13,13 +13,13 @@
 
 
 def read_samples(path):
-    """Return the samples that the program wrote, a line each."""
+    """Return the samples that the program wrote, one per line."""
     return [json.loads(line) for line in path.read_text("utf-8").splitlines()]
 
 
 class TrainerProcessesTest(unittest.IsolatedAsyncioTestCase):
     async def test_samples_are_scored(self):
-        """Guards against a trainer's program that ignores reward calls."""
+        """Guards against a trainer program that ignores reward calls."""
         groups = json.loads(PROMPTS_PATH.read_text("utf-8"))
         async with Cluster() as cluster:
             await cluster.start(instances=1, engines=1, services=1)
--- a/sassafrasdoor/tools/timeline.py
+++ b/sassafrasdoor/tools/timeline.py
@@ -1,4 +1,4 @@
-"""``sassafrasdoor-timeline``: one time line of events over all processes."""
+"""``sassafrasdoor-timeline``: one time line of the events of all processes."""
 
 import asyncio
 import json
@@ -28,27 +28,27 @@
     control: list[str] = typer.Option([], help="A control process, host:port."),
     settings: str = typer.Option("", help="Settings file: peer keys, platform."),
     discover: bool = typer.Option(
-        False, help="Read all instances that the platform of the settings lists."
+        False, help="Read all instances that the platform in the settings lists."
     ),
     request: str = typer.Option("", help="Only events of this request."),
     step: str = typer.Option("", help="Only events of this step."),
     instance: str = typer.Option("", help="Only events of this instance."),
-    kind: str = typer.Option("", help="Only kinds that begin like this."),
-    follow: bool = typer.Option(False, help="Go on until interrupted."),
+    kind: str = typer.Option("", help="Only kinds with this prefix."),
+    follow: bool = typer.Option(False, help="Continue until interrupted."),
     ca_file: str = CaFileOption,
-    as_json: bool = typer.Option(False, "--json", help="One JSON object a line."),
+    as_json: bool = typer.Option(False, "--json", help="One JSON object per line."),
     trace: str = typer.Option("", help="Write a trace-event file for a viewer."),
     lines: list[str] = typer.Option(
         [], help="Read log lines of these files instead; - for standard input."
     ),
     reasons_for: str = typer.Option(
-        "", help="With --lines: a file of ids, one a line; print why each failed."
+        "", help="With --lines: a file of ids, one per line; print why each failed."
     ),
     version: bool = VersionOption,
 ):
     """Collect the events of all processes and print them in causal order.
 
-    Exit codes: 0 complete, 1 some process could not be read or some id of
+    Exit codes: 0 complete, 1 a process could not be read or an id of
     --reasons-for has no line with a reason, 2 usage.
     """
     if lines and reasons_for:
@@ -62,7 +62,7 @@
         tls = checked.tls.model_copy(update={"ca_certificate": ca_file})
         checked = checked.model_copy(update={"tls": tls})
     if not (entry or control or discover):
-        typer.echo("name --entry, --control or --discover", err=True)
+        typer.echo("give --entry, --control or --discover", err=True)
         raise typer.Exit(USAGE_ERROR)
     keep = Filter(request, step, instance, kind).keeps
     write = _print_json if as_json else _print_line
@@ -78,13 +78,13 @@
 
 
 def _show_lines(paths, wanted_id, kind):
-    """Print the log lines that name an id, over all files, in order of time."""
+    """Print the log lines of all files that contain an id, in order of time."""
     for line in select(_read_lines(paths), wanted_id, kind):
         typer.echo(str(line))
 
 
 def _show_reasons(paths, ids):
-    """Print for each id the line with its reason, and how many have none."""
+    """Print the line with the reason for each id, and how many ids have none."""
     reason_lines = reasons(_read_lines(paths), ids)
     for event_id, line in reason_lines.items():
         typer.echo(f"{event_id}: {line or 'no line with a reason'}")
--- a/sassafrasdoor/tools/trainer.py
+++ b/sassafrasdoor/tools/trainer.py
@@ -1,4 +1,4 @@
-"""``sassafrasdoor-trainer``: submit a training step and print what came of it."""
+"""``sassafrasdoor-trainer``: submit a training step and print its report."""
 
 import asyncio
 import json
@@ -14,7 +14,7 @@
 from sassafrasdoor.tools.options import USAGE_ERROR, CaFileOption, VersionOption
 
 MAX_PROMPTS_CHARS = 64_000_000
-MAX_DEADLINE = 24 * 3600
+MAX_DEADLINE = 24 * 3600  # seconds
 
 app = typer.Typer(add_completion=False)
 
@@ -26,25 +26,27 @@
     ],
     address: Annotated[list[str], typer.Option(help="Any instance, host:port.")],
     row: Annotated[str, typer.Option(help="The trainer's row.")],
-    key: Annotated[str, typer.Option(envvar="SASSAFRASDOOR_KEY", help="Its key.")],
+    key: Annotated[
+        str, typer.Option(envvar="SASSAFRASDOOR_KEY", help="The row's key.")
+    ],
     step: Annotated[str, typer.Option(help="Name of the step.")] = "step-1",
-    samples: Annotated[int, typer.Option(help="Samples a group.")] = 8,
-    max_tokens: Annotated[int, typer.Option(help="Longest sample.")] = 256,
+    samples: Annotated[int, typer.Option(help="Samples per group.")] = 8,
+    max_tokens: Annotated[int, typer.Option(help="Most tokens of a sample.")] = 256,
     deadline: Annotated[float, typer.Option(help="Seconds for the step.")] = 600.0,
-    newest_version: Annotated[int, typer.Option(help="Newest weights.")] = 0,
+    newest_version: Annotated[int, typer.Option(help="Newest weights version.")] = 0,
     zone: Annotated[str, typer.Option(help="Availability zone.")] = "",
     seed: Annotated[int, typer.Option()] = 0,
-    output: Annotated[str, typer.Option(help="Write samples, a line each.")] = "",
+    output: Annotated[str, typer.Option(help="Write samples, one per line.")] = "",
     as_json: Annotated[bool, typer.Option("--json", help="Report as JSON.")] = False,
     ca_file: str = CaFileOption,
     version: bool = VersionOption,
 ):
     """Submit the prompts as one step, iterate its samples, print the report.
 
-    Exit codes: 0 all samples came, 1 the step ended early, 2 usage.
+    Exit codes: 0 all samples delivered, 1 the step ended early, 2 usage.
     """
     if not 0 < deadline <= MAX_DEADLINE:
-        raise typer.BadParameter(f"--deadline: not within 0..{MAX_DEADLINE}")
+        raise typer.BadParameter(f"--deadline: not within 0..{MAX_DEADLINE} seconds")
     document = {
         "step": step,
         "groups": [_group(entry) for entry in _read(prompts)],
