--- a/sassafrasdoor/entry/tests/test_tls.py
+++ b/sassafrasdoor/entry/tests/test_tls.py
@@ -99,11 +99,11 @@
             else:
                 found = await client.query(1)
             client.close()
-            self.assertEqual(found.everywhere, seen)
+            self.assertEqual(found.is_everywhere, seen)
 
     async def all_seen(self, client):
         found = await client.query(1)
-        return found if found and found.everywhere else None
+        return found if found and found.is_everywhere else None
 
     def test_files_are_findings(self):
         """Guards against TLS files that are first read when the port is bound."""
