--- a/sassafrasdoor/tools/tests/test_table.py
+++ b/sassafrasdoor/tools/tests/test_table.py
@@ -52,12 +52,12 @@
     def test_row_with_a_changed_share_is_a_change(self):
         new = table_from(sheets.from_csv(SHEET).document)
         old = new.model_copy(update={"rows": new.rows[:1]})
-        found = {change.name: change for change in changes(old, new)}
-        self.assertEqual(found["boards"].fields, {})
-        self.assertEqual(found["boards"].old_share, 1.0)
-        self.assertAlmostEqual(found["boards"].new_share, 0.5)
-        self.assertAlmostEqual(found["wording"].new_share, 0.5)
-        self.assertEqual(found["wording"].fields["weight"], (None, 3.0))
+        row_changes = {change.name: change for change in changes(old, new)}
+        self.assertEqual(row_changes["boards"].fields, {})
+        self.assertEqual(row_changes["boards"].old_share, 1.0)
+        self.assertAlmostEqual(row_changes["boards"].new_share, 0.5)
+        self.assertAlmostEqual(row_changes["wording"].new_share, 0.5)
+        self.assertEqual(row_changes["wording"].fields["weight"], (None, 3.0))
         self.assertEqual(changes(new, new), [])
 
 
@@ -122,8 +122,8 @@
         )
         self.assertEqual(result.exit_code, 0)
         path.write_text(path.read_text().replace(",1.0,", ",2.0,", 1))
-        code, found = self.run_tool("diff", path)
-        self.assertEqual(found["changes"][0]["fields"], {"weight": [1.0, 2.0]})
+        code, difference = self.run_tool("diff", path)
+        self.assertEqual(difference["changes"][0]["fields"], {"weight": [1.0, 2.0]})
         code, second = self.run_tool("apply", path)
         self.assertEqual(code, 0)
         self.assertGreater(second["revision"], first["revision"])
@@ -168,8 +168,8 @@
             with self.subTest(arguments):
                 down = code == 3
                 self.call("POST", "/standin/faults", {"down": down})
-                found, document = self.run_tool(*arguments)
-                self.assertEqual(found, code)
+                exit_code, document = self.run_tool(*arguments)
+                self.assertEqual(exit_code, code)
                 self.assertEqual(document and document["outcome"], outcome)
 
     def test_lost_reply_publishes_once(self):
