--- a/sassafrasdoor/cluster.py
+++ b/sassafrasdoor/cluster.py
@@ -1,14 +1,14 @@
 """A small cluster of real processes on one machine, for tests and the demo.
 
 Starts the platform stand-in, backend server stand-ins and entry instances (an
-entry and a control process each), publishes a table and speaks HTTP to them.
+entry and a control process each), publishes a table and calls them over HTTP.
 """
 
 import json
 
 from tornado.simple_httpclient import SimpleAsyncHTTPClient
 
-from sassafrasdoor.fetch import entry_request, reply_to
+from sassafrasdoor.fetch import entry_request, fetch_response
 from sassafrasdoor.support import ROOT, Processes, until
 
 ZONES = ("zone-a", "zone-b", "zone-c")
@@ -24,8 +24,8 @@
 
 TABLE = json.loads((ROOT / "samples" / "table.json").read_text("utf-8"))
 
-# Short periods, so that tests wait for conditions and not for production timers.
-QUICK = {
+# Tests wait for conditions and not for production timers.
+SHORT_INTERVALS = {
     "lease": {"duration": 3.0, "renew_interval": 1.0},
     "drain": {"spread": 1.0},
     "membership": {"probe_interval": 0.3, "suspicion_timeout": 1.0},
@@ -51,27 +51,27 @@
         return self.entry.ready["entry"]
 
     def kill(self):
-        """End both processes at once."""
+        """Kill both processes."""
         self.entry.kill()
         self.control.kill()
 
     def freeze(self):
-        """Stop both processes from running."""
+        """Suspend both processes."""
         self.entry.freeze()
         self.control.freeze()
 
     def thaw(self):
-        """Let both processes run on."""
+        """Resume both processes."""
         self.entry.thaw()
         self.control.thaw()
 
     def stop(self):
-        """Stop both as planned; return the exit codes (entry, control)."""
+        """Stop both with SIGTERM; return the exit codes (entry, control)."""
         return self.entry.stop(), self.control.stop()
 
 
 class Cluster:
-    """Processes of one run; use as an async context manager."""
+    """The processes of one run; an async context manager."""
 
     def __init__(self, settings=None, ca_file=""):
         self.processes = Processes()
@@ -79,7 +79,7 @@
         self.platform = None
         self.backends = {}
         self.instances = []
-        self._extra = settings or {}
+        self._settings = settings or {}
         self._http = SimpleAsyncHTTPClient(force_instance=True, max_clients=500)
 
     async def __aenter__(self):
@@ -109,9 +109,9 @@
         return self._start_backend("service", name, service, zone, *options)
 
     def _start_backend(self, kind, name, service, zone, *options):
-        place = ["--platform", self.platform_url, "--name", name]
-        place += ["--service", service, "--zone", zone]
-        process = self.processes.serve("standin", kind, *place, *options)
+        location = ["--platform", self.platform_url, "--name", name]
+        location += ["--service", service, "--zone", zone]
+        process = self.processes.serve("standin", kind, *location, *options)
         self.backends[name] = process
         return process
 
@@ -126,14 +126,18 @@
             },
             "membership": {"seeds": self._seeds(), "peer_keys": [PEER_KEY]},
         }
-        for extra in (QUICK, self._extra):
-            for section, values in extra.items():
+        for overrides in (SHORT_INTERVALS, self._settings):
+            for section, values in overrides.items():
                 document.setdefault(section, {}).update(values)
         return document
 
     def _seeds(self):
-        live = [one for one in self.instances if one.control.returncode is None]
-        return [one.control.ready["gossip"] for one in live]
+        running = [
+            instance
+            for instance in self.instances
+            if instance.control.returncode is None
+        ]
+        return [instance.control.ready["gossip"] for instance in running]
 
     def start_instance(self, name, zone=ZONES[0], **platform):
         """Start an entry instance: its control process, then its entry process."""
@@ -149,7 +153,7 @@
         return instance
 
     async def start(self, instances=3, engines=2, services=1, engine_options=()):
-        """Start a whole cluster with ``TABLE`` in force; return it."""
+        """Start a cluster with ``TABLE`` in force and return it."""
         self.start_platform()
         for index in range(engines):
             zone = ZONES[index % len(ZONES)]
@@ -161,23 +165,31 @@
         await self.propose(TABLE)
         for index in range(instances):
             self.start_instance(f"entry-{index + 1}", ZONES[index % len(ZONES)])
-        await self.ready()
+        await self.wait_ready()
         return self
 
-    async def ready(self):
-        """Wait until every running instance is ready and knows all backends."""
+    async def wait_ready(self):
+        """Wait until each running instance is ready and lists all backends as alive."""
         for instance in self.instances:
             if instance.entry.returncode is None:
-                await until(lambda one=instance: self._is_ready(one), what="ready")
+                await until(
+                    lambda instance=instance: self._is_ready(instance), what="ready"
+                )
 
     async def _is_ready(self, instance):
         status, _ = await self.get(instance.address, "/readyz")
         if status != 200:
             return False
-        _, seen = await self.get(instance.address, "/v1/status")
-        alive = {one["name"] for one in seen["backends"] if one["state"] == "alive"}
+        _, status_page = await self.get(instance.address, "/v1/status")
+        alive = {
+            backend["name"]
+            for backend in status_page["backends"]
+            if backend["state"] == "alive"
+        }
         return alive >= {
-            name for name, one in self.backends.items() if one.returncode is None
+            name
+            for name, process in self.backends.items()
+            if process.returncode is None
         }
 
     async def propose(self, table, base=0, proposal="proposal-1"):
@@ -199,24 +211,24 @@
         return answer["offset"]
 
     async def platform_faults(self, **faults):
-        """Switch faults of the platform stand-in."""
+        """Set faults of the platform stand-in."""
         address = self.platform_url.removeprefix("http://")
         return await self.post(address, "/standin/faults", faults)
 
     async def faults(self, name, **faults):
-        """Switch faults of a backend server stand-in."""
+        """Set faults of a backend server stand-in."""
         address = self.backends[name].ready["address"]
         return await self.post(address, "/standin/faults", faults)
 
     async def truth(self, name):
-        """Return what a backend server stand-in truly did."""
-        _, truth = await self.get(
+        """Return a backend server stand-in's own record of what it did."""
+        _, actions = await self.get(
             self.backends[name].ready["address"], "/standin/truth"
         )
-        return truth
+        return actions
 
     async def get(self, address, path, key=""):
-        """GET; return ``(status, JSON document)``; status 599 when there is no reply."""
+        """GET; return ``(status, JSON document)``; status 599 if there is no reply."""
         return await self.call("GET", address, path, key)
 
     async def post(self, address, path, document, key="", headers=None):
@@ -224,26 +236,26 @@
         return await self.call("POST", address, path, key, document, headers)
 
     async def call(self, method, address, path, key="", document=None, headers=None):
-        """Call one address once, with no retry; return ``(status, document)``."""
+        """Call an address once, without retries; return ``(status, document)``."""
         response = await self.raw(method, address, path, key, document, headers)
         if response.body and "json" in response.headers.get("Content-Type", "json"):
             return response.code, json.loads(response.body)
         return response.code, {}
 
     async def raw(self, method, address, path, key="", document=None, headers=None):
-        """Call one address once and return Tornado's response."""
-        sent = dict(headers or {})
+        """Call an address once and return Tornado's response."""
+        all_headers = dict(headers or {})
         if key:
-            sent["Authorization"] = f"Bearer {key}"
-        entries = {one.address for one in self.instances}
+            all_headers["Authorization"] = f"Bearer {key}"
+        entry_addresses = {instance.address for instance in self.instances}
         request = entry_request(
             address,
             path,
-            self._ca_file if address in entries else "",
+            self._ca_file if address in entry_addresses else "",
             method=method,
-            headers=sent,
+            headers=all_headers,
             body=None if document is None else json.dumps(document),
             request_timeout=CALL_TIMEOUT,
             allow_nonstandard_methods=True,
         )
-        return await reply_to(self._http, request)
+        return await fetch_response(self._http, request)
--- a/sassafrasdoor/entry/components.py
+++ b/sassafrasdoor/entry/components.py
@@ -14,7 +14,7 @@
 from sassafrasdoor.routing.loads import LoadPoller
 from sassafrasdoor.steps import handlers as step_handlers
 from sassafrasdoor.steps.handlers import StepsService
-from sassafrasdoor.stopping import lasting
+from sassafrasdoor.stopping import start_critical_tasks
 from sassafrasdoor.view import State
 
 REPORT_INTERVAL = 0.2  # seconds
@@ -73,7 +73,7 @@
             self.admission.run(self.view),
             self._send_report(),
         ]
-        self._tasks = lasting(coroutines)
+        self._tasks = start_critical_tasks(coroutines)
 
     async def close(self):
         """Cancel the background tasks and close the log."""
--- a/sassafrasdoor/entry/process.py
+++ b/sassafrasdoor/entry/process.py
@@ -12,7 +12,7 @@
 from sassafrasdoor.events import EVENTS
 from sassafrasdoor.peers.server import PeerServer
 from sassafrasdoor.requests.peer import capability
-from sassafrasdoor.stopping import planned_stop, say_ready
+from sassafrasdoor.stopping import install_stop_handler, print_ready_line
 
 DRAIN_POLL_INTERVAL = 0.05  # seconds
 
@@ -39,8 +39,8 @@
     await peer_server.start()
     link.set_addresses(address, peer_server.address)
     components.start()
-    stop_requested = planned_stop()
-    say_ready(settings.instance.name, entry=address, peer=peer_server.address)
+    stop_requested = install_stop_handler()
+    print_ready_line(settings.instance.name, entry=address, peer=peer_server.address)
     await stop_requested.wait()
     await _drain(settings, components)
     await peer_server.close()
--- a/sassafrasdoor/entry/tests/test_tls.py
+++ b/sassafrasdoor/entry/tests/test_tls.py
@@ -11,12 +11,12 @@
 
 from sassafrasdoor import settings as settings_module
 from sassafrasdoor.cluster import KEYS, Cluster
-from sassafrasdoor.fetch import NO_REPLY, entry_request, reply_to
+from sassafrasdoor.fetch import NO_REPLY, entry_request, fetch_response
 from sassafrasdoor.load import run as runs
 from sassafrasdoor.load.profile import CallerProfile, Profile, TrainerProfile
 from sassafrasdoor.support import until
 from sassafrasdoor.timeline.sources import EntrySource
-from sassafrasdoor.tools.in_force import Survey
+from sassafrasdoor.tools.in_force import StatusClient
 
 CALL = "/v1/call/idempotent/work"
 PROMPTS = ["How full is the car park?", "Which level is free?"]
@@ -66,7 +66,7 @@
         request = entry_request(
             self.address, CALL, ca_file, method="POST", body="{}", headers=headers
         )
-        reply = await reply_to(http, request)
+        reply = await fetch_response(http, request)
         http.close()
         self.assertTrue(reply.code == 200 or reply.code == NO_REPLY)
         return reply.code
@@ -93,18 +93,18 @@
         platform = {"instances_url": cluster.platform_url}
         for ca_file, is_trusted in ((self.ca_file, True), ("", False)):
             document = {"platform": platform, "tls": {"ca_certificate": ca_file}}
-            survey = Survey(settings_module.from_document(document))
+            client = StatusClient(settings_module.from_document(document))
             # The instance list is delayed: at first it lacks the address.
             if is_trusted:
-                result = await until(lambda survey=survey: self.all_seen(survey))
+                result = await until(lambda client=client: self.all_seen(client))
             else:
-                result = await survey.ask(1)
-            survey.close()
-            self.assertEqual(result.everywhere, is_trusted)
+                result = await client.query(1)
+            client.close()
+            self.assertEqual(result.is_everywhere, is_trusted)
 
-    async def all_seen(self, survey):
-        result = await survey.ask(1)
-        return result if result and result.everywhere else None
+    async def all_seen(self, client):
+        result = await client.query(1)
+        return result if result and result.is_everywhere else None
 
     def test_invalid_files_are_reported_as_findings(self):
         """Guards against TLS files that are not read before the port is bound."""
@@ -132,7 +132,7 @@
             with self.subTest(tls=tls):
                 path = self.folder / "settings.json"
                 path.write_text(json.dumps({"tls": tls}))
-                loaded = settings_module.load(path, listens=True)
+                loaded = settings_module.load(path, has_listener=True)
                 reported = [
                     finding.place for finding in getattr(loaded, "findings", ())
                 ]
--- a/sassafrasdoor/support.py
+++ b/sassafrasdoor/support.py
@@ -1,4 +1,4 @@
-"""Helpers for tests and the demo: real processes and conditions to wait for."""
+"""Helpers for tests and the demo: real processes and waits for conditions."""
 
 import asyncio
 import contextlib
@@ -17,11 +17,11 @@
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 START_TIMEOUT = 30.0
 STOP_TIMEOUT = 30.0
-POLL = 0.02
+POLL_INTERVAL = 0.02
 
 
 class Process:
-    """A program of ours as a child of the test, with its ready line read."""
+    """A program of this package as a child process, with its ready line."""
 
     __slots__ = ("_lines", "_popen", "_reader", "program", "ready")
 
@@ -66,45 +66,45 @@
 
     def wait_ready(self):
         """Wait for the ready line and return it."""
-        limit = deadline_in(START_TIMEOUT)
+        deadline = deadline_in(START_TIMEOUT)
         while self.ready is None:
-            if self.returncode is not None or passed(limit):
+            if self.returncode is not None or passed(deadline):
                 raise AssertionError(
                     f"{self.program} did not start:\n" + "\n".join(self._lines[-40:])
                 )
-            time.sleep(POLL)
+            time.sleep(POLL_INTERVAL)
         return self.ready
 
-    def signal(self, number):
-        """Send a signal; a process that has ended already is no error."""
+    def signal(self, signum):
+        """Send a signal; does nothing if the process has ended."""
         with contextlib.suppress(ProcessLookupError):
-            self._popen.send_signal(number)
+            self._popen.send_signal(signum)
 
     def kill(self):
-        """End it at once, with nothing said to anybody."""
+        """Kill the process with SIGKILL."""
         self.signal(signal.SIGKILL)
         self._popen.wait(STOP_TIMEOUT)
 
     def freeze(self):
-        """Stop it from running until ``thaw``."""
+        """Suspend the process until ``thaw()``."""
         self.signal(signal.SIGSTOP)
 
     def thaw(self):
-        """Let it run on."""
+        """Resume the process."""
         self.signal(signal.SIGCONT)
 
     def stop(self, timeout=STOP_TIMEOUT):
-        """Ask for a planned stop (SIGTERM) and return the exit code."""
+        """Request a planned stop (SIGTERM) and return the exit code."""
         self.thaw()
         self.signal(signal.SIGTERM)
         return self.wait(timeout)
 
     def wait(self, timeout):
-        """Wait until it has ended by itself and return the exit code."""
+        """Wait for the process to exit and return the exit code."""
         return self._popen.wait(timeout)
 
     def close(self):
-        """Make sure that it is gone, and its pipe closed."""
+        """Kill the process if it still runs, and close its pipe."""
         if self.returncode is None:
             self.thaw()
             self.kill()
@@ -113,7 +113,7 @@
 
 
 class Processes:
-    """Starts programs and ends them all; use as a context manager."""
+    """Starts programs and ends them all on exit; a context manager."""
 
     __slots__ = ("_folder", "all")
 
@@ -136,13 +136,13 @@
         return process
 
     def serve(self, program, *arguments):
-        """Start a program and wait until it says that it is ready."""
+        """Start a program and wait for its ready line."""
         process = self.start(program, *arguments)
         process.wait_ready()
         return process
 
     def write_json(self, name, document):
-        """Write a JSON file into the run's folder and return its path."""
+        """Write a JSON file to the temporary folder and return its path."""
         path = os.path.join(self._folder.name, name)
         with open(path, "w", encoding="utf-8") as file:
             json.dump(document, file)
@@ -151,13 +151,13 @@
 
 async def until(condition, timeout=START_TIMEOUT, what="condition"):
     """Wait until ``condition()`` (plain or async) is truthy and return its value."""
-    limit = deadline_in(timeout)
+    deadline = deadline_in(timeout)
     while True:
         value = condition()
         if asyncio.iscoroutine(value):
             value = await value
         if value:
             return value
-        if passed(limit):
+        if passed(deadline):
             raise AssertionError(f"waited {timeout} s in vain for {what}")
-        await asyncio.sleep(POLL)
+        await asyncio.sleep(POLL_INTERVAL)
--- a/sassafrasdoor/tools/demo.py
+++ b/sassafrasdoor/tools/demo.py
@@ -18,26 +18,26 @@
     as_json: bool = typer.Option(False, "--json", help="Print the report as JSON."),
     version: bool = VersionOption,
 ):
-    """Run the demo. Exit codes: 0 all promises held, 1 one was broken."""
+    """Run the demo. Exit codes: 0 all guarantees held, 1 one was violated."""
     console = Console(stderr=as_json)
     report = asyncio.run(demo.Demo(console.print).run())
     if as_json:
         typer.echo(json.dumps(report))
     else:
         _print(console, report)
-    broken = demo.broken_promises(report)
-    for sentence in broken:
-        console.print(f"[bold red]BROKEN[/]: {sentence}")
-    if not broken:
-        console.print("[bold green]every promise held[/]")
-    raise typer.Exit(1 if broken else 0)
+    violations = demo.violated_guarantees(report)
+    for violation in violations:
+        console.print(f"[bold red]VIOLATED[/]: {violation}")
+    if not violations:
+        console.print("[bold green]every guarantee held[/]")
+    raise typer.Exit(1 if violations else 0)
 
 
 def _print(console, report):
     table = Table("figure", "value", title="sassafrasdoor demo")
     for name, value in report.items():
-        shown = value if isinstance(value, str) else json.dumps(value)
-        table.add_row(name.replace("_", " "), shown)
+        text = value if isinstance(value, str) else json.dumps(value)
+        table.add_row(name.replace("_", " "), text)
     console.print(table)
 
 
--- a/sassafrasdoor/tools/in_force.py
+++ b/sassafrasdoor/tools/in_force.py
@@ -1,4 +1,4 @@
-"""Asking every instance which revision of the table it uses."""
+"""Queries all instances for the table revision that they use."""
 
 import asyncio
 import json
@@ -12,12 +12,12 @@
 
 MAX_CLIENTS = 50
 CALL_TIMEOUT = 2.0
-ASK_AGAIN = 0.2
-NO_ANSWER = (HTTPError, OSError, ValueError, KeyError, TypeError, AttributeError)
+QUERY_INTERVAL = 0.2
+CALL_ERRORS = (HTTPError, OSError, ValueError, KeyError, TypeError, AttributeError)
 
 
-class InForce:
-    """Instances by name, with the revision each one uses; None: it did not say."""
+class RevisionCoverage:
+    """The revision that each instance uses, by name; None if it did not answer."""
 
     __slots__ = ("revision", "revisions")
 
@@ -27,24 +27,28 @@
 
     @property
     def count(self):
-        """On how many instances the revision, or a later one, is in force."""
-        return sum((used or 0) >= self.revision for used in self.revisions.values())
+        """The number of instances on which ``revision`` or a later one is in force."""
+        return sum(
+            (revision or 0) >= self.revision for revision in self.revisions.values()
+        )
 
     @property
-    def everywhere(self):
-        """Whether it is in force on all instances listed."""
+    def is_everywhere(self):
+        """Whether ``revision`` is in force on all listed instances."""
         return self.count == len(self.revisions)
 
     @property
     def missing(self):
-        """The names of the others."""
+        """The names of the instances on which ``revision`` is not in force."""
         return sorted(
-            name for name, used in self.revisions.items() if (used or 0) < self.revision
+            name
+            for name, revision in self.revisions.items()
+            if (revision or 0) < self.revision
         )
 
 
-class Survey:
-    """Asks the instances in the platform's list; close it after use."""
+class StatusClient:
+    """Reads the status of the instances that the platform lists; close it after use."""
 
     __slots__ = ("_client", "_settings")
 
@@ -57,41 +61,42 @@
         self._client.close()
 
     async def wait(self, revision, deadline):
-        """Return ``InForce`` once true everywhere, or as it is at ``deadline``."""
+        """Return the coverage once it is complete, or as it is at ``deadline``."""
         while True:
-            found = await self.ask(revision)
-            if (found and found.everywhere) or passed(deadline):
-                return found
-            await asyncio.sleep(min(ASK_AGAIN, remaining(deadline)))
+            coverage = await self.query(revision)
+            if (coverage and coverage.is_everywhere) or passed(deadline):
+                return coverage
+            await asyncio.sleep(min(QUERY_INTERVAL, remaining(deadline)))
 
-    async def ask(self, revision):
-        """Return ``InForce`` as of now, or ``Unavailable``: no instance list."""
+    async def query(self, revision):
+        """Return the current coverage, or ``Unavailable`` without an instance list."""
         try:
-            listed = await self._get(
+            listing = await self._get(
                 f"{self._settings.platform.instances_url}/instances"
             )
             entries = {
-                str(one["name"]): one["address"]
-                for one in listed["instances"]
-                if one.get("kind") == "entry" and one.get("state", "alive") == "alive"
+                str(instance["name"]): instance["address"]
+                for instance in listing["instances"]
+                if instance.get("kind") == "entry"
+                and instance.get("state", "alive") == "alive"
             }
-        except NO_ANSWER as error:
+        except CALL_ERRORS as error:
             return Unavailable(f"no instance list: {error}")
-        used = await asyncio.gather(*map(self._revision, entries.values()))
-        return InForce(revision, dict(zip(entries, used, strict=True)))
+        revisions = await asyncio.gather(*map(self._revision, entries.values()))
+        return RevisionCoverage(revision, dict(zip(entries, revisions, strict=True)))
 
     async def status(self, address):
         """Return the status page of an instance, or ``Unavailable``."""
-        scheme = "https" if self._settings.tls.trusted else "http"
+        scheme = "https" if self._settings.tls.trusted_ca_file else "http"
         try:
             return await self._get(f"{scheme}://{address}/v1/status")
-        except NO_ANSWER as error:
+        except CALL_ERRORS as error:
             return Unavailable(f"no status from {address}: {error}")
 
     async def _revision(self, address):
         try:
             return int((await self.status(address))["revision"])
-        except NO_ANSWER:
+        except CALL_ERRORS:
             return None
 
     async def _get(self, url):
@@ -100,7 +105,7 @@
             follow_redirects=False,
             connect_timeout=CALL_TIMEOUT,
             request_timeout=CALL_TIMEOUT,
-            ca_certs=self._settings.tls.trusted or None,
+            ca_certs=self._settings.tls.trusted_ca_file or None,
             prepare_curl_callback=lambda curl: curl.setopt(pycurl.NOPROXY, "*"),
         )
         return json.loads((await self._client.fetch(request)).body)
--- a/sassafrasdoor/tools/table.py
+++ b/sassafrasdoor/tools/table.py
@@ -1,8 +1,8 @@
 """The operators' tool: check, compare, publish and show the table.
 
 Exit codes: 0 done; 1 rejected, findings are printed; 2 wrong usage; 3 the platform
-gave no answer (the reason says whether the change may still take effect);
-4 accepted, but not in force on every instance in time.
+did not answer (the reason says whether the change may still take effect);
+4 accepted, but not in force on every instance before the timeout.
 """
 
 import asyncio
@@ -23,18 +23,18 @@
 from sassafrasdoor.table.accepted import NO_REVISION
 from sassafrasdoor.table.publisher import propose
 from sassafrasdoor.table.rows import table_from
-from sassafrasdoor.tools.in_force import Survey
+from sassafrasdoor.tools.in_force import StatusClient
 from sassafrasdoor.tools.options import VersionOption, read
 from sassafrasdoor.tools.table_changes import changes
 from sassafrasdoor.tools.table_report import Report
 
 app = typer.Typer(no_args_is_help=True, help=__doc__)
 SheetArgument = typer.Argument(..., help="A .json or .csv sheet.")
-TimeoutOption = typer.Option(30.0, help="Seconds to wait in all.")
+TimeoutOption = typer.Option(30.0, help="Total seconds to wait.")
 
 
 class Context:
-    """What every command needs: settings, where to report, the log while used."""
+    """State of a command: settings, report, and the log while ``run`` runs."""
 
     __slots__ = ("log", "report", "settings")
 
@@ -44,7 +44,7 @@
         self.log = None
 
     def run(self, job):
-        """Run ``job()`` in a loop of its own with the log open."""
+        """Run ``job()`` in a new event loop with the log open."""
         return asyncio.run(self._run(job))
 
     async def _run(self, job):
@@ -54,13 +54,13 @@
         finally:
             self.log.close()
 
-    async def state(self, seconds):
+    async def agreed_state(self, seconds):
         """Return the agreed state, or ``Unavailable``."""
         follower = Follower(self.settings, self.log, agreed.fold, agreed.Agreed())
         return await follower.catch_up(deadline_in(seconds))
 
-    def demand(self, value):
-        """Return ``value``; report an outcome that is none and end."""
+    def value_or_exit(self, value):
+        """Return ``value``; if it is a failed outcome, report it and exit."""
         if not value:
             raise typer.Exit(self.report.outcome(value))
         return value
@@ -70,7 +70,9 @@
 def _options(
     context: typer.Context,
     settings: str = typer.Option("", help="A JSON settings file."),
-    platform: str = typer.Option("", help="URL of the platform, over the settings'."),
+    platform: str = typer.Option(
+        "", help="URL of the platform; overrides the settings."
+    ),
     as_json: bool = typer.Option(False, "--json", help="Print JSON."),
     version: bool = VersionOption,
 ):
@@ -87,7 +89,9 @@
 def check(context: typer.Context, sheet: str = SheetArgument):
     """Check a sheet; needs no platform."""
     tool = context.obj
-    table = tool.demand(table_from(tool.demand(sheets.read(sheet)).document))
+    table = tool.value_or_exit(
+        table_from(tool.value_or_exit(sheets.read(sheet)).document)
+    )
     tool.report.checked(table)
 
 
@@ -97,11 +101,13 @@
 ):
     """Show what a sheet would change, and each row's share before and after.
 
-    Shares are of the service's capacity when every row wants all it may have.
+    Shares are of the service's capacity when every row demands its limit.
     """
     tool = context.obj
-    table = tool.demand(table_from(tool.demand(sheets.read(sheet)).document))
-    state = tool.demand(tool.run(lambda: tool.state(timeout)))
+    table = tool.value_or_exit(
+        table_from(tool.value_or_exit(sheets.read(sheet)).document)
+    )
+    state = tool.value_or_exit(tool.run(lambda: tool.agreed_state(timeout)))
     tool.report.changes(state.revision, changes(state.table, table))
 
 
@@ -109,18 +115,17 @@
 def apply(
     context: typer.Context,
     sheet: str = SheetArgument,
-    base: int = typer.Option(None, help="The revision edited, over the sheet's own."),
-    author: str = typer.Option("", help="Who publishes; default: the login name."),
+    base: int = typer.Option(None, help="The revision edited; overrides the sheet's."),
+    author: str = typer.Option("", help="Author; default: the login name."),
     timeout: float = TimeoutOption,
 ):
     """Publish a sheet, and wait until it is in force on every instance.
 
-    The sheet names the revision that it was made from (``show --output`` writes
-    it). If another revision is in force by now, nothing changes and you are told
-    whose it is.
+    The sheet states the revision that it was made from (``show --output`` writes
+    it). If another revision is in force, nothing changes and its author is shown.
     """
     tool = context.obj
-    edited = tool.demand(sheets.read(sheet))
+    edited = tool.value_or_exit(sheets.read(sheet))
     if base is None:
         base = edited.revision
     raise typer.Exit(tool.run(lambda: _apply(tool, edited, base, author, timeout)))
@@ -129,7 +134,7 @@
 async def _apply(tool, edited, base, author, timeout):
     deadline = deadline_in(timeout)
     if base is None:
-        base = await _first_base(tool, timeout)
+        base = await _initial_base(tool, timeout)
     if not isinstance(base, int):
         return tool.report.outcome(base)
     decision = await propose(
@@ -142,23 +147,23 @@
     )
     if not decision:
         return tool.report.outcome(decision)
-    survey = Survey(tool.settings)
+    client = StatusClient(tool.settings)
     try:
-        found = await survey.wait(decision.offset, deadline)
+        coverage = await client.wait(decision.offset, deadline)
     finally:
-        survey.close()
-    return tool.report.published(decision, found)
+        client.close()
+    return tool.report.published(decision, coverage)
 
 
-async def _first_base(tool, timeout):
-    state = await tool.state(timeout)
+async def _initial_base(tool, timeout):
+    state = await tool.agreed_state(timeout)
     if not state:
         return state
     if state.table is None:
         return NO_REVISION
-    # Taking whatever is in force for the base would overwrite what another
-    # operator has published since this sheet was made.
-    reason = "the sheet does not say which revision it edits; give --base"
+    # With the revision in force as the base, the sheet would overwrite changes that
+    # another operator has published since it was made.
+    reason = "the sheet does not state the revision that it edits; give --base"
     return Rejected("base unknown", [Finding("revision", reason)])
 
 
@@ -170,7 +175,7 @@
 ):
     """Show the table in force, or write it as a sheet."""
     tool = context.obj
-    state = tool.demand(tool.run(lambda: tool.state(timeout)))
+    state = tool.value_or_exit(tool.run(lambda: tool.agreed_state(timeout)))
     if not output:
         return tool.report.table(state)
     if state.table is None:
@@ -184,9 +189,9 @@
 
 @app.command()
 def history(context: typer.Context, timeout: float = TimeoutOption):
-    """List the latest proposals, what became of them, and who was first."""
+    """List the latest proposals with their authors, decisions and findings."""
     tool = context.obj
-    state = tool.demand(tool.run(lambda: tool.state(timeout)))
+    state = tool.value_or_exit(tool.run(lambda: tool.agreed_state(timeout)))
     tool.report.history(state.accepted.decisions)
 
 
@@ -195,17 +200,17 @@
     context: typer.Context,
     address: str = typer.Option(..., help="An entry instance, host:port."),
 ):
-    """Show the system as one instance sees it: members, weights, quota, queues."""
+    """Show one instance's view of the system: members, weights, quota, queues."""
     tool = context.obj
-    tool.report.status(tool.demand(asyncio.run(_status(tool.settings, address))))
+    tool.report.status(tool.value_or_exit(asyncio.run(_status(tool.settings, address))))
 
 
 async def _status(settings, address):
-    survey = Survey(settings)
+    client = StatusClient(settings)
     try:
-        return await survey.status(address)
+        return await client.status(address)
     finally:
-        survey.close()
+        client.close()
 
 
 @app.command()
@@ -222,7 +227,7 @@
         deadline = deadline_in(timeout)
         return announce_version(tool.settings, tool.log, model, version, deadline)
 
-    tool.report.announced(model, tool.demand(tool.run(job)))
+    tool.report.announced(model, tool.value_or_exit(tool.run(job)))
 
 
 @app.command("key-hash")
