--- a/samples/membership_fakes.py
+++ b/samples/membership_fakes.py
@@ -19,7 +19,7 @@
 from sassafrasdoor.control.process import ControlProcess
 from sassafrasdoor.control.state_sync import MAX_HOPS
 from sassafrasdoor.membership.broadcasts import Broadcasts
-from sassafrasdoor.membership.delegate import Delegate, News
+from sassafrasdoor.membership.delegate import Delegate, LogPosition
 from sassafrasdoor.membership.messages import decode_update, encode_update
 from sassafrasdoor.membership.node import Membership
 from sassafrasdoor.view import Member
@@ -42,19 +42,19 @@
         self._heard_at = None
         self._hops = 0
 
-    def news(self):
+    def log_position(self):
         spread, follower = self._process.state_sync, self._process.follower
         as_of, changed = follower.as_of, spread.changed_as_of
         if self._poller:
-            return News(as_of, changed, follower.confirmed_at)
+            return LogPosition(as_of, changed, follower.confirmed_at)
         if self._hops > MAX_HOPS:
-            return News(as_of, changed)
-        return News(as_of, changed, self._heard_at, self._hops)
+            return LogPosition(as_of, changed)
+        return LogPosition(as_of, changed, self._heard_at, self._hops)
 
-    def heard(self, name, news):
-        at = news.confirmed_at
+    def position_received(self, name, log_position):
+        at = log_position.confirmed_at
         if at is not None and (self._heard_at is None or at > self._heard_at):
-            self._heard_at, self._hops = at, news.hops + 1
+            self._heard_at, self._hops = at, log_position.hops + 1
 
 
 class Fakes:
@@ -105,7 +105,7 @@
             if changed > told:
                 told = changed
                 for node in self.nodes:
-                    node.spread_news()
+                    node.broadcast_log_position()
             await asyncio.sleep(0.05)
 
     async def replace(self):
--- a/sassafrasdoor/control/process.py
+++ b/sassafrasdoor/control/process.py
@@ -86,7 +86,7 @@
 
     def possible_grant_holders(self):
         """Return the names of all instances that may use slots, reachable or not."""
-        return self.membership.maybe_living
+        return self.membership.undeparted_names
 
     async def start(self):
         """Bind, join and start all tasks; raises OSError if a port is taken."""
@@ -160,21 +160,21 @@
             self.source.confirmed_at = self.follower.confirmed_at
             if self.state_sync.changed_as_of > self._published_as_of:
                 self._published_as_of = self.state_sync.changed_as_of
-                self.membership.spread_news()
+                self.membership.broadcast_log_position()
             await asyncio.sleep(PUBLISH_DELAY)
 
-    def news(self):
-        return self.state_sync.news()
+    def log_position(self):
+        return self.state_sync.log_position()
 
-    def heard(self, name, news):
-        self.state_sync.heard(name, news)
+    def position_received(self, name, log_position):
+        self.state_sync.position_received(name, log_position)
 
     # Members
 
     def member_changed(self, member):
         self._members_stale = True
         self._members_changed.set()
-        if order.departed(member):
+        if order.has_departed(member):
             self.quota.remove_instance(member.name)
 
     def region_changed(self, region, silent):
@@ -187,7 +187,7 @@
             await asyncio.sleep(PUBLISH_DELAY)
             # After a pause of this process its member states are outdated; the
             # entry keeps the view that it has.
-            if self.membership.trusted:
+            if self.membership.is_view_trusted:
                 self._members_changed.clear()
                 self.source.set_members(self.members())
 
--- a/sassafrasdoor/control/state_sync.py
+++ b/sassafrasdoor/control/state_sync.py
@@ -17,7 +17,7 @@
 from sassafrasdoor.control import messages
 from sassafrasdoor.events import EVENTS
 from sassafrasdoor.log.agreed import Agreed
-from sassafrasdoor.membership.delegate import News
+from sassafrasdoor.membership.delegate import LogPosition
 from sassafrasdoor.outcomes import Unavailable
 from sassafrasdoor.peers.link import PeerLink
 from sassafrasdoor.table.accepted import Accepted
@@ -38,7 +38,7 @@
 
 
 class StateSync:
-    """Exchanges ``News`` and fetches newer state from peers for the follower."""
+    """Exchanges ``LogPosition`` and fetches newer state from peers for the follower."""
 
     __slots__ = (
         "_peers_ahead",
@@ -129,26 +129,36 @@
         relayed_at, hops = self._confirmed
         return hops if relayed_at == self._follower.confirmed_at else 0
 
-    def news(self):
+    def log_position(self):
         """Return this instance's read offset and when it was confirmed."""
         at, hops = self._follower.confirmed_at, self.hops
         if at is None:
-            return News()
+            return LogPosition()
         if hops > MAX_HOPS:
-            return News(self._follower.as_of, self.changed_as_of)
-        return News(self._follower.as_of, self.changed_as_of, at, hops)
+            return LogPosition(self._follower.as_of, self.changed_as_of)
+        return LogPosition(self._follower.as_of, self.changed_as_of, at, hops)
 
-    def heard(self, name, news):
-        """Process a member's news: a confirmation, or that it has newer state."""
+    def position_received(self, name, log_position):
+        """Process a member's log position: a confirmation, or that it has newer state."""
         own = self._follower.as_of
-        behind = news.changed_as_of > own
-        if behind or (news.as_of > own and passed(self._next_lazy_fetch)):
-            self._peers_ahead[name] = news.as_of
+        behind = log_position.changed_as_of > own
+        if behind or (log_position.as_of > own and passed(self._next_lazy_fetch)):
+            self._peers_ahead[name] = log_position.as_of
             self._wake_event.set()
         # A member that has read at least as far and has no newer changes confirms
         # the state known here.
-        if own and not behind and news.as_of >= own and news.confirmed_at is not None:
-            self._adopt(self._follower.state, own, news.confirmed_at, news.hops + 1)
+        if (
+            own
+            and not behind
+            and log_position.as_of >= own
+            and log_position.confirmed_at is not None
+        ):
+            self._adopt(
+                self._follower.state,
+                own,
+                log_position.confirmed_at,
+                log_position.hops + 1,
+            )
 
     def _adopt(self, state, as_of, confirmed_at, hops):
         known = self._follower.confirmed_at
--- a/sassafrasdoor/control/tests/test_state_sync.py
+++ b/sassafrasdoor/control/tests/test_state_sync.py
@@ -6,7 +6,7 @@
 from sassafrasdoor.control.state_sync import CONFIRMATION_TIMEOUT, MAX_HOPS, StateSync
 from sassafrasdoor.log.agreed import Agreed
 from sassafrasdoor.log.follower import Follower
-from sassafrasdoor.membership.delegate import News
+from sassafrasdoor.membership.delegate import LogPosition
 from sassafrasdoor.table.accepted import Accepted
 from sassafrasdoor.table.rows import table_from
 from sassafrasdoor.view import Member, State
@@ -81,12 +81,14 @@
         for hops, is_relayed in ((0, True), (MAX_HOPS - 1, True), (MAX_HOPS, False)):
             with self.subTest(hops=hops):
                 state_sync = self.make_state_sync(as_of=5, confirmed_at=at - 5)
-                state_sync.heard("other", News(5, 5, at, hops))
+                state_sync.position_received("other", LogPosition(5, 5, at, hops))
                 self.assertEqual(state_sync._follower.confirmed_at, at)
-                news = state_sync.news()
-                self.assertEqual(news.confirmed_at is not None, is_relayed)
-                self.assertEqual(news.hops, hops + 1 if is_relayed else 0)
-        self.assertEqual(self.make_state_sync(as_of=5, confirmed_at=at).news().hops, 0)
+                log_position = state_sync.log_position()
+                self.assertEqual(log_position.confirmed_at is not None, is_relayed)
+                self.assertEqual(log_position.hops, hops + 1 if is_relayed else 0)
+        self.assertEqual(
+            self.make_state_sync(as_of=5, confirmed_at=at).log_position().hops, 0
+        )
 
     def test_news_confirms_or_triggers_a_fetch(self):
         cases = [
@@ -100,7 +102,9 @@
                 at = now() - 10
                 state_sync = self.make_state_sync(as_of=5, confirmed_at=at)
                 state_sync._next_lazy_fetch = now() + 60
-                state_sync.heard("other", News(as_of, changed, now()))
+                state_sync.position_received(
+                    "other", LogPosition(as_of, changed, now())
+                )
                 self.assertEqual(state_sync._follower.confirmed_at > at, confirms)
                 self.assertEqual(state_sync._wake_event.is_set(), fetches)
 
--- a/sassafrasdoor/membership/broadcasts.py
+++ b/sassafrasdoor/membership/broadcasts.py
@@ -2,7 +2,7 @@
 
 import math
 
-from sassafrasdoor.membership.messages import UPDATES_SIZE, size_of
+from sassafrasdoor.membership.messages import MAX_UPDATES_BYTES, encoded_size
 
 # Each update is sent this many times log10 of the members: enough that one
 # member missing it is rare, and the comparison of digests mends that.
@@ -12,29 +12,29 @@
 class Broadcasts:
     """At most one update for each member, the least sent first."""
 
-    __slots__ = ("_waiting",)
+    __slots__ = ("_pending",)
 
     def __init__(self):
-        self._waiting = {}
+        self._pending = {}
 
     def __len__(self):
-        return len(self._waiting)
+        return len(self._pending)
 
     def add(self, member):
         """Queue an update; it replaces an older one about the same member."""
-        self._waiting[member.name] = [0, member]
+        self._pending[member.name] = [0, member]
 
-    def take(self, members, room=UPDATES_SIZE):
+    def take(self, members, max_bytes=MAX_UPDATES_BYTES):
         """Return updates that fit ``room`` bytes, for a cluster of ``members``."""
-        limit = RETRANSMIT_FACTOR * math.ceil(math.log10(members + 2))
+        max_sends = RETRANSMIT_FACTOR * math.ceil(math.log10(members + 2))
         taken = []
-        for entry in sorted(self._waiting.values(), key=lambda entry: entry[0]):
-            size = size_of(entry[1])
-            if size > room:
+        for entry in sorted(self._pending.values(), key=lambda entry: entry[0]):
+            size = encoded_size(entry[1])
+            if size > max_bytes:
                 break
-            room -= size
+            max_bytes -= size
             entry[0] += 1
             taken.append(entry[1])
-            if entry[0] >= limit:
-                del self._waiting[entry[1].name]
+            if entry[0] >= max_sends:
+                del self._pending[entry[1].name]
         return taken
--- a/sassafrasdoor/membership/delegate.py
+++ b/sassafrasdoor/membership/delegate.py
@@ -3,7 +3,7 @@
 from sassafrasdoor.clock import now
 
 
-class News:
+class LogPosition:
     """How far a member has read the agreed stream, and when that was confirmed.
 
     ``as_of`` is the next offset to read; ``confirmed_at`` is on this process's
@@ -35,9 +35,9 @@
     def region_changed(self, region, silent):
         """A region fell silent as a whole, or was heard again."""
 
-    def news(self):
+    def log_position(self):
         """Return the ``News`` to spread."""
-        return News()
+        return LogPosition()
 
-    def heard(self, name, news):
+    def position_received(self, name, log_position):
         """A member spread its ``News``."""
--- a/sassafrasdoor/membership/messages.py
+++ b/sassafrasdoor/membership/messages.py
@@ -13,13 +13,13 @@
 Kind = SCHEMA.Kind
 
 # Fits one Ethernet frame; a longer datagram is lost whole with any fragment.
-MAX_DATAGRAM = 1400
+MAX_DATAGRAM_BYTES = 1400
 # What updates may take of it; the rest is for the head and two MACs.
-UPDATES_SIZE = 1000
-UPDATE_OVERHEAD = 50
-SEGMENT_COUNT = 0x0F
+MAX_UPDATES_BYTES = 1000
+UPDATE_OVERHEAD_BYTES = 50
+SEGMENT_COUNT_MASK = 0x0F
 # An update passes through a member some ten times; encoding one takes 75 µs.
-CACHED_UPDATES = 2048
+UPDATE_CACHE_SIZE = 2048
 # Milliseconds of the wall clock, far above any: who is told of a later life of its
 # own takes the next number, and beyond 64 bits could send nothing any more.
 MAX_INCARNATION = 1 << 62
@@ -36,23 +36,23 @@
 def encode(keys, **fields):
     """Return the datagram of one message."""
     body = SCHEMA.Message.new_message(**fields).to_bytes_packed()
-    seals = proof.seal(keys, body)
-    return bytes([len(seals)]) + seals + body
+    macs = proof.sign_with_all(keys, body)
+    return bytes([len(macs)]) + macs + body
 
 
 def decode(keys, datagram):
     """Return the message in a datagram; raises ``Malformed`` or ``Forged``."""
     if not datagram or datagram[0] >= len(datagram):
         raise Malformed("no body")
-    at = 1 + datagram[0]
-    body = datagram[at:]
-    if not proof.sealed(keys, body, datagram[1:at]):
+    body_start = 1 + datagram[0]
+    body = datagram[body_start:]
+    if not proof.is_signed(keys, body, datagram[1:body_start]):
         raise Forged("no valid MAC")
     # A message starts with the number of its segments less one; packed, the low
     # bits of the first byte say which bytes of that are not 0. If a segment after
     # the first is missing, the reader raises from its destructor, which aborts
     # the process. Ours have one segment, so others are refused unread.
-    if not body or body[0] & SEGMENT_COUNT:
+    if not body or body[0] & SEGMENT_COUNT_MASK:
         raise Malformed("several segments")
     try:
         return SCHEMA.Message.from_bytes_packed(body)
@@ -60,7 +60,10 @@
         raise Malformed(type(error).__name__) from error
 
 
-@cached(LRUCache(CACHED_UPDATES), key=lambda member: (member.name, order.key(member)))
+@cached(
+    LRUCache(UPDATE_CACHE_SIZE),
+    key=lambda member: (member.name, order.sort_key(member)),
+)
 def encode_update(member):
     """Return the bytes of an update."""
     return SCHEMA.Update.new_message(
@@ -76,16 +79,16 @@
     ).to_bytes()
 
 
-@cached(LRUCache(CACHED_UPDATES))
+@cached(LRUCache(UPDATE_CACHE_SIZE))
 def decode_update(data):
     """Return the ``Member`` in an update; raises as ``decode`` or KeyError."""
     with SCHEMA.Update.from_bytes(data) as message:
         if message.incarnation > MAX_INCARNATION:
             raise Malformed("incarnation")
-        return _member_in(message)
+        return _to_member(message)
 
 
-def _member_in(message):
+def _to_member(message):
     return Member(
         message.name,
         incarnation=message.incarnation,
@@ -99,10 +102,10 @@
     )
 
 
-def size_of(member):
+def encoded_size(member):
     """Return about how many bytes an update takes."""
     return (
-        UPDATE_OVERHEAD
+        UPDATE_OVERHEAD_BYTES
         + len(member.name)
         + len(member.availability_zone)
         + len(member.region)
@@ -117,9 +120,9 @@
     """Yield lists of members whose updates fit one datagram each."""
     chunk, size = [], 0
     for member in members:
-        if chunk and size + size_of(member) > UPDATES_SIZE:
+        if chunk and size + encoded_size(member) > MAX_UPDATES_BYTES:
             yield chunk
             chunk, size = [], 0
         chunk.append(member)
-        size += size_of(member)
+        size += encoded_size(member)
     yield chunk
--- a/sassafrasdoor/membership/node.py
+++ b/sassafrasdoor/membership/node.py
@@ -16,23 +16,23 @@
 from sassafrasdoor.events import EVENTS
 from sassafrasdoor.membership import messages, order
 from sassafrasdoor.membership.broadcasts import Broadcasts
-from sassafrasdoor.membership.delegate import Delegate, News
+from sassafrasdoor.membership.delegate import Delegate, LogPosition
 from sassafrasdoor.membership.regions import Regions
 from sassafrasdoor.membership.roster import Roster
 from sassafrasdoor.membership.suspicions import Suspicions
-from sassafrasdoor.membership.targets import Targets
+from sassafrasdoor.membership.targets import TargetSelector
 from sassafrasdoor.membership.transport import Transport
 from sassafrasdoor.view import State
 
 # One round to ``gossip_fanout`` members by each that hears it reaches nearly all;
 # the probes of the next second or two tell the rest.
-NEWS_ROUNDS = 1
+LOG_POSITION_ROUNDS = 1
 DEPART_ROUNDS = 2
 # A probe ends within one interval; one that took longer ended late by our fault.
-LATE = 1.2
-FEW_UPDATES = 3
-NEVER_MS = 0xFFFFFFFF
-SEQUENCES = 1 << 32
+LATE_PROBE_FACTOR = 1.2
+MAX_RELAYED_REPAIRS = 3
+UNKNOWN_AGE_MS = 0xFFFFFFFF
+SEQUENCE_MODULUS = 1 << 32
 
 
 class Membership:
@@ -42,27 +42,27 @@
     filled in here. Needs a running asyncio loop and no kj_loop.
     """
 
-    def __init__(self, settings, own, delegate=None, chance=None):
+    def __init__(self, settings, own, delegate=None, rng=None):
         self._settings = settings.membership
         self._delegate = delegate or Delegate()
-        self._chance = chance or random.Random()
-        self._transport = Transport(settings, self._received)
+        self._rng = rng or random.Random()
+        self._transport = Transport(settings, self._handle_message)
         self._roster = Roster()
         self._broadcasts = Broadcasts()
         self._regions = Regions(self._settings)
-        self._silent = set()
+        self._silent_regions = set()
         self._suspicions = Suspicions(self._settings, own.region, self._regions)
-        self._targets = Targets(
-            self._settings, own, self._roster, self._regions, self._chance
+        self._selector = TargetSelector(
+            self._settings, own, self._roster, self._regions, self._rng
         )
         self._pending = {}
         self._relays = {}
-        self._sequence = self._chance.randrange(SEQUENCES)
+        self._sequence = self._rng.randrange(SEQUENCE_MODULUS)
         self._compare_after = now()
         self._reconnect_after = now()
-        self._distrust_until = None
-        self._news_left = 0
-        self._pause = PauseDetector(2 * self._settings.probe_interval)
+        self._refresh_deadline = None
+        self._position_rounds_left = 0
+        self._pause_detector = PauseDetector(2 * self._settings.probe_interval)
         self._seeds = list(self._settings.seeds)
         self._tasks = []
         # Milliseconds of the wall clock: above every incarnation of an earlier
@@ -86,9 +86,9 @@
         return self._transport.traffic
 
     @property
-    def trusted(self):
+    def is_view_trusted(self):
         """False after a pause of this process until a member has answered."""
-        return not self._pause.paused
+        return not self._pause_detector.paused
 
     @property
     def members(self):
@@ -96,16 +96,18 @@
 
         Members of a silent region are suspect, after ``silence_timeout`` gone.
         """
-        seen = (self._seen(member) for member in self._roster.living())
-        return [member for member in seen if member.state is not State.DEAD]
+        visible = (self._with_region_state(member) for member in self._roster.living())
+        return [member for member in visible if member.state is not State.DEAD]
 
     @property
-    def maybe_living(self):
+    def undeparted_names(self):
         """Names of all members remembered but those that departed on purpose."""
-        return [m.name for m in self._roster.all() if not order.departed(m)]
+        return [m.name for m in self._roster.all() if not order.has_departed(m)]
 
-    def _seen(self, member):
-        since = self._regions.silent_since(member.region) if self._silent else None
+    def _with_region_state(self, member):
+        since = (
+            self._regions.silent_since(member.region) if self._silent_regions else None
+        )
         if since is None or member.state is not State.ALIVE:
             return member
         gone = now() - since > self._settings.silence_timeout
@@ -114,7 +116,7 @@
     async def start(self, host="127.0.0.1", port=0):
         """Bind, join the seeds and begin to probe."""
         await self._transport.open(host, port)
-        self._declare(gossip_address=self.address)
+        self._update_own(gossip_address=self.address)
         self.join(self._seeds)
         self._tasks = [
             asyncio.create_task(self._probe_forever()),
@@ -130,25 +132,25 @@
     def update(self, **addresses):
         """Tell all members other addresses of this process."""
         if any(getattr(self._own, name) != to for name, to in addresses.items()):
-            self._declare(incarnation=self._own.incarnation + 1, **addresses)
+            self._update_own(incarnation=self._own.incarnation + 1, **addresses)
 
     def leave(self):
         """Tell all members that this process leaves on purpose."""
         if self._own.state is State.ALIVE:
-            self._declare(state=State.LEAVING)
+            self._update_own(state=State.LEAVING)
 
     async def depart(self):
         """Tell some members that this process is gone now, before ``stop``."""
         gone = dict.fromkeys(order.ADDRESSES, "")
         incarnation = self._own.incarnation + 1
-        self._declare(state=State.DEAD, incarnation=incarnation, **gone)
+        self._update_own(state=State.DEAD, incarnation=incarnation, **gone)
         for _ in range(DEPART_ROUNDS):
             self._gossip()
             await asyncio.sleep(self._settings.gossip_interval)
 
-    def spread_news(self):
+    def broadcast_log_position(self):
         """The delegate's ``news`` changed: tell it on without delay."""
-        self._news_left = NEWS_ROUNDS
+        self._position_rounds_left = LOG_POSITION_ROUNDS
 
     async def stop(self):
         """Stop probing and close the socket."""
@@ -162,8 +164,8 @@
     def _send(self, address, kind, updates=None, **fields):
         if updates is None:
             updates = self._broadcasts.take(len(self._roster))
-        news = self._delegate.news()
-        age = news.age
+        log_position = self._delegate.log_position()
+        age = log_position.age
         self._transport.send(
             address,
             kind=kind,
@@ -171,105 +173,112 @@
             region=self._own.region,
             stamp=EVENTS.clock.stamp(),
             digest=self._roster.digest,
-            asOf=news.as_of,
-            confirmedAgeMs=NEVER_MS if age is None else min(int(age * 1000), NEVER_MS),
-            confirmedHops=news.hops,
-            changedAsOf=news.changed_as_of,
+            asOf=log_position.as_of,
+            confirmedAgeMs=UNKNOWN_AGE_MS
+            if age is None
+            else min(int(age * 1000), UNKNOWN_AGE_MS),
+            confirmedHops=log_position.hops,
+            changedAsOf=log_position.changed_as_of,
             updates=[messages.encode_update(member) for member in updates],
             contacts=[
-                {"region": region, "ageMs": min(int(seconds * 1000), NEVER_MS)}
-                for region, seconds in self._regions.ages()
+                {"region": region, "ageMs": min(int(seconds * 1000), UNKNOWN_AGE_MS)}
+                for region, seconds in self._regions.contact_ages()
             ],
             **fields,
         )
 
     def _compare(self, address):
-        wait = self._settings.compare_interval * self._chance.uniform(0.5, 1.5)
-        self._compare_after = deadline_in(wait)
+        delay = self._settings.compare_interval * self._rng.uniform(0.5, 1.5)
+        self._compare_after = deadline_in(delay)
         self._send(address, "compare", [self._own], buckets=self._roster.buckets)
 
     # Receiving
 
-    def _received(self, message, address):
+    def _handle_message(self, message, address):
         if message.sender == self._own.name:
             return
         EVENTS.clock.observe(message.stamp)
-        if not self._pause.tick():
+        if not self._pause_detector.tick():
             # Right after a pause, messages as old as the pause are read: they
             # say nothing about who can be reached now.
-            self._suspicions.last_heard = now()
-            self._hear_regions(message)
-        spread = _worth_spreading(message)
+            self._suspicions.last_received_at = now()
+            self._record_contacts(message)
+        relay_updates = _should_relay_updates(message)
         for update in message.updates:
-            self._take(messages.decode_update(bytes(update)), spread)
-        self._delegate.heard(message.sender, self._news_in(message))
+            self._merge(messages.decode_update(bytes(update)), relay_updates)
+        self._delegate.position_received(message.sender, self._log_position_of(message))
         handler = self._HANDLERS.get(str(message.kind))
         if handler is not None:
             handler(self, message, address)
 
-    def _news_in(self, message):
+    def _log_position_of(self, message):
         age = message.confirmedAgeMs
         # A message that waited while this process was paused is older than it
         # says by an unknown time: its confirmation would look too young.
-        if age == NEVER_MS or self._pause.paused:
-            return News(message.asOf, message.changedAsOf)
+        if age == UNKNOWN_AGE_MS or self._pause_detector.paused:
+            return LogPosition(message.asOf, message.changedAsOf)
         confirmed_at = now() - age / 1000
         hops = message.confirmedHops
-        return News(message.asOf, message.changedAsOf, confirmed_at, hops)
+        return LogPosition(message.asOf, message.changedAsOf, confirmed_at, hops)
 
-    def _hear_regions(self, message):
+    def _record_contacts(self, message):
         if message.region != self._own.region:
-            self._regions.heard(message.region)
+            self._regions.record_contact(message.region)
             return
         for contact in message.contacts:
             if contact.region != self._own.region:
-                self._regions.told(contact.region, contact.ageMs / 1000)
+                self._regions.record_reported_contact(
+                    contact.region, contact.ageMs / 1000
+                )
 
-    def _pinged(self, message, address):
+    def _handle_ping(self, message, address):
         # The address may have passed on to another instance: only the member
         # that was meant answers, or a dead one would seem alive for ever.
         if message.target == self._own.name:
-            doubted = self._roster.get(message.sender)
+            known_sender = self._roster.get(message.sender)
             updates = self._broadcasts.take(len(self._roster))
-            if doubted is not None and doubted.state in (State.SUSPECT, State.DEAD):
-                updates = [doubted, *updates[1:]]
+            if known_sender is not None and known_sender.state in (
+                State.SUSPECT,
+                State.DEAD,
+            ):
+                updates = [known_sender, *updates[1:]]
             self._send(address, "ack", updates, sequence=message.sequence)
         self._compare_if_different(message, address)
 
-    def _acked(self, message, address):
+    def _handle_ack(self, message, address):
         relay = self._relays.pop(message.sequence, None)
         if relay is not None:
-            asker, sequence = relay
-            self._send(asker, "ack", sequence=sequence, target=message.sender)
+            requester, sequence = relay
+            self._send(requester, "ack", sequence=sequence, target=message.sender)
         pending = self._pending.get(message.sequence)
         if pending is not None and not pending.done():
             pending.set_result(True)
         self._compare_if_different(message, address)
 
-    def _asked_to_probe(self, message, address):
+    def _handle_probe_request(self, message, address):
         target = self._roster.get(message.target)
         if target is None:
             return
         sequence = self._next_sequence()
         self._relays[sequence] = (address, message.sequence)
         loop = asyncio.get_running_loop()
-        wait = self._settings.probe_interval
-        loop.call_later(wait, self._relays.pop, sequence, None)
+        delay = self._settings.probe_interval
+        loop.call_later(delay, self._relays.pop, sequence, None)
         self._send(target.gossip_address, "ping", sequence=sequence, target=target.name)
 
-    def _compared(self, message, address):
+    def _handle_compare(self, message, address):
         differing = self._roster.differing(list(message.buckets))
-        *most, last = messages.chunks(differing)
-        for chunk in most:
+        *chunks_before_last, last_chunk = messages.chunks(differing)
+        for chunk in chunks_before_last:
             self._send(address, "differ", chunk)
-        self._send(address, "differ", last, buckets=self._roster.buckets)
+        self._send(address, "differ", last_chunk, buckets=self._roster.buckets)
 
-    def _refreshed(self):
-        self._pause.refreshed()
-        self._distrust_until = None
+    def _mark_refreshed(self):
+        self._pause_detector.refreshed()
+        self._refresh_deadline = None
 
-    def _differed(self, message, address):
-        self._refreshed()
+    def _handle_differ(self, message, address):
+        self._mark_refreshed()
         if not len(message.buckets):
             return
         for chunk in messages.chunks(self._roster.differing(list(message.buckets))):
@@ -281,39 +290,39 @@
             self._compare(address)
 
     _HANDLERS = {
-        "ping": _pinged,
-        "ack": _acked,
-        "probe": _asked_to_probe,
-        "compare": _compared,
-        "differ": _differed,
+        "ping": _handle_ping,
+        "ack": _handle_ack,
+        "probe": _handle_probe_request,
+        "compare": _handle_compare,
+        "differ": _handle_differ,
     }
 
     # Updates
 
-    def _declare(self, **fields):
+    def _update_own(self, **fields):
         self._own = order.changed(self._own, **fields)
         self._apply(self._own)
 
-    def _take(self, update, spread=True):
+    def _merge(self, update, relay_updates=True):
         if update.name != self._own.name:
-            self._apply(update, spread)
-        elif order.newer(update, self._own):
+            self._apply(update, relay_updates)
+        elif order.is_newer(update, self._own):
             # Somebody doubts this process, or remembers an earlier life of it.
-            self._declare(incarnation=update.incarnation + 1)
+            self._update_own(incarnation=update.incarnation + 1)
 
-    def _apply(self, update, spread=True):
+    def _apply(self, update, relay_updates=True):
         is_new = self._roster.get(update.name) is None
         if not self._roster.apply(update):
             return
-        if spread:
+        if relay_updates:
             self._broadcasts.add(update)
         if is_new:
-            self._targets.joined(update)
+            self._selector.add_to_round(update)
         if update.state is State.SUSPECT:
             self._suspicions.begin(update.name)
         else:
             self._suspicions.end(update.name)
-            self._regions.clear(update.name)
+            self._regions.clear_failed_probe(update.name)
         EVENTS.add("member", member=update.name, state=update.state.value)
         logs.changed("member:changed", member=update.name, state=update.state.value)
         self._delegate.member_changed(update)
@@ -323,79 +332,79 @@
     async def _probe_forever(self):
         while True:
             next_round = deadline_in(self._settings.probe_interval)
-            if self._pause.tick():
+            if self._pause_detector.tick():
                 self._recover()
-            member = self._targets.next()
+            member = self._selector.next_probe_target()
             if member is not None:
                 await self._probe(member, next_round)
-            self._judge()
+            self._run_checks()
             await asyncio.sleep(remaining(next_round))
 
     def _next_sequence(self):
-        self._sequence = (self._sequence + 1) % SEQUENCES
+        self._sequence = (self._sequence + 1) % SEQUENCE_MODULUS
         return self._sequence
 
-    async def _probe(self, member, limit):
+    async def _probe(self, member, deadline):
         began = now()
         sequence = self._next_sequence()
         answer = asyncio.get_running_loop().create_future()
         self._pending[sequence] = answer
         try:
-            words = {"sequence": sequence, "target": member.name}
-            self._send(member.gossip_address, "ping", **words)
+            probe_fields = {"sequence": sequence, "target": member.name}
+            self._send(member.gossip_address, "ping", **probe_fields)
             if await _within(answer, self._settings.probe_timeout):
-                return self._answered(member)
-            for helper in self._targets.helpers(member):
-                self._send(helper.gossip_address, "probe", **words)
-            if await _within(answer, remaining(limit)):
-                return self._answered(member)
+                return self._probe_succeeded(member)
+            for prober in self._selector.indirect_probers(member):
+                self._send(prober.gossip_address, "probe", **probe_fields)
+            if await _within(answer, remaining(deadline)):
+                return self._probe_succeeded(member)
         finally:
             del self._pending[sequence]
-        return self._unanswered(member, began)
+        return self._probe_failed(member, began)
 
-    def _answered(self, member):
-        self._regions.clear(member.name)
+    def _probe_succeeded(self, member):
+        self._regions.clear_failed_probe(member.name)
         if member.region != self._own.region:
-            self._regions.heard(member.region)
+            self._regions.record_contact(member.region)
 
-    def _unanswered(self, member, began):
+    def _probe_failed(self, member, began):
         # A process that was stopped meanwhile finds its timeouts all expired,
         # before the answers that wait in its socket. It must not blame others.
         # One that only runs late (its processor is busy) reads answers late too.
-        late = now() - began > LATE * self._settings.probe_interval
-        if self._pause.tick() or late:
+        late = now() - began > LATE_PROBE_FACTOR * self._settings.probe_interval
+        if self._pause_detector.tick() or late:
             return
         current = self._roster.get(member.name)
         if current is None or current.incarnation != member.incarnation:
             return
-        if member.region == self._own.region or self._regions.doubted_again(
+        if member.region == self._own.region or self._regions.record_failed_probe(
             member, began
         ):
-            self._blame(current)
+            self._suspect(current)
 
-    def _blame(self, member):
+    def _suspect(self, member):
         if member.state is State.LEAVING:
-            self._take(order.changed(member, state=State.DEAD))
+            self._merge(order.changed(member, state=State.DEAD))
         elif member.state is State.ALIVE:
-            self._take(order.changed(member, state=State.SUSPECT))
+            self._merge(order.changed(member, state=State.SUSPECT))
 
-    def _judge(self):
-        if self._pause.tick():
+    def _run_checks(self):
+        if self._pause_detector.tick():
             return
-        others = len(self._targets.others())
-        for member in self._suspicions.expired(self._roster, others):
-            self._take(order.changed(member, state=State.DEAD))
-        self._note_silence()
-        self._roster.forget()
+        others = len(self._selector.others())
+        for member in self._suspicions.pop_expired(self._roster, others):
+            self._merge(order.changed(member, state=State.DEAD))
+        self._update_silent_regions()
+        self._roster.drop_expired()
         self._reconnect()
 
-    def _note_silence(self):
+    def _update_silent_regions(self):
         regions = {m.region for m in self._roster.living()} - {self._own.region}
         silent = {r for r in regions if self._regions.silent_since(r) is not None}
-        for region in silent ^ self._silent:
+        for region in silent ^ self._silent_regions:
             logs.changed("region:silent", region=region, silent=region in silent)
             EVENTS.add("region", region=region, silent=int(region in silent))
-        changed, self._silent = silent ^ self._silent, silent
+        changed, self._silent_regions = silent ^ self._silent_regions, silent
         for region in changed:
             self._delegate.region_changed(region, region in silent)
 
@@ -403,50 +412,50 @@
         if not passed(self._reconnect_after):
             return
         self._reconnect_after = deadline_in(self._settings.reconnect_interval)
-        lost = [m.gossip_address for m in self._roster.dead()]
+        unreachable = [m.gossip_address for m in self._roster.dead()]
         known = {m.gossip_address for m in self._roster.living()}
-        lost += [seed for seed in self._seeds if seed not in known]
-        if lost:
-            self.join([self._chance.choice(lost)])
+        unreachable += [seed for seed in self._seeds if seed not in known]
+        if unreachable:
+            self.join([self._rng.choice(unreachable)])
 
     def _recover(self):
         logs.changed("member:paused", member=self._own.name)
         EVENTS.add("paused", member=self._own.name)
-        self._suspicions.restart()
-        self._regions.restart()
-        others = self._targets.others()
-        self._distrust_until = self._distrust_until or deadline_in(
+        self._suspicions.restart_timers()
+        self._regions.reset()
+        others = self._selector.others()
+        self._refresh_deadline = self._refresh_deadline or deadline_in(
             self._settings.suspicion_timeout
         )
-        if not others or passed(self._distrust_until):
+        if not others or passed(self._refresh_deadline):
             # Nobody there to refresh from: as good as a member that was not
             # paused and hears nobody.
-            self._refreshed()
+            self._mark_refreshed()
             return
-        few = min(len(others), self._settings.indirect_probes or 1)
-        self.join([m.gossip_address for m in self._chance.sample(others, few)])
+        count = min(len(others), self._settings.indirect_probes or 1)
+        self.join([m.gossip_address for m in self._rng.sample(others, count)])
 
     async def _gossip_forever(self):
         while True:
-            self._pause.tick()
-            if self._broadcasts or self._news_left:
+            self._pause_detector.tick()
+            if self._broadcasts or self._position_rounds_left:
                 self._gossip()
             await asyncio.sleep(self._settings.gossip_interval)
 
     def _gossip(self):
-        self._news_left = max(0, self._news_left - 1)
-        for member in self._targets.for_gossip():
+        self._position_rounds_left = max(0, self._position_rounds_left - 1)
+        for member in self._selector.gossip_targets():
             self._send(member.gossip_address, "gossip")
 
 
-def _worth_spreading(message):
+def _should_relay_updates(message):
     """Say whether the updates of a message are to be passed on to all.
 
     Who joins is sent all members, which all but itself know. Passing each on a
     dozen times would take it over its byte budget. A difference of a few is a lost
     update, and may be lost on others too.
     """
-    return str(message.kind) != "differ" or len(message.updates) <= FEW_UPDATES
+    return str(message.kind) != "differ" or len(message.updates) <= MAX_RELAYED_REPAIRS
 
 
 async def _within(answer, seconds):
--- a/sassafrasdoor/membership/order.py
+++ b/sassafrasdoor/membership/order.py
@@ -15,7 +15,7 @@
 ADDRESSES = ("gossip_address", "control_address", "entry_address", "peer_address")
 
 
-def departed(member):
+def has_departed(member):
     """Say whether a member said itself that it has ended.
 
     Who is declared dead by others keeps its addresses, and may live on
@@ -24,7 +24,7 @@
     return member.state is State.DEAD and not member.gossip_address
 
 
-def key(member):
+def sort_key(member):
     """Return what the order compares.
 
     Addresses come last: two updates that differ in nothing else can only come
@@ -42,9 +42,9 @@
     )
 
 
-def newer(update, known):
+def is_newer(update, known):
     """Say whether ``update`` replaces ``known`` (None: nothing known)."""
-    return known is None or key(update) > key(known)
+    return known is None or sort_key(update) > sort_key(known)
 
 
 def changed(member, **fields):
--- a/sassafrasdoor/membership/roster.py
+++ b/sassafrasdoor/membership/roster.py
@@ -8,10 +8,10 @@
 from sassafrasdoor.membership import order
 from sassafrasdoor.view import State
 
-BUCKETS = 32
+BUCKET_COUNT = 32
 # How long a dead member is remembered. Forgotten too early, an old "alive"
 # still under way would bring it back; one would see it flap.
-FORGET_AFTER = 120.0
+DEAD_MEMBER_RETENTION = 120.0
 
 
 class Roster:
@@ -21,13 +21,13 @@
     differ only in it need no repair.
     """
 
-    __slots__ = ("_buckets", "_forget_at", "_members", "_parts")
+    __slots__ = ("_buckets", "_drop_deadlines", "_member_hashes", "_members")
 
     def __init__(self):
         self._members = {}
-        self._parts = {}
-        self._buckets = [0] * BUCKETS
-        self._forget_at = {}
+        self._member_hashes = {}
+        self._buckets = [0] * BUCKET_COUNT
+        self._drop_deadlines = {}
 
     @property
     def digest(self):
@@ -40,7 +40,7 @@
         return list(self._buckets)
 
     def __len__(self):
-        return len(self._members) - len(self._forget_at)
+        return len(self._members) - len(self._drop_deadlines)
 
     def get(self, name):
         """Return the member of that name, or None."""
@@ -56,47 +56,49 @@
 
     def dead(self):
         """Return the dead members that are still remembered."""
-        return [self._members[name] for name in self._forget_at]
+        return [self._members[name] for name in self._drop_deadlines]
 
     def apply(self, update):
         """Take an update; return whether it was newer than what was known."""
-        if not order.newer(update, self._members.get(update.name)):
+        if not order.is_newer(update, self._members.get(update.name)):
             return False
         self._members[update.name] = update
-        self._forget_at.pop(update.name, None)
+        self._drop_deadlines.pop(update.name, None)
         if update.state is State.DEAD:
-            self._forget_at[update.name] = deadline_in(FORGET_AFTER)
-        self._set_part(update)
+            self._drop_deadlines[update.name] = deadline_in(DEAD_MEMBER_RETENTION)
+        self._update_bucket(update)
         return True
 
-    def _set_part(self, member):
+    def _update_bucket(self, member):
         bucket = bucket_of(member.name)
-        self._buckets[bucket] ^= self._parts.pop(member.name, 0)
+        self._buckets[bucket] ^= self._member_hashes.pop(member.name, 0)
         if member.state is not State.DEAD:
             leaving = member.state is State.LEAVING
-            part = _hash(f"{member.name}:{member.incarnation}:{leaving}")
-            self._parts[member.name] = part
-            self._buckets[bucket] ^= part
+            member_hash = _hash(f"{member.name}:{member.incarnation}:{leaving}")
+            self._member_hashes[member.name] = member_hash
+            self._buckets[bucket] ^= member_hash
 
-    def forget(self):
+    def drop_expired(self):
         """Drop the members that have been dead for long."""
-        for name in [name for name, at in self._forget_at.items() if passed(at)]:
-            del self._forget_at[name]
+        for name in [name for name, at in self._drop_deadlines.items() if passed(at)]:
+            del self._drop_deadlines[name]
             del self._members[name]
 
     def differing(self, buckets):
         """Return the members of the buckets whose digests differ from these."""
-        if len(buckets) != BUCKETS:
+        if len(buckets) != BUCKET_COUNT:
             return self.all()
         differ = {
-            index for index, part in enumerate(self._buckets) if part != buckets[index]
+            index
+            for index, digest in enumerate(self._buckets)
+            if digest != buckets[index]
         }
         return [m for m in self._members.values() if bucket_of(m.name) in differ]
 
 
 def bucket_of(name):
     """Return the bucket that a member of this name belongs to."""
-    return _hash(name) % BUCKETS
+    return _hash(name) % BUCKET_COUNT
 
 
 def _hash(text):
--- a/sassafrasdoor/membership/suspicions.py
+++ b/sassafrasdoor/membership/suspicions.py
@@ -3,15 +3,15 @@
 from sassafrasdoor.clock import deadline_in, now, passed
 
 # Hearing nobody for this many probe intervals, a process is itself cut off.
-SILENT_ROUNDS = 3
+ISOLATION_PROBE_INTERVALS = 3
 
 
 class _Suspicion:
-    __slots__ = ("deadline", "first", "since")
+    __slots__ = ("deadline", "first_suspected_at", "suspected_at")
 
-    def __init__(self, timeout, first=None):
-        self.since = now()
-        self.first = first or self.since
+    def __init__(self, timeout, first_suspected_at=None):
+        self.suspected_at = now()
+        self.first_suspected_at = first_suspected_at or self.suspected_at
         self.deadline = deadline_in(timeout)
 
 
@@ -25,14 +25,14 @@
     judged likewise.
     """
 
-    __slots__ = ("_by_name", "_region", "_regions", "_settings", "last_heard")
+    __slots__ = ("_by_name", "_region", "_regions", "_settings", "last_received_at")
 
     def __init__(self, settings, region, regions):
         self._settings = settings
         self._region = region
         self._regions = regions
         self._by_name = {}
-        self.last_heard = now()
+        self.last_received_at = now()
 
     def begin(self, name):
         """The member is suspect from now on."""
@@ -42,12 +42,12 @@
         """The member is suspect no more."""
         self._by_name.pop(name, None)
 
-    def restart(self):
+    def restart_timers(self):
         """Give all their full time again: this process was paused."""
         for name in self._by_name:
             self.begin(name)
 
-    def expired(self, roster, others):
+    def pop_expired(self, roster, others):
         """Take out and return the members that count as dead now.
 
         ``others`` is how many members there are besides this process.
@@ -55,28 +55,32 @@
         dead = []
         for name, suspicion in list(self._by_name.items()):
             member = roster.get(name)
-            if self._is_held(suspicion) and self._is_cut_off(member, suspicion, others):
+            if self._may_be_postponed(suspicion) and self._is_partitioned(
+                member, suspicion, others
+            ):
                 # Begin anew: once the way is back, the member gets its full
                 # time to refute.
                 timeout = self._settings.suspicion_timeout
-                self._by_name[name] = _Suspicion(timeout, suspicion.first)
+                self._by_name[name] = _Suspicion(timeout, suspicion.first_suspected_at)
             elif passed(suspicion.deadline):
                 del self._by_name[name]
                 dead.append(member)
         return dead
 
-    def _is_held(self, suspicion):
-        return now() - suspicion.first < self._settings.silence_timeout
+    def _may_be_postponed(self, suspicion):
+        return now() - suspicion.first_suspected_at < self._settings.silence_timeout
 
-    def _is_cut_off(self, member, suspicion, others):
-        silence = min(
-            SILENT_ROUNDS * self._settings.probe_interval,
+    def _is_partitioned(self, member, suspicion, others):
+        isolation_timeout = min(
+            ISOLATION_PROBE_INTERVALS * self._settings.probe_interval,
             self._settings.suspicion_timeout / 2,
         )
         if member.region != self._region:
             # What the region sent before its way was cut may arrive, or be read,
             # after the suspicion began: it does not show that the way is there.
-            heard_at = self._regions.heard_at(member.region)
-            unheard = heard_at < suspicion.since + silence
-            return unheard and passed(suspicion.deadline)
-        return now() - self.last_heard > silence and others > 1
+            last_contact_at = self._regions.last_contact_at(member.region)
+            is_unreachable = (
+                last_contact_at < suspicion.suspected_at + isolation_timeout
+            )
+            return is_unreachable and passed(suspicion.deadline)
+        return now() - self.last_received_at > isolation_timeout and others > 1
--- a/sassafrasdoor/membership/targets.py
+++ b/sassafrasdoor/membership/targets.py
@@ -3,7 +3,7 @@
 from sassafrasdoor.view import State
 
 
-class Targets:
+class TargetSelector:
     """Chooses among the members of ``roster`` but this process itself.
 
     Members of the own region are probed in random order, each once a round, so
@@ -11,85 +11,87 @@
     often while one is in doubt.
     """
 
-    __slots__ = ("_chance", "_own", "_regions", "_roster", "_round", "_settings")
+    __slots__ = ("_own", "_regions", "_rng", "_roster", "_round", "_settings")
 
-    def __init__(self, settings, own, roster, regions, chance):
+    def __init__(self, settings, own, roster, regions, rng):
         self._settings = settings
         self._own = own
         self._roster = roster
         self._regions = regions
-        self._chance = chance
+        self._rng = rng
         self._round = []
 
     def others(self):
         """Return all members that are not dead."""
         return [m for m in self._roster.living() if m.name != self._own.name]
 
-    def near_and_far(self):
+    def local_and_remote(self):
         """Return the others of the own region, and those of other regions."""
-        near, far = [], []
+        local, remote = [], []
         for member in self.others():
-            (near if member.region == self._own.region else far).append(member)
-        return near, far
+            (local if member.region == self._own.region else remote).append(member)
+        return local, remote
 
-    def joined(self, member):
+    def add_to_round(self, member):
         """Probe a new member within the running round.
 
         Waiting for the next one could leave it unprobed for minutes.
         """
         if member.name != self._own.name and member.region == self._own.region:
-            at = self._chance.randrange(len(self._round) + 1)
-            self._round.insert(at, member.name)
+            position = self._rng.randrange(len(self._round) + 1)
+            self._round.insert(position, member.name)
 
-    def next(self):
+    def next_probe_target(self):
         """Return the member to probe now, or None if there is nobody."""
-        for name in self._regions.to_ask_again():
-            member = self._living(name)
+        for name in self._regions.members_to_reprobe():
+            member = self._get_living(name)
             if member is not None:
                 return member
-        near, far = self.near_and_far()
-        silent = self._regions.silent()
-        if far and silent and self._chance.random() < 0.5:
-            in_silence = [m for m in far if m.region in silent]
-            return self._chance.choice(in_silence or far)
-        if far and self._chance.random() < self._settings.remote_share:
-            return self._chance.choice(far)
-        return self._next_of_round(near) or (self._chance.choice(far) if far else None)
-
-    def _next_of_round(self, near):
-        while near:
+        local, remote = self.local_and_remote()
+        silent = self._regions.regions_with_failed_probes()
+        if remote and silent and self._rng.random() < 0.5:
+            candidates = [m for m in remote if m.region in silent]
+            return self._rng.choice(candidates or remote)
+        if remote and self._rng.random() < self._settings.remote_share:
+            return self._rng.choice(remote)
+        return self._next_in_round(local) or (
+            self._rng.choice(remote) if remote else None
+        )
+
+    def _next_in_round(self, local):
+        while local:
             if not self._round:
-                self._round = [member.name for member in near]
-                self._chance.shuffle(self._round)
-            member = self._living(self._round.pop())
+                self._round = [member.name for member in local]
+                self._rng.shuffle(self._round)
+            member = self._get_living(self._round.pop())
             if member is not None:
                 return member
         return None
 
-    def _living(self, name):
+    def _get_living(self, name):
         member = self._roster.get(name)
         gone = member is None or member.state is State.DEAD
         return None if gone else member
 
-    def helpers(self, member):
+    def indirect_probers(self, member):
         """Return the members to ask to probe ``member``, one of each zone first.
 
         A cut between two zones must not look like the death of the member
         behind it.
         """
-        near, _ = self.near_and_far()
-        near = [m for m in near if m.name != member.name]
-        self._chance.shuffle(near)
-        seen = {}
-        for helper in near:
-            seen.setdefault(helper.availability_zone, []).append(helper.name)
-        near.sort(key=lambda m: seen[m.availability_zone].index(m.name))
-        return near[: self._settings.indirect_probes]
-
-    def for_gossip(self):
+        local, _ = self.local_and_remote()
+        local = [m for m in local if m.name != member.name]
+        self._rng.shuffle(local)
+        names_by_zone = {}
+        for prober in local:
+            names_by_zone.setdefault(prober.availability_zone, []).append(prober.name)
+        local.sort(key=lambda m: names_by_zone[m.availability_zone].index(m.name))
+        return local[: self._settings.indirect_probes]
+
+    def gossip_targets(self):
         """Return the members to send updates to now, few of other regions."""
-        near, far = self.near_and_far()
-        chosen = self._chance.sample(near, min(self._settings.gossip_fanout, len(near)))
-        if far and (not near or self._chance.random() < self._settings.remote_share):
-            chosen.append(self._chance.choice(far))
+        local, remote = self.local_and_remote()
+        chosen = self._rng.sample(local, min(self._settings.gossip_fanout, len(local)))
+        if remote and (not local or self._rng.random() < self._settings.remote_share):
+            chosen.append(self._rng.choice(remote))
         return chosen
--- a/sassafrasdoor/membership/tests/test_node.py
+++ b/sassafrasdoor/membership/tests/test_node.py
@@ -6,14 +6,14 @@
 
 from sassafrasdoor import settings
 from sassafrasdoor.membership import messages
-from sassafrasdoor.membership.delegate import Delegate, News
+from sassafrasdoor.membership.delegate import Delegate, LogPosition
 from sassafrasdoor.membership.node import Membership
 from sassafrasdoor.membership.regions import Regions
 from sassafrasdoor.membership.transport import FORGED, MALFORMED
 from sassafrasdoor.support import ROOT, until
 from sassafrasdoor.view import Member, State
 
-FAST = {
+FAST_TIMINGS = {
     "probe_interval": 0.1,
     "probe_timeout": 0.04,
     "suspicion_timeout": 0.5,
@@ -22,7 +22,7 @@
     "reconnect_interval": 0.3,
     "peer_keys": ["key"],
 }
-UNHURRIED = {
+SLOW_TIMINGS = {
     "probe_interval": 0.4,
     "probe_timeout": 0.16,
     "suspicion_timeout": 2.0,
@@ -39,10 +39,12 @@
     """Members in one process; ``cut`` drops what crosses between two groups."""
 
     def __init__(self, **options):
-        self.settings = settings.from_document({"membership": {**FAST, **options}})
+        self.settings = settings.from_document(
+            {"membership": {**FAST_TIMINGS, **options}}
+        )
         self.nodes = {}
         self.updates_sent = 0
-        self._cuts = []
+        self._partitions = []
 
     async def __aenter__(self):
         return self
@@ -52,44 +54,44 @@
             await node.stop()
 
     async def add(self, name, region="here", zone="zone", delegate=None):
-        chance = random.Random(len(self.nodes))
+        rng = random.Random(len(self.nodes))
         own = Member(name, region=region, availability_zone=zone)
-        node = Membership(self.settings, own, delegate, chance)
-        self._cuttable(node, name)
+        node = Membership(self.settings, own, delegate, rng)
+        self._intercept_send(node, name)
         seeds = [node.address for node in self.nodes.values()][:1]
         self.nodes[name] = node
         await node.start()
         node.join(seeds)
         return node
 
-    def _cuttable(self, node, name):
+    def _intercept_send(self, node, name):
         send = node._transport.send
 
-        def send_unless_cut(address, **fields):
+        def send_unless_partitioned(address, **fields):
             names = {n.address: other for other, n in self.nodes.items()}
             to = names.get(address)
-            if not any((name in a) != (to in a) for a in self._cuts):
+            if not any((name in a) != (to in a) for a in self._partitions):
                 self.updates_sent += len(fields.get("updates", ()))
                 send(address, **fields)
 
-        node._transport.send = send_unless_cut
+        node._transport.send = send_unless_partitioned
 
-    def cut(self, *names):
-        self._cuts.append(set(names))
+    def partition(self, *names):
+        self._partitions.append(set(names))
 
     def heal(self):
-        self._cuts.clear()
+        self._partitions.clear()
 
     def sees(self, viewer, **expected):
         seen = {m.name: m.state.value for m in self.nodes[viewer].members}
         return seen == {**dict.fromkeys(self.nodes, "alive"), **expected}
 
-    async def settled(self, *viewers, **expected):
+    async def wait_until_settled(self, *viewers, **expected):
         """Wait until all viewers see all nodes alive but the expected ones."""
         gone = [name for name, state in expected.items() if state == "dead"]
         rest = {n: s for n, s in expected.items() if n not in gone}
 
-        def settled():
+        def is_settled():
             for viewer in viewers or self.nodes:
                 if viewer in gone:
                     continue
@@ -99,7 +101,7 @@
                     return False
             return True
 
-        await until(settled, what=f"{expected or 'all alive'} at {viewers or 'all'}")
+        await until(is_settled, what=f"{expected or 'all alive'} at {viewers or 'all'}")
 
 
 class MembershipTests(unittest.IsolatedAsyncioTestCase):
@@ -107,7 +109,7 @@
         async with Cluster() as cluster:
             for name in "abcde":
                 await cluster.add(name)
-            await cluster.settled()
+            await cluster.wait_until_settled()
             cluster.nodes["a"].update(entry_address="127.0.0.1:9")
             await until(
                 lambda: all(
@@ -117,19 +119,19 @@
                 what="the new address everywhere",
             )
             cluster.nodes["b"].leave()
-            await cluster.settled(b="leaving")
+            await cluster.wait_until_settled(b="leaving")
             await cluster.nodes["c"].stop()
-            await cluster.settled(b="leaving", c="dead")
+            await cluster.wait_until_settled(b="leaving", c="dead")
             await cluster.nodes["b"].depart()
             await cluster.nodes["b"].stop()
-            await cluster.settled(b="dead", c="dead")
+            await cluster.wait_until_settled(b="dead", c="dead")
 
-    async def test_slow_member_is_probed_through_others(self):
+    async def test_slow_member_is_probed_indirectly(self):
         """Guards against one failed direct probe taken for a death."""
         async with Cluster(probe_interval=0.6, probe_timeout=0.1) as cluster:
             for name in "abc":
                 await cluster.add(name)
-            await cluster.settled()
+            await cluster.wait_until_settled()
             states = []
             node = cluster.nodes["c"]
             node._delegate.member_changed = lambda member: states.append(member.state)
@@ -151,48 +153,48 @@
         async with Cluster() as cluster:
             for name in "abc":
                 await cluster.add(name)
-            await cluster.settled()
+            await cluster.wait_until_settled()
             for state in (State.SUSPECT, State.DEAD):
                 with self.subTest(state=state):
                     old = cluster.nodes["b"].own
-                    rumour = Member(
+                    false_update = Member(
                         "b",
                         incarnation=old.incarnation,
                         state=state,
                         region=old.region,
                         gossip_address=old.gossip_address,
                     )
-                    cluster.nodes["a"]._take(rumour)
+                    cluster.nodes["a"]._merge(false_update)
                     await until(
                         lambda old=old: (
                             cluster.nodes["b"].own.incarnation > old.incarnation
                         ),
                         what="the refutation",
                     )
-                    await cluster.settled()
+                    await cluster.wait_until_settled()
 
     async def test_address_taken_over_by_another_instance(self):
         """Guards against an address's new member taken for the former one."""
         async with Cluster() as cluster:
             for name in "abc":
                 await cluster.add(name)
-            await cluster.settled()
+            await cluster.wait_until_settled()
             host, _, port = cluster.nodes["b"].address.rpartition(":")
             await cluster.nodes.pop("b").stop()
             own = Member("d", region="here")
             cluster.nodes["d"] = node = Membership(cluster.settings, own)
             await node.start(host, int(port))
             node.join([cluster.nodes["a"].address])
-            await cluster.settled()
+            await cluster.wait_until_settled()
 
-    async def test_silent_region_is_suspect_not_dead_and_returns_without_flood(self):
+    async def test_partitioned_region_is_suspect_and_recovers_with_few_updates(self):
         """Guards against deaths and floods of updates by a partition of regions."""
-        async with Cluster(remote_share=0.3, **UNHURRIED) as cluster:
+        async with Cluster(remote_share=0.3, **SLOW_TIMINGS) as cluster:
             for index in range(5):
                 await cluster.add(f"n{index}")
                 await cluster.add(f"f{index}", region="there")
             near, far = [[f"{c}{i}" for i in range(5)] for c in "nf"]
-            await cluster.settled()
+            await cluster.wait_until_settled()
             await until(
                 lambda: not any(n._broadcasts for n in cluster.nodes.values()),
                 what="calm",
@@ -203,89 +205,93 @@
                 node._delegate.member_changed = lambda member: deaths.append(
                     (member.name, member.state)
                 )
-            cluster.cut(*near)
-            await cluster.settled(*near, **dict.fromkeys(far, "suspect"))
-            await cluster.settled(*far, **dict.fromkeys(near, "suspect"))
+            cluster.partition(*near)
+            await cluster.wait_until_settled(*near, **dict.fromkeys(far, "suspect"))
+            await cluster.wait_until_settled(*far, **dict.fromkeys(near, "suspect"))
             probes = cluster.nodes["n0"].traffic.sent
             await until(
                 lambda: cluster.nodes["n0"].traffic.sent > probes + 40,
                 what="several suspicion timeouts",
             )
             cluster.heal()
-            await cluster.settled()
+            await cluster.wait_until_settled()
             self.assertNotIn(State.DEAD, [state for _, state in deaths])
             self.assertLess(cluster.updates_sent, 100)
 
-    async def test_death_in_a_reachable_region_is_noticed(self):
+    async def test_death_in_a_reachable_region_is_detected(self):
         async with Cluster(remote_share=0.3) as cluster:
             for index in range(3):
                 await cluster.add(f"n{index}")
                 await cluster.add(f"f{index}", region="there")
-            await cluster.settled()
+            await cluster.wait_until_settled()
             await cluster.nodes["f1"].stop()
-            await cluster.settled(f1="dead")
+            await cluster.wait_until_settled(f1="dead")
 
-    async def test_isolated_member_declares_nobody_dead(self):
+    async def test_isolated_member_declares_no_member_dead(self):
         """Guards against an isolated member that declares all others dead."""
         async with Cluster() as cluster:
             for name in "abcd":
                 await cluster.add(name)
-            await cluster.settled()
-            cluster.cut("a")
-            await cluster.settled("b", "c", "d", a="dead")
-            await cluster.settled("a", b="suspect", c="suspect", d="suspect")
+            await cluster.wait_until_settled()
+            cluster.partition("a")
+            await cluster.wait_until_settled("b", "c", "d", a="dead")
+            await cluster.wait_until_settled("a", b="suspect", c="suspect", d="suspect")
             deaths = []
             cluster.nodes["b"]._delegate.member_changed = deaths.append
             cluster.heal()
-            await cluster.settled()
+            await cluster.wait_until_settled()
             self.assertNotIn(State.DEAD, [member.state for member in deaths])
 
-    async def test_paused_member_trusts_nothing_until_refreshed(self):
+    async def test_view_of_a_paused_member_is_untrusted_until_refreshed(self):
         """Guards against a resumed process that counts its pause against others."""
         async with Cluster() as cluster:
             for name in "abc":
                 await cluster.add(name)
-            await cluster.settled()
+            await cluster.wait_until_settled()
             node = cluster.nodes["a"]
             changes = []
             node._delegate.member_changed = changes.append
-            cluster.cut("a")
-            node._pause._last_tick -= 60
-            node._unanswered(node._roster.get("b"), 0.0)
-            node._judge()
-            self.assertFalse(node.trusted)
+            cluster.partition("a")
+            node._pause_detector._last_tick -= 60
+            node._probe_failed(node._roster.get("b"), 0.0)
+            node._run_checks()
+            self.assertFalse(node.is_view_trusted)
             self.assertEqual(changes, [])
             cluster.heal()
-            await until(lambda: node.trusted, what="a refreshed roster")
+            await until(lambda: node.is_view_trusted, what="a refreshed roster")
             self.assertTrue(cluster.sees("a"))
 
-    async def test_news_spreads_at_once(self):
+    async def test_log_position_is_gossiped_without_delay(self):
         class Reader(Delegate):
             def __init__(self):
                 self.as_of = 0
-                self.told = {}
+                self.positions = {}
 
-            def news(self):
-                return News(self.as_of)
+            def log_position(self):
+                return LogPosition(self.as_of)
 
-            def heard(self, name, news):
-                self.told[name] = news.as_of
+            def position_received(self, name, log_position):
+                self.positions[name] = log_position.as_of
 
         async with Cluster(probe_interval=30.0) as cluster:
             readers = {name: Reader() for name in "abc"}
             for name, reader in readers.items():
                 await cluster.add(name, delegate=reader)
-            await cluster.settled()
+            await cluster.wait_until_settled()
             nodes = cluster.nodes.values()
             await until(lambda: not any(n._broadcasts for n in nodes), what="calm")
             readers["a"].as_of = 7
-            cluster.nodes["a"].spread_news()
+            cluster.nodes["a"].broadcast_log_position()
             await until(
-                lambda: readers["b"].told.get("a") == readers["c"].told.get("a") == 7,
+                lambda: (
+                    readers["b"].positions.get("a")
+                    == readers["c"].positions.get("a")
+                    == 7
+                ),
                 what="the news",
             )
 
-    async def test_who_joins_does_not_pass_all_members_on(self):
+    async def test_joining_member_does_not_rebroadcast_all_members(self):
         """Guards against a joining member that gossips all members as news."""
         async with Cluster() as cluster:
             first = await cluster.add("a")
@@ -293,13 +299,13 @@
                 first._roster.apply(Member(f"m{number}", region="elsewhere"))
             joined = await cluster.add("b")
             await until(lambda: len(joined.members) == 32, what="all members")
-            self.assertLessEqual(set(joined._broadcasts._waiting), {"a", "b"})
+            self.assertLessEqual(set(joined._broadcasts._pending), {"a", "b"})
 
     async def test_bad_datagrams_are_counted_and_change_nothing(self):
         async with Cluster() as cluster:
             for name in "ab":
                 await cluster.add(name)
-            await cluster.settled()
+            await cluster.wait_until_settled()
             death = messages.encode_update(
                 Member("b", incarnation=1 << 50, state=State.DEAD)
             )
@@ -331,14 +337,14 @@
 
 
 class RegionsTests(unittest.TestCase):
-    def test_only_what_was_heard_directly_is_told_on(self):
+    def test_only_direct_contacts_are_relayed(self):
         """Guards against indirect reports of a region that are relayed as fresh."""
         regions = Regions(settings.from_document({}).membership)
-        regions.told("there", 1.0)
-        self.assertGreater(regions.heard_at("there"), float("-inf"))
-        self.assertEqual(regions.ages(), [])
-        regions.heard("there")
-        self.assertEqual([region for region, _ in regions.ages()], ["there"])
+        regions.record_reported_contact("there", 1.0)
+        self.assertGreater(regions.last_contact_at("there"), float("-inf"))
+        self.assertEqual(regions.contact_ages(), [])
+        regions.record_contact("there")
+        self.assertEqual([region for region, _ in regions.contact_ages()], ["there"])
 
 
 class SampleTests(unittest.TestCase):
--- a/sassafrasdoor/membership/tests/test_order.py
+++ b/sassafrasdoor/membership/tests/test_order.py
@@ -4,7 +4,7 @@
 
 from sassafrasdoor.membership import messages, order
 from sassafrasdoor.membership.broadcasts import Broadcasts
-from sassafrasdoor.membership.messages import MAX_DATAGRAM, Forged, Malformed
+from sassafrasdoor.membership.messages import MAX_DATAGRAM_BYTES, Forged, Malformed
 from sassafrasdoor.membership.roster import Roster
 from sassafrasdoor.view import Member, State
 
@@ -19,7 +19,7 @@
 )
 
 
-def held(roster):
+def contents_of(roster):
     return {
         member.name: (member.incarnation, member.state, member.gossip_address)
         for member in roster.all()
@@ -43,37 +43,37 @@
             with self.subTest(name):
                 known = Member("a", incarnation=known[0], state=known[1])
                 update = Member("a", incarnation=update[0], state=update[1])
-                self.assertEqual(order.newer(update, known), wins)
-        self.assertTrue(order.newer(update, None))
+                self.assertEqual(order.is_newer(update, known), wins)
+        self.assertTrue(order.is_newer(update, None))
 
     @hypothesis_settings(derandomize=True, max_examples=200, deadline=None)
     @given(strategies.lists(UPDATES, max_size=8), strategies.randoms())
-    def test_any_order_converges(self, updates, chance):
+    def test_any_order_converges(self, updates, rng):
         """Guards against members that depend on the order of updates."""
-        one, other = Roster(), Roster()
+        left, right = Roster(), Roster()
         for update in updates:
-            one.apply(update)
-        again = updates + updates[:3]
-        chance.shuffle(again)
-        for update in again:
-            other.apply(update)
-        self.assertEqual(held(one), held(other))
-        self.assertEqual(one.digest, other.digest)
-        self.assertEqual(one.differing(other.buckets), [])
+            left.apply(update)
+        repeated = updates + updates[:3]
+        rng.shuffle(repeated)
+        for update in repeated:
+            right.apply(update)
+        self.assertEqual(contents_of(left), contents_of(right))
+        self.assertEqual(left.digest, right.digest)
+        self.assertEqual(left.differing(right.buckets), [])
 
 
 class RosterTests(unittest.TestCase):
-    def test_digest_tells_what_needs_repair(self):
+    def test_digests_differ_where_repair_is_needed(self):
         cases = [
             ("suspicion needs none", (1, A), (1, S), False),
             ("leaving", (1, A), (1, L), True),
             ("dead", (1, A), (1, D), True),
             ("a new incarnation", (1, A), (2, A), True),
         ]
-        for name, one, other, differ in cases:
+        for name, left, right, differ in cases:
             with self.subTest(name):
                 rosters = []
-                for incarnation, state in (one, other):
+                for incarnation, state in (left, right):
                     roster = Roster()
                     roster.apply(Member("b", incarnation=7))
                     roster.apply(Member("a", incarnation=incarnation, state=state))
@@ -136,7 +136,7 @@
                 buckets=[(1 << 64) - 1] * 32,
                 updates=[messages.encode_update(member) for member in chunk],
             )
-            self.assertLessEqual(len(datagram), MAX_DATAGRAM)
+            self.assertLessEqual(len(datagram), MAX_DATAGRAM_BYTES)
 
 
 class BroadcastsTests(unittest.TestCase):
@@ -156,6 +156,6 @@
         queue.add(Member("a", incarnation=2))
         queue.take(400)
         queue.add(Member("c"))
-        taken = queue.take(400, room=messages.size_of(Member("c")) * 2)
+        taken = queue.take(400, max_bytes=messages.encoded_size(Member("c")) * 2)
         self.assertEqual([taken[0].name, len(taken)], ["c", 2])
         self.assertEqual(len(queue), 3)
--- a/sassafrasdoor/membership/tests/test_suspicions.py
+++ b/sassafrasdoor/membership/tests/test_suspicions.py
@@ -11,17 +11,17 @@
 TIMEOUT, INTERVAL = 10.0, 1.0
 
 
-class Regions:
+class FakeRegions:
     """Says when each region was last heard."""
 
     def __init__(self):
-        self.at = 0.0
+        self.contact_at = 0.0
 
-    def heard_at(self, region):
-        return self.at
+    def last_contact_at(self, region):
+        return self.contact_at
 
 
-class RegionTest(unittest.TestCase):
+class RegionPartitionTest(unittest.TestCase):
     def setUp(self):
         self.time = 100.0
         for name, fake in {
@@ -33,31 +33,33 @@
             patch.start()
             self.addCleanup(patch.stop)
         options = {"suspicion_timeout": TIMEOUT, "probe_interval": INTERVAL}
-        found = settings.from_document({"membership": options}).membership
-        self.regions = Regions()
-        self.suspicions = Suspicions(found, "here", self.regions)
+        membership_settings = settings.from_document({"membership": options}).membership
+        self.regions = FakeRegions()
+        self.suspicions = Suspicions(membership_settings, "here", self.regions)
         self.member = Member("f1", region="there", availability_zone="z")
         self.suspicions.begin("f1")
 
-    def dead(self, heard_after, waited=TIMEOUT + 0.1):
-        self.regions.at = self.time + heard_after
+    def expired_after(self, contact_after, waited=TIMEOUT + 0.1):
+        self.regions.contact_at = self.time + contact_after
         self.time += waited
-        return self.suspicions.expired({"f1": self.member}, others=3)
+        return self.suspicions.pop_expired({"f1": self.member}, others=3)
 
-    def test_message_under_way_at_the_cut_kills_nobody(self):
+    def test_message_in_flight_at_a_partition_causes_no_death(self):
         """Guards against a message in flight at a partition taken for connectivity."""
-        self.assertEqual(self.dead(heard_after=0.1), [])
+        self.assertEqual(self.expired_after(contact_after=0.1), [])
 
-    def test_silent_region_kills_nobody(self):
-        self.assertEqual(self.dead(heard_after=-5.0), [])
+    def test_member_of_a_silent_region_is_not_declared_dead(self):
+        self.assertEqual(self.expired_after(contact_after=-5.0), [])
 
-    def test_region_that_is_heard_on_leaves_the_member_dead(self):
-        self.assertEqual(self.dead(heard_after=TIMEOUT / 2), [self.member])
+    def test_member_of_a_reachable_region_is_declared_dead(self):
+        self.assertEqual(self.expired_after(contact_after=TIMEOUT / 2), [self.member])
 
-    def test_member_gets_its_full_time_once_the_way_is_back(self):
-        self.assertEqual(self.dead(heard_after=0.1), [])
-        self.assertEqual(self.dead(heard_after=TIMEOUT / 2, waited=TIMEOUT / 2), [])
-        self.assertEqual(self.dead(heard_after=0.0), [self.member])
+    def test_member_gets_the_full_timeout_after_reconnection(self):
+        self.assertEqual(self.expired_after(contact_after=0.1), [])
+        self.assertEqual(
+            self.expired_after(contact_after=TIMEOUT / 2, waited=TIMEOUT / 2), []
+        )
+        self.assertEqual(self.expired_after(contact_after=0.0), [self.member])
 
 
 if __name__ == "__main__":
--- a/sassafrasdoor/peers/link.py
+++ b/sassafrasdoor/peers/link.py
@@ -10,12 +10,12 @@
 from sassafrasdoor.events import EVENTS
 from sassafrasdoor.outcomes import Unavailable
 from sassafrasdoor.peers import proof
-from sassafrasdoor.peers.server import MESSAGE_LIMIT_WORDS, SCHEMA
+from sassafrasdoor.peers.server import MAX_MESSAGE_WORDS, SCHEMA
 
 HEARTBEAT_INTERVAL = 1.0
 CALL_TIMEOUT = 3.0
-RETRY_DELAY = 0.2
-RETRY_DELAY_MAX = 3.0
+MIN_RETRY_DELAY = 0.2
+MAX_RETRY_DELAY = 3.0
 
 FAILED = metrics.counter("peer_call_failures_total", "Calls to peers that failed.")
 
@@ -65,27 +65,27 @@
         self.close()
         try:
             async with asyncio.timeout(timeout):
-                await self._enter()
+                await self._connect()
         except PermissionError as error:
-            return self._failed(str(error))
+            return self._close_after_failure(str(error))
         except (capnp.KjException, OSError, ValueError, TimeoutError) as error:
-            return self._failed(_reason(error))
+            return self._close_after_failure(_describe(error))
         return None
 
-    async def _enter(self):
+    async def _connect(self):
         host, _, port = self._address.rpartition(":")
         self._stream = await capnp.AsyncIoStream.create_connection(host, int(port))
         self._client = capnp.TwoPartyClient(
-            self._stream, traversal_limit_in_words=MESSAGE_LIMIT_WORDS
+            self._stream, traversal_limit_in_words=MAX_MESSAGE_WORDS
         )
         self._door = self._client.bootstrap().cast_as(SCHEMA.Door)
-        own = proof.nonce()
-        answer = await self._door.challenge(nonce=own)
-        theirs = bytes(answer.nonce)
-        if not proof.server_proved(self._keys, own, theirs, answer.mac):
+        own_nonce = proof.new_nonce()
+        answer = await self._door.challenge(nonce=own_nonce)
+        peer_nonce = bytes(answer.nonce)
+        if not proof.verify_server(self._keys, own_nonce, peer_nonce, answer.mac):
             raise PermissionError("the peer shows no valid key")
         stamp = EVENTS.clock.stamp()
-        mac = proof.prove_client(self._keys, theirs, self._name, stamp)
+        mac = proof.prove_client(self._keys, peer_nonce, self._name, stamp)
         entered = await self._door.enter(caller=self._name, stamp=stamp, mac=mac)
         EVENTS.clock.observe(entered.stamp)
         self._capability = entered.capability.as_interface(self._interface)
@@ -94,7 +94,7 @@
         """Call ``method``; return its results or ``Unavailable``."""
         if not self.connected:
             return Unavailable("not connected")
-        return await self._guarded(
+        return await self._call_with_timeout(
             getattr(self._capability, method), timeout, arguments
         )
 
@@ -103,16 +103,16 @@
         if not self.connected:
             return Unavailable("not connected")
         stamp = EVENTS.clock.stamp()
-        return await self._guarded(self._door.ping, timeout, {"stamp": stamp})
+        return await self._call_with_timeout(self._door.ping, timeout, {"stamp": stamp})
 
-    async def _guarded(self, method, timeout, arguments):
+    async def _call_with_timeout(self, method, timeout, arguments):
         try:
             async with asyncio.timeout(timeout):
                 return await method(**arguments)
         except (capnp.KjException, OSError, TimeoutError) as error:
-            return self._failed(_reason(error))
+            return self._close_after_failure(_describe(error))
 
-    def _failed(self, reason):
+    def _close_after_failure(self, reason):
         FAILED.inc({})
         self.close()
         return Unavailable(reason)
@@ -128,25 +128,25 @@
 
     async def run(self):
         """Keep the connection open and proved alive until cancelled."""
-        delay = RETRY_DELAY
+        delay = MIN_RETRY_DELAY
         try:
             while True:
                 if self.connected or await self.open() is None:
-                    delay = RETRY_DELAY
+                    delay = MIN_RETRY_DELAY
                     await self._heartbeat()
                 await asyncio.sleep(delay * random.uniform(0.5, 1.0))
-                delay = min(RETRY_DELAY_MAX, delay * 2)
+                delay = min(MAX_RETRY_DELAY, delay * 2)
         finally:
             self.close()
 
     async def _heartbeat(self):
         while self.connected:
-            next_beat = deadline_in(HEARTBEAT_INTERVAL)
+            next_heartbeat = deadline_in(HEARTBEAT_INTERVAL)
             if not await self.ping():
                 return
-            await asyncio.sleep(remaining(next_beat))
+            await asyncio.sleep(remaining(next_heartbeat))
 
 
-def _reason(error):
+def _describe(error):
     text = str(error).strip().splitlines()
     return f"{type(error).__name__}: {text[0] if text else 'no answer in time'}"
--- a/sassafrasdoor/peers/proof.py
+++ b/sassafrasdoor/peers/proof.py
@@ -10,42 +10,42 @@
 
 from sassafrasdoor import security
 
-NONCE_SIZE = 16
-MAC_SIZE = 16
-SERVER = b"server"
-CLIENT = b"client"
+NONCE_BYTES = 16
+MAC_BYTES = 16
+SERVER_ROLE = b"server"
+CLIENT_ROLE = b"client"
 
 
-def nonce():
+def new_nonce():
     """Return bytes that no connection used before."""
-    return os.urandom(NONCE_SIZE)
+    return os.urandom(NONCE_BYTES)
 
 
 def prove_server(keys, client_nonce, server_nonce):
     """Return the server's MACs."""
-    return seal(keys, SERVER + client_nonce + server_nonce)
+    return sign_with_all(keys, SERVER_ROLE + client_nonce + server_nonce)
 
 
 def prove_client(keys, server_nonce, caller, stamp):
     """Return the client's MACs."""
-    return seal(keys, _claim(server_nonce, caller, stamp))
+    return sign_with_all(keys, _client_payload(server_nonce, caller, stamp))
 
 
-def server_proved(keys, client_nonce, server_nonce, mac):
+def verify_server(keys, client_nonce, server_nonce, mac):
     """Say whether the server showed one of the keys now valid."""
-    return sealed(keys, SERVER + client_nonce + server_nonce, bytes(mac))
+    return is_signed(keys, SERVER_ROLE + client_nonce + server_nonce, bytes(mac))
 
 
-def client_proved(keys, server_nonce, caller, stamp, mac):
+def verify_client(keys, server_nonce, caller, stamp, mac):
     """Say whether the client showed one of the keys now valid."""
-    return sealed(keys, _claim(server_nonce, caller, stamp), bytes(mac))
+    return is_signed(keys, _client_payload(server_nonce, caller, stamp), bytes(mac))
 
 
-def _claim(server_nonce, caller, stamp):
-    return CLIENT + server_nonce + stamp.to_bytes(8, "big") + caller.encode()
+def _client_payload(server_nonce, caller, stamp):
+    return CLIENT_ROLE + server_nonce + stamp.to_bytes(8, "big") + caller.encode()
 
 
-def seal(keys, payload):
+def sign_with_all(keys, payload):
     """Return the MACs of ``payload`` under all keys (at most two), joined.
 
     While a key is being replaced, some instances hold the old key only and some
@@ -54,11 +54,11 @@
     return b"".join(security.sign(key, payload) for key in keys)
 
 
-def sealed(keys, payload, macs):
+def is_signed(keys, payload, macs):
     """Say whether one of ``macs`` is right under one of ``keys``."""
     if not keys:
         return True
-    parts = (macs[at : at + MAC_SIZE] for at in range(0, len(macs), MAC_SIZE))
-    return len(macs) <= 2 * MAC_SIZE and any(
+    parts = (macs[at : at + MAC_BYTES] for at in range(0, len(macs), MAC_BYTES))
+    return len(macs) <= 2 * MAC_BYTES and any(
         security.signed_by_any(keys, payload, part) for part in parts
     )
--- a/sassafrasdoor/peers/server.py
+++ b/sassafrasdoor/peers/server.py
@@ -13,26 +13,26 @@
 
 # A frame may claim any size. Above 8 MB (counted in words of 8 bytes) the
 # connection ends, so that a forged header can't claim the process's memory.
-MESSAGE_LIMIT_WORDS = 1 << 20
+MAX_MESSAGE_WORDS = 1 << 20
 # Whoever connects and proves no key within this time is cut off: idle strangers
 # would otherwise take all file descriptors, and peers could not connect.
-PROOF_TIMEOUT = 5.0
+AUTHENTICATION_TIMEOUT = 5.0
 
 ACCEPTED = metrics.counter("peer_connections_total", "Connections accepted.")
 REFUSED = metrics.counter("peer_refusals_total", "Peers without a valid key.")
-BROKEN = metrics.counter(
+UNAUTHENTICATED = metrics.counter(
     "peer_broken_total", "Connections that ended before a key was proved."
 )
 
 
-class _Door(SCHEMA.Door.Server):
+class _DoorServer(SCHEMA.Door.Server):
     """The door of one connection; opens once the key is proved."""
 
     def __init__(self, keys, capability):
         self._keys = keys
         self._capability = capability
-        self._nonce = proof.nonce()
-        self.passed = False
+        self._nonce = proof.new_nonce()
+        self.is_authenticated = False
 
     async def challenge(self, nonce, _context, **_):
         results = _context.results
@@ -40,15 +40,15 @@
         results.mac = proof.prove_server(self._keys, bytes(nonce), self._nonce)
 
     async def enter(self, caller, stamp, mac, _context, **_):
-        if not proof.client_proved(self._keys, self._nonce, caller, stamp, mac):
+        if not proof.verify_client(self._keys, self._nonce, caller, stamp, mac):
             REFUSED.inc({})
             raise PermissionError("no valid peer key")
-        self.passed = True
+        self.is_authenticated = True
         EVENTS.clock.observe(stamp)
         return self._capability, EVENTS.clock.stamp()
 
     async def ping(self, stamp, _context, **_):
-        if not self.passed:
+        if not self.is_authenticated:
             raise PermissionError("no valid peer key")
         EVENTS.clock.observe(stamp)
         return EVENTS.clock.stamp()
@@ -91,14 +91,14 @@
         ACCEPTED.inc({})
         task = asyncio.current_task()
         self._connections.add(task)
-        door = _Door(self._keys, self._capability)
+        door = _DoorServer(self._keys, self._capability)
         server = capnp.TwoPartyServer(
             stream,
             bootstrap=door,
-            traversal_limit_in_words=MESSAGE_LIMIT_WORDS,
+            traversal_limit_in_words=MAX_MESSAGE_WORDS,
         )
         timer = asyncio.get_running_loop().call_later(
-            PROOF_TIMEOUT, _cut_off, door, stream
+            AUTHENTICATION_TIMEOUT, _close_if_unauthenticated, door, stream
         )
         try:
             await server.on_disconnect()
@@ -112,8 +112,8 @@
             timer.cancel()
             # Cap'n Proto tells a bad frame and a hang-up alike; a stranger's bytes
             # show by the proof that never came.
-            if not door.passed:
-                BROKEN.inc({})
+            if not door.is_authenticated:
+                UNAUTHENTICATED.inc({})
             self._connections.discard(task)
             server.close()
             stream.close()
@@ -127,6 +127,6 @@
         await asyncio.gather(*self._connections, return_exceptions=True)
 
 
-def _cut_off(door, stream):
-    if not door.passed:
+def _close_if_unauthenticated(door, stream):
+    if not door.is_authenticated:
         stream.close()
--- a/sassafrasdoor/peers/tests/test_link.py
+++ b/sassafrasdoor/peers/tests/test_link.py
@@ -12,14 +12,14 @@
 from sassafrasdoor.outcomes import Unavailable
 from sassafrasdoor.peers import proof
 from sassafrasdoor.peers.link import PeerLink
-from sassafrasdoor.peers.server import BROKEN, REFUSED, SCHEMA, PeerServer
+from sassafrasdoor.peers.server import REFUSED, SCHEMA, UNAUTHENTICATED, PeerServer
 from sassafrasdoor.support import until
 
 CONTROL = messages.SCHEMA.Control
 NEVER = asyncio.Event
 
 
-class Echo(CONTROL.Server):
+class FakeControl(CONTROL.Server):
     """Answers ``leave``; never answers ``events``; fails ``fetch``."""
 
     async def leave(self, stamp, _context, **_):
@@ -32,7 +32,7 @@
         raise ValueError("broken")
 
 
-def count(counter):
+def counter_value(counter):
     return counter.values.store.get("__EMPTY__", 0)
 
 
@@ -51,7 +51,7 @@
 
 class PeerLinkTests(unittest.IsolatedAsyncioTestCase):
     async def serve(self, *keys):
-        server = PeerServer(settings_with(*keys), "127.0.0.1", 0, Echo())
+        server = PeerServer(settings_with(*keys), "127.0.0.1", 0, FakeControl())
         await server.start()
         return server
 
@@ -59,7 +59,7 @@
         return PeerLink(settings_with(*keys), address, CONTROL)
 
     @on_kj_loop
-    async def test_keys(self):
+    async def test_accepted_and_refused_keys(self):
         """Guards against a peer link without proof, or broken by a key rotation."""
         cases = [
             (("new", "old"), ("old",), True),
@@ -70,29 +70,29 @@
             ((), ("new",), False),
             ((), (), True),
         ]
-        for server_keys, caller_keys, welcome in cases:
+        for server_keys, caller_keys, is_accepted in cases:
             with self.subTest(server=server_keys, caller=caller_keys):
                 server = await self.serve(*server_keys)
                 link = self.link(server.address, *caller_keys)
                 opened = await link.open()
-                self.assertEqual(opened is None, welcome, opened)
+                self.assertEqual(opened is None, is_accepted, opened)
                 answer = await link.call("leave", stamp=4)
-                self.assertEqual(bool(answer), welcome)
+                self.assertEqual(bool(answer), is_accepted)
                 link.close()
                 await server.close()
 
     @on_kj_loop
-    async def test_caller_without_key_never_reaches_the_capability(self):
+    async def test_caller_with_a_replayed_proof_is_refused(self):
         """Guards against a replayed proof."""
         server = await self.serve("key")
-        before = count(REFUSED)
+        before = counter_value(REFUSED)
         host, _, port = server.address.rpartition(":")
         stream = await capnp.AsyncIoStream.create_connection(host, int(port))
         door = capnp.TwoPartyClient(stream).bootstrap().cast_as(SCHEMA.Door)
         recorded = proof.prove_client(["key"], b"another nonce 16", "x", 5)
         with self.assertRaises(capnp.KjException):
             await door.enter(caller="x", stamp=5, mac=recorded)
-        self.assertEqual(count(REFUSED), before + 1)
+        self.assertEqual(counter_value(REFUSED), before + 1)
         with self.assertRaises(capnp.KjException):
             await door.ping(stamp=1 << 60)
         self.assertLess(EVENTS.clock.stamp(), 1 << 60)
@@ -100,7 +100,7 @@
         await server.close()
 
     @on_kj_loop
-    async def test_silent_peer_ends_the_call_at_its_deadline(self):
+    async def test_call_to_a_silent_peer_times_out(self):
         """Guards against a call to a silent peer without an end."""
         server = await self.serve()
         link = self.link(server.address)
@@ -111,8 +111,8 @@
         self.assertFalse(link.connected)
         self.assertIsNone(await link.open())
         await server.close()
-        with socket.create_server(("127.0.0.1", 0)) as deaf:
-            link = self.link(f"127.0.0.1:{deaf.getsockname()[1]}")
+        with socket.create_server(("127.0.0.1", 0)) as unresponsive:
+            link = self.link(f"127.0.0.1:{unresponsive.getsockname()[1]}")
             self.assertIsInstance(await link.open(timeout=0.1), Unavailable)
 
     @on_kj_loop
@@ -136,16 +136,16 @@
             "truncated": b"\x00\x00\x00\x00\x05\x00\x00\x00abc",
             "claims 16 GB": b"\x00\x00\x00\x00\xff\xff\xff\x7f" + bytes(64),
         }
-        chance = random.Random(11)
+        rng = random.Random(11)
         for number in range(30):
             # One segment of 8 words: a message by its frame, of any contents.
             head = b"\0\0\0\0\x08\0\0\0" if number % 2 else b""
-            words = chance.choices((0, 1, 2, 4, 0xFF, chance.randrange(256)), k=64)
+            words = rng.choices((0, 1, 2, 4, 0xFF, rng.randrange(256)), k=64)
             frames[f"seeded {number}"] = head + bytes(words)
         host, _, port = server.address.rpartition(":")
         for name, frame in frames.items():
             with self.subTest(name):
-                before = count(BROKEN)
+                before = counter_value(UNAUTHENTICATED)
                 reader, writer = await asyncio.open_connection(host, int(port))
                 writer.write(frame)
                 writer.write_eof()
@@ -154,24 +154,24 @@
                 await until(
                     lambda: server.connections == 1, what="the bad connection's end"
                 )
-                self.assertGreater(count(BROKEN), before)
+                self.assertGreater(counter_value(UNAUTHENTICATED), before)
                 self.assertTrue(await link.call("leave", stamp=1))
         link.close()
         await server.close()
 
     @on_kj_loop
-    async def test_stranger_who_proves_nothing_is_cut_off(self):
+    async def test_unauthenticated_connection_is_closed(self):
         """Guards against unauthenticated connections that use up the descriptors."""
         server = await self.serve("key")
         link = self.link(server.address, "key")
-        before = count(BROKEN)
-        with mock.patch("sassafrasdoor.peers.server.PROOF_TIMEOUT", 0.2):
+        before = counter_value(UNAUTHENTICATED)
+        with mock.patch("sassafrasdoor.peers.server.AUTHENTICATION_TIMEOUT", 0.2):
             await link.open()
             host, _, port = server.address.rpartition(":")
             reader, writer = await asyncio.open_connection(host, int(port))
             self.assertEqual(await reader.read(), b"")
         await until(lambda: server.connections == 1, what="only the peer left")
-        self.assertEqual(count(BROKEN), before + 1)
+        self.assertEqual(counter_value(UNAUTHENTICATED), before + 1)
         self.assertTrue(await link.ping())
         writer.close()
         link.close()
@@ -186,7 +186,7 @@
         await server.close()
         await until(lambda: not link.connected, what="heartbeat to fail")
         port = int(link.address.rpartition(":")[2])
-        server = PeerServer(settings_with(), "127.0.0.1", port, Echo())
+        server = PeerServer(settings_with(), "127.0.0.1", port, FakeControl())
         await server.start()
         await until(lambda: link.connected, what="reconnection")
         task.cancel()
@@ -194,7 +194,7 @@
         await server.close()
 
     @on_kj_loop
-    async def test_stamps_ride_on_messages(self):
+    async def test_messages_carry_clock_stamps(self):
         server = await self.serve()
         link = self.link(server.address)
         future = EVENTS.clock.stamp() + (60_000 << 16)
--- a/sassafrasdoor/platform/front.py
+++ b/sassafrasdoor/platform/front.py
@@ -87,7 +87,7 @@
                 routes_version=configuration.version,
             )
             missing = NotFound("no such route")
-            self._own_failure(self._parts.routes.unknown(missing))
+            self._own_failure(self._parts.routes.resolve_unknown(missing))
         elif route.repeat is Repeat.STEP:
             await self._submit(route, host, path)
         else:
--- a/sassafrasdoor/platform/process.py
+++ b/sassafrasdoor/platform/process.py
@@ -449,7 +449,7 @@
 
     async def _look_at_routes(self):
         while True:
-            self._routes.look()
+            self._routes.report_age()
             await asyncio.sleep(ROUTES_INTERVAL)
 
     async def _report_demand(self):
--- a/sassafrasdoor/table/accepted.py
+++ b/sassafrasdoor/table/accepted.py
@@ -12,8 +12,8 @@
 from sassafrasdoor.table.rows import table_from
 
 NO_REVISION = 0
-KEPT_DECISIONS = 64
-KEPT_FINDINGS = 20
+MAX_DECISIONS = 64
+MAX_DECISION_FINDINGS = 20
 
 
 class Proposal(BaseModel):
@@ -77,14 +77,14 @@
 
         Raises ``ValueError``, ``KeyError`` or ``TypeError`` if it is none.
         """
-        _check(document, _DECISION)
+        _check_types(document, _DECISION_FIELD_TYPES)
         findings = [Finding(**finding) for finding in document["findings"]]
         return cls(**{**document, "findings": findings})
 
 
 # Types of the members of documents. A revision that is no number would be folded
 # in without a word, and the next record compared with it would stop the follower.
-_DECISION = {
+_DECISION_FIELD_TYPES = {
     "id": str,
     "offset": int,
     "base": int,
@@ -93,10 +93,10 @@
     "winner": int,
     "winner_author": str,
 }
-_ACCEPTED = {"revision": int, "author": str}
+_ACCEPTED_FIELD_TYPES = {"revision": int, "author": str}
 
 
-def _check(document, types):
+def _check_types(document, types):
     for name, kind in types.items():
         if type(document[name]) is not kind:
             raise ValueError(name)
@@ -132,7 +132,7 @@
 
         Raises ``ValueError``, ``KeyError`` or ``TypeError`` if it is none.
         """
-        _check(document, _ACCEPTED)
+        _check_types(document, _ACCEPTED_FIELD_TYPES)
         table = document["table"]
         if table is not None:
             table = table_from(table)
@@ -147,26 +147,26 @@
     try:
         proposal = Proposal.model_validate(record.body)
     except ValidationError as error:
-        return _malformed(accepted, record, findings_of(error))
+        return _reject_malformed(accepted, record, findings_of(error))
     # A retried append may stand in the log twice. Deciding the copy again would
     # reject what was accepted, and its operator would read that rejection.
     if accepted.decision(proposal.id):
         return accepted
-    findings = _base_findings(accepted, proposal, record.offset)
+    findings = _check_base(accepted, proposal, record.offset)
     table = None if findings else table_from(proposal.table)
     if table:
         decision = Decision(
             proposal.id, record.offset, proposal.base, proposal.author, True
         )
         return Accepted(
-            table, record.offset, proposal.author, _kept(accepted, decision)
+            table, record.offset, proposal.author, _append_decision(accepted, decision)
         )
     if table is not None:
         findings = table.findings
     return _reject(accepted, record, proposal.id, proposal, findings)
 
 
-def _base_findings(accepted, proposal, offset):
+def _check_base(accepted, proposal, offset):
     if offset == NO_REVISION:
         # A log whose first offset is 0: a revision of that number could not be
         # told from "no table yet", and a second proposal on base 0 would win too.
@@ -177,7 +177,7 @@
     return [Finding("base", f"{reason}, by {accepted.author or 'nobody'}")]
 
 
-def _malformed(accepted, record, findings):
+def _reject_malformed(accepted, record, findings):
     body = record.body if isinstance(record.body, dict) else {}
     name = body.get("id")
     if not isinstance(name, str) or not 0 < len(name) <= 64:
@@ -194,7 +194,7 @@
         proposal.base if proposal else NO_REVISION,
         proposal.author if proposal else "",
         False,
-        findings[:KEPT_FINDINGS],
+        findings[:MAX_DECISION_FINDINGS],
         accepted.revision,
         accepted.author,
     )
@@ -202,9 +202,9 @@
         accepted.table,
         accepted.revision,
         accepted.author,
-        _kept(accepted, decision),
+        _append_decision(accepted, decision),
     )
 
 
-def _kept(accepted, decision):
-    return (*accepted.decisions, decision)[-KEPT_DECISIONS:]
+def _append_decision(accepted, decision):
+    return (*accepted.decisions, decision)[-MAX_DECISIONS:]
--- a/sassafrasdoor/table/publisher.py
+++ b/sassafrasdoor/table/publisher.py
@@ -9,8 +9,8 @@
 from sassafrasdoor.outcomes import Rejected, ReplyLost, Unavailable
 from sassafrasdoor.table.rows import table_from
 
-WAIT = 1.0
-PAUSE = 0.1
+POLL_TIMEOUT = 1.0
+POLL_RETRY_DELAY = 0.1
 
 
 class LostRace(Rejected):
@@ -31,14 +31,14 @@
     ``deadline`` bounds everything on the monotonic clock.
     """
 
-    __slots__ = ("_decision", "_follower", "_id", "_last", "_log", "_settings")
+    __slots__ = ("_decision", "_follower", "_id", "_last_folded", "_log", "_settings")
 
     def __init__(self, settings, log):
         self._settings = settings
         self._log = log
         self._id = uuid.uuid4().hex
         self._decision = None
-        self._last = None
+        self._last_folded = None
         self._follower = Follower(settings, log, self._fold, agreed.Agreed())
 
     async def propose(self, document, base, author, deadline):
@@ -61,7 +61,7 @@
             return appended
         # A lost reply is settled by reading for our id. Appending again would
         # publish a second copy of a proposal that may have been accepted.
-        return await self._decided(base, deadline)
+        return await self._wait_for_decision(base, deadline)
 
     async def _append(self, table, base, author):
         body = {
@@ -73,13 +73,13 @@
         }
         return await self._log.append(self._settings.platform.agreed_stream, body)
 
-    async def _decided(self, base, deadline):
+    async def _wait_for_decision(self, base, deadline):
         while not self._decision:
             if passed(deadline):
-                return self._undecided(base)
+                return self._outcome_at_deadline(base)
             # A log that is down answers at once: read it calmly.
-            if not await self._follower.poll(min(WAIT, remaining(deadline))):
-                await asyncio.sleep(min(PAUSE, remaining(deadline)))
+            if not await self._follower.poll(min(POLL_TIMEOUT, remaining(deadline))):
+                await asyncio.sleep(min(POLL_RETRY_DELAY, remaining(deadline)))
         if self._decision.accepted:
             return self._decision
         if self._decision.winner == base:
@@ -90,9 +90,9 @@
             self._decision.findings,
         )
 
-    def _undecided(self, base):
+    def _outcome_at_deadline(self, base):
         state = self._follower.state
-        if state.revision != base and state is self._last:
+        if state.revision != base and state is self._last_folded:
             # Whether or not our record still comes: its base is out of force. Not
             # so if a checkpoint took us past records that we have not seen.
             return LostRace(state.revision, state.accepted.author)
@@ -100,7 +100,7 @@
 
     def _fold(self, state, record):
         # Taken record by record: the state keeps only the latest decisions.
-        after = self._last = agreed.fold(state, record)
+        after = self._last_folded = agreed.fold(state, record)
         if self._decision is None:
             self._decision = after.accepted.decision(self._id)
         return after
--- a/sassafrasdoor/table/routes.py
+++ b/sassafrasdoor/table/routes.py
@@ -13,12 +13,12 @@
 from sassafrasdoor.metrics import counter, gauge
 from sassafrasdoor.outcomes import NotRun
 
-UNSURE_RETRY_AFTER = 1.0
+STALE_RETRY_AFTER = 1.0
 """Seconds after which a route that was not known may be: the operator's records are
 asked for at least that often while they cannot be read."""
 
 AGE = gauge("routes_age_seconds", "Seconds since the routes were last found current.")
-UNSURE = counter(
+STALE_REFUSALS = counter(
     "routes_unsure_total", "Unknown routes refused since the routes may be old."
 )
 
@@ -94,8 +94,8 @@
         self._by_host = {}
         for route in routes:
             self._by_host.setdefault(route.host, []).append(route)
-        for found in self._by_host.values():
-            found.sort(key=lambda route: len(route.prefix), reverse=True)
+        for routes_of_host in self._by_host.values():
+            routes_of_host.sort(key=lambda route: len(route.prefix), reverse=True)
 
     def match(self, host, path):
         """Return the route with the longest prefix of ``path``, or None."""
@@ -113,18 +113,18 @@
     """
 
     __slots__ = (
-        "_bound",
         "_callbacks",
         "_confirmed_at",
-        "_is_old",
+        "_is_stale",
+        "_max_age",
         "current",
         "taken_at",
     )
 
-    def __init__(self, confirmed_at=now, bound=lambda: math.inf):
+    def __init__(self, confirmed_at=now, max_age=lambda: math.inf):
         self._confirmed_at = confirmed_at
-        self._bound = bound
-        self._is_old = False
+        self._max_age = max_age
+        self._is_stale = False
         self.current = None
         self.taken_at = None
         self._callbacks = []
@@ -135,30 +135,30 @@
         confirmed_at = self._confirmed_at()
         return now() - (LONG_AGO if confirmed_at is None else confirmed_at)
 
-    def look(self):
+    def report_age(self):
         """Show the age, and write a line when it passes the bound, either way."""
         age = self.age
         AGE.set({}, age)
-        is_old = self.current is not None and age > self._bound()
-        if is_old == self._is_old:
+        is_stale = self.current is not None and age > self._max_age()
+        if is_stale == self._is_stale:
             return
-        self._is_old = is_old
-        if is_old:
-            note("routes.old", version=self.current.version, age=_shown(age))
+        self._is_stale = is_stale
+        if is_stale:
+            note("routes.old", version=self.current.version, age=_rounded(age))
         else:
             note("routes.current_again", version=self.current.version)
 
-    def unknown(self, outcome):
+    def resolve_unknown(self, outcome):
         """Return ``outcome`` for a route that is not known, if that is sure.
 
         By an old configuration it is not: the caller should come again.
         """
         age = self.age
-        if age <= self._bound():
+        if age <= self._max_age():
             return outcome
-        UNSURE.inc({})
-        note("request.route_unsure", age=_shown(age))
-        return NotRun("the routes may be old", UNSURE_RETRY_AFTER)
+        STALE_REFUSALS.inc({})
+        note("request.route_unsure", age=_rounded(age))
+        return NotRun("the routes may be old", STALE_RETRY_AFTER)
 
     def on_change(self, callback):
         """Call ``callback(configuration)`` for each new version."""
@@ -181,5 +181,5 @@
         return True
 
 
-def _shown(age):
+def _rounded(age):
     return None if math.isinf(age) else round(age, 3)
--- a/sassafrasdoor/table/rows.py
+++ b/sassafrasdoor/table/rows.py
@@ -47,14 +47,14 @@
     key_hashes: list[str] = Field(min_length=1, max_length=2)
 
     @model_validator(mode="after")
-    def _keys_are_hashes(self):
+    def _check_key_hashes(self):
         for key in self.key_hashes:
             if not SHA256_HEX.match(key):
                 raise ValueError("key_hashes holds a string that is no SHA-256 in hex")
         return self
 
     @model_validator(mode="after")
-    def _trainers_name_a_model(self):
+    def _check_trainer_model(self):
         if self.kind is Kind.TRAINER and not self.model:
             raise ValueError("a trainer's row names its model")
         return self
@@ -78,13 +78,13 @@
         table = Table.model_validate(document)
     except ValidationError as error:
         return Rejected("table invalid", findings_of(error))
-    doubled = _doubled_names(table)
-    if doubled:
-        return Rejected("table invalid", doubled)
+    duplicates = _duplicate_names(table)
+    if duplicates:
+        return Rejected("table invalid", duplicates)
     return table
 
 
-def _doubled_names(table):
+def _duplicate_names(table):
     seen, findings = set(), []
     for index, row in enumerate(table.rows):
         if row.name in seen:
--- a/sassafrasdoor/table/sheets.py
+++ b/sassafrasdoor/table/sheets.py
@@ -15,8 +15,8 @@
 
 COLUMNS = list(Row.model_fields)
 LIST_COLUMN = "key_hashes"
-REVISION_MARK = "# revision "
-MAX_DIGITS = 18
+REVISION_PREFIX = "# revision "
+MAX_REVISION_DIGITS = 18
 
 
 class Sheet:
@@ -38,7 +38,7 @@
     return _READERS.get(_suffix(path), from_json)(text)
 
 
-def write(path, table, revision):
+def to_text(path, table, revision):
     """Return the text of a table's sheet in the form that the suffix asks for."""
     return _WRITERS.get(_suffix(path), to_json)(table, revision)
 
@@ -62,10 +62,10 @@
 def from_csv(text):
     """Return the ``Sheet`` in CSV text, or ``Rejected``."""
     revision = None
-    if text.startswith(REVISION_MARK):
+    if text.startswith(REVISION_PREFIX):
         first, _, text = text.partition("\n")
-        digits = first.removeprefix(REVISION_MARK).strip(" ,\r")
-        if not digits.isdecimal() or len(digits) > MAX_DIGITS:
+        digits = first.removeprefix(REVISION_PREFIX).strip(" ,\r")
+        if not digits.isdecimal() or len(digits) > MAX_REVISION_DIGITS:
             return Rejected("sheet invalid", [Finding("revision", "not an integer")])
         revision = int(digits)
     try:
@@ -79,7 +79,7 @@
     ]
     if findings:
         return Rejected("sheet invalid", findings)
-    return Sheet({"rows": [_row(line) for line in lines]}, revision)
+    return Sheet({"rows": [_parse_row(line) for line in lines]}, revision)
 
 
 def to_json(table, revision):
@@ -91,7 +91,7 @@
 def to_csv(table, revision):
     """Return the sheet of a table as CSV text."""
     text = io.StringIO()
-    text.write(f"{REVISION_MARK}{revision}\n")
+    text.write(f"{REVISION_PREFIX}{revision}\n")
     writer = csv.DictWriter(text, COLUMNS, lineterminator="\n")
     writer.writeheader()
     for row in table.model_dump(mode="json")["rows"]:
@@ -103,7 +103,7 @@
     return pathlib.Path(path).suffix.lower()
 
 
-def _row(line):
+def _parse_row(line):
     row = {name: cell for name, cell in line.items() if cell not in ("", None)}
     if LIST_COLUMN in row:
         row[LIST_COLUMN] = row[LIST_COLUMN].split()
--- a/sassafrasdoor/table/tests/test_accepted.py
+++ b/sassafrasdoor/table/tests/test_accepted.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings, strategies as st
 
 from sassafrasdoor.log.interface import Record
-from sassafrasdoor.table.accepted import KEPT_DECISIONS, Accepted, fold
+from sassafrasdoor.table.accepted import MAX_DECISIONS, Accepted, fold
 
 HASH = "a" * 64
 JSON = st.recursive(
@@ -34,7 +34,7 @@
     return {"id": name, "base": base, "author": author, "table": document}
 
 
-def folded(*pairs):
+def fold_records(*pairs):
     """Fold ``(offset, body)`` pairs from the beginning."""
     state = Accepted()
     for offset, body in pairs:
@@ -43,8 +43,8 @@
 
 
 class AcceptedTest(unittest.TestCase):
-    def test_of_a_race_on_one_base_the_lowest_offset_wins_and_the_rest_are_told(self):
-        state = folded(
+    def test_lowest_offset_wins_a_race_on_one_base(self):
+        state = fold_records(
             (4, proposal("a", 0)),
             (7, proposal("b", 4, 2.0, "ben")),
             (8, proposal("c", 4, 3.0, "cleo")),
@@ -56,43 +56,43 @@
         self.assertEqual((lost.winner, lost.winner_author), (7, "ben"))
         self.assertIn("ben", str(lost.findings[0]))
 
-    def test_a_second_copy_changes_neither_the_table_nor_its_decision(self):
+    def test_duplicate_record_changes_nothing(self):
         """Guards against a duplicate record that rejects its accepted proposal."""
-        once = folded((4, proposal("a", 0)))
+        once = fold_records((4, proposal("a", 0)))
         twice = fold(once, Record(5, proposal("a", 0)))
         self.assertIs(twice, once)
 
     def test_bodies_that_are_rejected(self):
-        wrong = [
+        bad_bodies = [
             ("no table", {"id": "x", "base": 0}),
             ("bad weight", proposal("x", 0, -1.0)),
             ("base as text", proposal("x", "0")),
             ("base beyond", proposal("x", 99)),
             ("table is a list", {**proposal("x", 0), "table": []}),
         ]
-        for name, body in wrong:
+        for name, body in bad_bodies:
             with self.subTest(name):
-                state = folded((3, body))
+                state = fold_records((3, body))
                 self.assertIsNone(state.table)
                 self.assertFalse(state.decision("x").accepted)
                 self.assertTrue(state.decision("x").findings)
 
     def test_offset_zero_is_no_revision(self):
-        state = folded((0, proposal("a", 0)), (1, proposal("b", 0)))
+        state = fold_records((0, proposal("a", 0)), (1, proposal("b", 0)))
         self.assertEqual(state.revision, 1)
         self.assertFalse(state.decision("a").accepted)
 
     def test_decisions_are_bounded(self):
-        pairs = [(n, proposal(f"p{n}", n - 1)) for n in range(1, KEPT_DECISIONS + 9)]
-        self.assertEqual(len(folded(*pairs).decisions), KEPT_DECISIONS)
+        pairs = [(n, proposal(f"p{n}", n - 1)) for n in range(1, MAX_DECISIONS + 9)]
+        self.assertEqual(len(fold_records(*pairs).decisions), MAX_DECISIONS)
 
-    def test_it_survives_json(self):
-        state = folded((4, proposal("a", 0)), (5, proposal("b", 0)))
+    def test_json_round_trip(self):
+        state = fold_records((4, proposal("a", 0)), (5, proposal("b", 0)))
         document = state.as_document()
         self.assertEqual(Accepted.from_document(document).as_document(), document)
 
     @settings(derandomize=True, max_examples=300, deadline=None)
     @given(JSON)
-    def test_no_body_breaks_the_fold(self, body):
-        state = fold(folded((4, proposal("a", 0))), Record(9, body))
+    def test_fold_accepts_any_body(self, body):
+        state = fold(fold_records((4, proposal("a", 0))), Record(9, body))
         self.assertEqual(state.revision, 4)
--- a/sassafrasdoor/table/tests/test_routes.py
+++ b/sassafrasdoor/table/tests/test_routes.py
@@ -17,35 +17,35 @@
         self.routes.take(Configuration(1, [], {}, Limits(1, 1, 1.0)))
         self.missing = NotFound("no such route")
 
-    def looks(self):
+    def reported_event(self):
         """Return the line that a look writes, or None."""
         with mock.patch.object(module, "note") as line:
-            self.routes.look()
+            self.routes.report_age()
         return line.call_args.args[0] if line.called else None
 
-    def test_unknown_route_is_sure_within_the_bound(self):
-        self.assertIs(self.routes.unknown(self.missing), self.missing)
+    def test_unknown_route_is_not_found_while_routes_are_current(self):
+        self.assertIs(self.routes.resolve_unknown(self.missing), self.missing)
 
-    def test_unknown_route_is_not_sure_beyond_the_bound(self):
+    def test_unknown_route_is_retryable_when_routes_are_stale(self):
         """Guards against a 404 for a route that was added since."""
         self.confirmed_at -= 2.1
-        outcome = self.routes.unknown(self.missing)
+        outcome = self.routes.resolve_unknown(self.missing)
         self.assertIsInstance(outcome, NotRun)
         self.assertGreater(outcome.retry_after, 0)
 
-    def test_routes_of_another_instance_are_never_sure(self):
+    def test_unknown_route_is_retryable_before_the_first_confirmation(self):
         """Guards against a 404 by what another instance knew at the own start."""
         self.confirmed_at = None
-        self.assertIsInstance(self.routes.unknown(self.missing), NotRun)
+        self.assertIsInstance(self.routes.resolve_unknown(self.missing), NotRun)
 
-    def test_line_is_written_when_the_bound_is_passed_either_way(self):
-        self.assertIsNone(self.looks())
+    def test_change_between_current_and_stale_is_logged_once(self):
+        self.assertIsNone(self.reported_event())
         self.confirmed_at -= 2.1
-        self.assertEqual(self.looks(), "routes.old")
-        self.assertIsNone(self.looks())
+        self.assertEqual(self.reported_event(), "routes.old")
+        self.assertIsNone(self.reported_event())
         self.confirmed_at = now()
-        self.assertEqual(self.looks(), "routes.current_again")
-        self.assertIsNone(self.looks())
+        self.assertEqual(self.reported_event(), "routes.current_again")
+        self.assertIsNone(self.reported_event())
 
-    def test_start_without_a_configuration_is_not_old(self):
-        self.assertEqual(RoutesInForce(lambda: None, lambda: 2.0).look(), None)
+    def test_routes_without_a_configuration_are_not_stale(self):
+        self.assertEqual(RoutesInForce(lambda: None, lambda: 2.0).report_age(), None)
--- a/sassafrasdoor/tools/table.py
+++ b/sassafrasdoor/tools/table.py
@@ -177,7 +177,7 @@
         no_table = Rejected("no table is in force", [])
         raise typer.Exit(tool.report.outcome(no_table))
     pathlib.Path(output).write_text(
-        sheets.write(output, state.table, state.revision), encoding="utf-8"
+        sheets.to_text(output, state.table, state.revision), encoding="utf-8"
     )
     return None
 
