--- a/sassafrasdoor/membership/__init__.py
+++ b/sassafrasdoor/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which instances are alive, suspected or leaving: a hint, never proof."""
+"""Gossip membership: which instances are alive, suspect or leaving (advisory only)."""
--- a/sassafrasdoor/membership/broadcasts.py
+++ b/sassafrasdoor/membership/broadcasts.py
@@ -1,16 +1,16 @@
-"""Updates waiting to ride on messages, each a bounded number of times."""
+"""Queue of member updates to piggyback on messages, each a bounded number of times."""
 
 import math
 
 from sassafrasdoor.membership.messages import MAX_UPDATES_BYTES, encoded_size
 
-# Each update is sent this many times log10 of the members: enough that one
-# member missing it is rare, and the comparison of digests mends that.
+# An update is sent this many times log10 of the member count. Few members miss it,
+# and the comparison of digests repairs those.
 RETRANSMIT_FACTOR = 4
 
 
 class Broadcasts:
-    """At most one update for each member, the least sent first."""
+    """At most one update for each member, least sent first."""
 
     __slots__ = ("_pending",)
 
@@ -21,11 +21,11 @@
         return len(self._pending)
 
     def add(self, member):
-        """Queue an update; it replaces an older one about the same member."""
+        """Queue an update; it replaces a queued one about the same member."""
         self._pending[member.name] = [0, member]
 
     def take(self, members, max_bytes=MAX_UPDATES_BYTES):
-        """Return updates that fit ``room`` bytes, for a cluster of ``members``."""
+        """Return updates of at most ``max_bytes``, for a cluster of ``members``."""
         max_sends = RETRANSMIT_FACTOR * math.ceil(math.log10(members + 2))
         taken = []
         for entry in sorted(self._pending.values(), key=lambda entry: entry[0]):
--- a/sassafrasdoor/membership/delegate.py
+++ b/sassafrasdoor/membership/delegate.py
@@ -1,4 +1,4 @@
-"""What an application tells membership, and hears from it."""
+"""The interface between membership and the application that embeds it."""
 
 from sassafrasdoor.clock import now
 
@@ -7,9 +7,9 @@
     """How far a member has read the agreed stream, and when that was confirmed.
 
     ``as_of`` is the next offset to read; ``confirmed_at`` is on this process's
-    monotonic clock, None if never; ``hops`` counts the members that passed it
-    on, 0 at the one that asked the log itself. Above ``changed_as_of`` nothing
-    changed that others must know at once.
+    monotonic clock, None if never; ``hops`` counts the members that relayed the
+    confirmation, 0 at the one that read the log. No record from ``changed_as_of``
+    on needs immediate delivery to other members.
     """
 
     __slots__ = ("as_of", "changed_as_of", "confirmed_at", "hops")
@@ -27,17 +27,17 @@
 
 
 class Delegate:
-    """Override what is of use; all methods return at once and never raise."""
+    """Callbacks to override as needed; they must neither block nor raise."""
 
     def member_changed(self, member):
         """A member joined, changed its state or its addresses."""
 
     def region_changed(self, region, silent):
-        """A region fell silent as a whole, or was heard again."""
+        """A whole region became silent or reachable again."""
 
     def log_position(self):
-        """Return the ``News`` to spread."""
+        """Return the ``LogPosition`` to send with each message."""
         return LogPosition()
 
     def position_received(self, name, log_position):
-        """A member spread its ``News``."""
+        """A message with the ``LogPosition`` of member ``name`` arrived."""
--- a/sassafrasdoor/membership/gossip.capnp
+++ b/sassafrasdoor/membership/gossip.capnp
@@ -1,12 +1,12 @@
 @0xe5b2f7a90c6d1843;
 
-# One datagram between members: a count of MACs, the MACs, and this, packed.
+# A datagram between members: one byte of MAC length, the MACs, a packed Message.
 
 enum Kind {
   ping @0;
   ack @1;
-  probe @2;        # please ping `target` for me and pass its ack on
-  gossip @3;       # updates only, no answer
+  probe @2;        # asks the receiver to ping `target` and relay its ack
+  gossip @3;       # updates only, not answered
   compare @4;      # digests by bucket; answered by `differ`
   differ @5;       # the sender's members of the buckets that differ
 }
@@ -23,7 +23,7 @@
   peer @8 :Text;
 }
 
-# How long ago somebody in the sender's region last heard from `region`.
+# How long ago the sender last received a message from `region`.
 struct Contact {
   region @0 :Text;
   ageMs @1 :UInt32;
--- a/sassafrasdoor/membership/messages.py
+++ b/sassafrasdoor/membership/messages.py
@@ -1,4 +1,4 @@
-"""Datagrams: sealed, packed ``gossip.capnp`` messages."""
+"""Datagrams: packed ``gossip.capnp`` messages with MACs."""
 
 import pathlib
 
@@ -12,21 +12,22 @@
 SCHEMA = capnp.load(str(pathlib.Path(__file__).with_name("gossip.capnp")))
 Kind = SCHEMA.Kind
 
-# Fits one Ethernet frame; a longer datagram is lost whole with any fragment.
+# Fits one Ethernet frame: a fragmented datagram is lost if any fragment is.
 MAX_DATAGRAM_BYTES = 1400
-# What updates may take of it; the rest is for the head and two MACs.
+# The part of a datagram for updates; the rest is for the header and two MACs.
 MAX_UPDATES_BYTES = 1000
 UPDATE_OVERHEAD_BYTES = 50
 SEGMENT_COUNT_MASK = 0x0F
-# An update passes through a member some ten times; encoding one takes 75 µs.
+# A member handles each update some ten times; encoding one takes 75 µs.
 UPDATE_CACHE_SIZE = 2048
-# Milliseconds of the wall clock, far above any: who is told of a later life of its
-# own takes the next number, and beyond 64 bits could send nothing any more.
+# Incarnations start at wall-clock milliseconds, far below this. A member that
+# refutes an update takes its incarnation plus one; above 64 bits it could not be
+# encoded and the member could send nothing any more.
 MAX_INCARNATION = 1 << 62
 
 
 class Malformed(ValueError):
-    """The datagram is no message of ours."""
+    """The datagram is not a valid message."""
 
 
 class Forged(ValueError):
@@ -43,17 +44,17 @@
 def decode(keys, datagram):
     """Return the message in a datagram; raises ``Malformed`` or ``Forged``."""
     if not datagram or datagram[0] >= len(datagram):
-        raise Malformed("no body")
+        raise Malformed("datagram without a body")
     body_start = 1 + datagram[0]
     body = datagram[body_start:]
     if not proof.is_signed(keys, body, datagram[1:body_start]):
-        raise Forged("no valid MAC")
-    # A message starts with the number of its segments less one; packed, the low
-    # bits of the first byte say which bytes of that are not 0. If a segment after
-    # the first is missing, the reader raises from its destructor, which aborts
-    # the process. Ours have one segment, so others are refused unread.
+        raise Forged("datagram without a valid MAC")
+    # A message starts with its segment count less one; in packed form the low bits
+    # of the first byte mark the nonzero bytes of that count. If a segment after the
+    # first is missing, the reader raises from its destructor, which aborts the
+    # process. We send one segment, so messages with more are refused unread.
     if not body or body[0] & SEGMENT_COUNT_MASK:
-        raise Malformed("several segments")
+        raise Malformed("message of more than one segment")
     try:
         return SCHEMA.Message.from_bytes_packed(body)
     except (capnp.KjException, ValueError) as error:
@@ -81,10 +82,10 @@
 
 @cached(LRUCache(UPDATE_CACHE_SIZE))
 def decode_update(data):
-    """Return the ``Member`` in an update; raises as ``decode`` or KeyError."""
+    """Return the ``Member`` in an update; raises like ``decode``, or KeyError."""
     with SCHEMA.Update.from_bytes(data) as message:
         if message.incarnation > MAX_INCARNATION:
-            raise Malformed("incarnation")
+            raise Malformed("incarnation out of range")
         return _to_member(message)
 
 
@@ -103,7 +104,7 @@
 
 
 def encoded_size(member):
-    """Return about how many bytes an update takes."""
+    """Return the approximate encoded size of an update in bytes."""
     return (
         UPDATE_OVERHEAD_BYTES
         + len(member.name)
@@ -117,7 +118,7 @@
 
 
 def chunks(members):
-    """Yield lists of members whose updates fit one datagram each."""
+    """Yield lists of members, each of which fits one datagram; at least one list."""
     chunk, size = [], 0
     for member in members:
         if chunk and size + encoded_size(member) > MAX_UPDATES_BYTES:
--- a/sassafrasdoor/membership/node.py
+++ b/sassafrasdoor/membership/node.py
@@ -1,10 +1,10 @@
 """Membership by random probing (SWIM), as a library.
 
-Each member probes one other each interval, mostly in its own region; asks a few
-others to probe it when it does not answer; suspects it, and declares it dead
-unless it refutes in time by a higher incarnation. Updates ride on the messages.
-The cost for a member does not grow with their number, but for a logarithm.
-Whatever it says is a hint: nothing that must be agreed rests on it.
+In each interval a member probes one other, mostly in its own region. If that one does
+not answer, it asks a few others to probe it, then suspects it, and declares it dead
+unless it refutes this in time by a higher incarnation. Updates are piggybacked on the
+messages. The load on a member grows only with the logarithm of the member count. The
+result is advisory: nothing that needs agreement depends on it.
 """
 
 import asyncio
@@ -24,11 +24,11 @@
 from sassafrasdoor.membership.transport import Transport
 from sassafrasdoor.view import State
 
-# One round to ``gossip_fanout`` members by each that hears it reaches nearly all;
-# the probes of the next second or two tell the rest.
+# One round, in which each member that receives a position sends it to
+# ``gossip_fanout`` others, reaches nearly all; probes reach the rest in 1 to 2 s.
 LOG_POSITION_ROUNDS = 1
 DEPART_ROUNDS = 2
-# A probe ends within one interval; one that took longer ended late by our fault.
+# In probe intervals. A probe ends within one; if it took longer, this process is late.
 LATE_PROBE_FACTOR = 1.2
 MAX_RELAYED_REPAIRS = 3
 UNKNOWN_AGE_MS = 0xFFFFFFFF
@@ -36,10 +36,10 @@
 
 
 class Membership:
-    """One member's part: ``await start(...)``, then read ``members``.
+    """One member: ``await start(...)``, then read ``members``.
 
     ``own`` is this process's ``Member``; its incarnation and gossip address are
-    filled in here. Needs a running asyncio loop and no kj_loop.
+    set here. Needs a running asyncio loop but no ``kj_loop``.
     """
 
     def __init__(self, settings, own, delegate=None, rng=None):
@@ -65,9 +65,9 @@
         self._pause_detector = PauseDetector(2 * self._settings.probe_interval)
         self._seeds = list(self._settings.seeds)
         self._tasks = []
-        # Milliseconds of the wall clock: above every incarnation of an earlier
-        # life of this name. Should the clock have been set back, the first
-        # update about the earlier life is refuted like any other.
+        # Wall-clock milliseconds: above every incarnation of an earlier process of
+        # this name. If the clock was set back, the first update about the earlier
+        # process is refuted like any other.
         self._own = order.changed(own, incarnation=int(time.time() * 1000))
 
     @property
@@ -87,21 +87,21 @@
 
     @property
     def is_view_trusted(self):
-        """False after a pause of this process until a member has answered."""
+        """False from a pause of this process until a member's roster has arrived."""
         return not self._pause_detector.paused
 
     @property
     def members(self):
-        """All members but the dead, as seen from here, this one included.
+        """All members that are not dead, this one included.
 
-        Members of a silent region are suspect, after ``silence_timeout`` gone.
+        Members of a silent region are suspect, and left out after ``silence_timeout``.
         """
         visible = (self._with_region_state(member) for member in self._roster.living())
         return [member for member in visible if member.state is not State.DEAD]
 
     @property
     def undeparted_names(self):
-        """Names of all members remembered but those that departed on purpose."""
+        """Names of all known members except those that departed on purpose."""
         return [m.name for m in self._roster.all() if not order.has_departed(m)]
 
     def _with_region_state(self, member):
@@ -114,7 +114,7 @@
         return order.changed(member, state=State.DEAD if gone else State.SUSPECT)
 
     async def start(self, host="127.0.0.1", port=0):
-        """Bind, join the seeds and begin to probe."""
+        """Bind, join the seeds and start probing."""
         await self._transport.open(host, port)
         self._update_own(gossip_address=self.address)
         self.join(self._seeds)
@@ -124,23 +124,23 @@
         ]
 
     def join(self, addresses):
-        """Compare rosters with the members at these gossip addresses."""
+        """Start a comparison of rosters with the members at these gossip addresses."""
         for address in addresses:
             if address and address != self._own.gossip_address:
                 self._compare(address)
 
     def update(self, **addresses):
-        """Tell all members other addresses of this process."""
+        """Announce changed addresses of this process."""
         if any(getattr(self._own, name) != to for name, to in addresses.items()):
             self._update_own(incarnation=self._own.incarnation + 1, **addresses)
 
     def leave(self):
-        """Tell all members that this process leaves on purpose."""
+        """Announce a planned stop of this process."""
         if self._own.state is State.ALIVE:
             self._update_own(state=State.LEAVING)
 
     async def depart(self):
-        """Tell some members that this process is gone now, before ``stop``."""
+        """Announce that this process has stopped; to be called before ``stop``."""
         gone = dict.fromkeys(order.ADDRESSES, "")
         incarnation = self._own.incarnation + 1
         self._update_own(state=State.DEAD, incarnation=incarnation, **gone)
@@ -149,7 +149,7 @@
             await asyncio.sleep(self._settings.gossip_interval)
 
     def broadcast_log_position(self):
-        """The delegate's ``news`` changed: tell it on without delay."""
+        """Gossip the delegate's changed ``log_position`` without delay."""
         self._position_rounds_left = LOG_POSITION_ROUNDS
 
     async def stop(self):
@@ -199,8 +199,8 @@
             return
         EVENTS.clock.observe(message.stamp)
         if not self._pause_detector.tick():
-            # Right after a pause, messages as old as the pause are read: they
-            # say nothing about who can be reached now.
+            # Messages read right after a pause may be as old as the pause and do not
+            # show who can be reached now.
             self._suspicions.last_received_at = now()
             self._record_contacts(message)
         relay_updates = _should_relay_updates(message)
@@ -213,8 +213,8 @@
 
     def _log_position_of(self, message):
         age = message.confirmedAgeMs
-        # A message that waited while this process was paused is older than it
-        # says by an unknown time: its confirmation would look too young.
+        # A message that was queued during a pause of this process is older than it
+        # states by an unknown time: its confirmation would seem too recent.
         if age == UNKNOWN_AGE_MS or self._pause_detector.paused:
             return LogPosition(message.asOf, message.changedAsOf)
         confirmed_at = now() - age / 1000
@@ -232,8 +232,8 @@
                 )
 
     def _handle_ping(self, message, address):
-        # The address may have passed on to another instance: only the member
-        # that was meant answers, or a dead one would seem alive for ever.
+        # Another instance may have taken over the address: only the target answers,
+        # or a dead member would seem alive for ever.
         if message.target == self._own.name:
             known_sender = self._roster.get(message.sender)
             updates = self._broadcasts.take(len(self._roster))
@@ -307,7 +307,7 @@
         if update.name != self._own.name:
             self._apply(update, relay_updates)
         elif order.is_newer(update, self._own):
-            # Somebody doubts this process, or remembers an earlier life of it.
+            # Refutes a suspicion, or an update about an earlier process of this name.
             self._update_own(incarnation=update.incarnation + 1)
 
     def _apply(self, update, relay_updates=True):
@@ -368,9 +368,9 @@
             self._regions.record_contact(member.region)
 
     def _probe_failed(self, member, began):
-        # A process that was stopped meanwhile finds its timeouts all expired,
-        # before the answers that wait in its socket. It must not blame others.
-        # One that only runs late (its processor is busy) reads answers late too.
+        # After a pause of this process its timeouts expire before it reads the answers
+        # in its socket, and on a busy processor it reads answers late. Neither is a
+        # failure of the member.
         late = now() - began > LATE_PROBE_FACTOR * self._settings.probe_interval
         if self._pause_detector.tick() or late:
             return
@@ -428,8 +428,8 @@
             self._settings.suspicion_timeout
         )
         if not others or passed(self._refresh_deadline):
-            # Nobody there to refresh from: as good as a member that was not
-            # paused and hears nobody.
+            # No member to refresh from: equivalent to an isolated member without a
+            # pause.
             self._mark_refreshed()
             return
         count = min(len(others), self._settings.indirect_probes or 1)
@@ -449,11 +449,11 @@
 
 
 def _should_relay_updates(message):
-    """Say whether the updates of a message are to be passed on to all.
+    """Say whether the updates of a message are gossiped further.
 
-    Who joins is sent all members, which all but itself know. Passing each on a
-    dozen times would take it over its byte budget. A difference of a few is a lost
-    update, and may be lost on others too.
+    A joining member receives all members, which all others know already. Sending each
+    on a dozen times would exceed its byte budget. A difference of a few members is a
+    lost update, which other members may have missed too.
     """
     return str(message.kind) != "differ" or len(message.updates) <= MAX_RELAYED_REPAIRS
 
--- a/sassafrasdoor/membership/order.py
+++ b/sassafrasdoor/membership/order.py
@@ -1,9 +1,9 @@
-"""Which of two updates about one member is newer.
+"""The order of updates about one member.
 
-The order is total and an update only replaces a smaller one, so members that
-saw the same updates in any order hold the same. A member alone raises its own
-incarnation; at one incarnation suspicion beats alive, leaving beats suspicion
-(who leaves says so itself and is not to be doubted back), and dead beats all.
+The order is total and an update only replaces a lower one, so all members converge
+whatever the order of arrival. Only a member itself raises its incarnation. Within
+one incarnation suspect overrides alive, leaving overrides suspect (a member announces
+its own leaving, which a suspicion must not undo), and dead overrides all.
 """
 
 from sassafrasdoor.view import State
@@ -16,19 +16,19 @@
 
 
 def has_departed(member):
-    """Say whether a member said itself that it has ended.
+    """Say whether a member itself announced that it has stopped.
 
-    Who is declared dead by others keeps its addresses, and may live on
-    somewhere, cut off; who departs takes them away.
+    A member that others declare dead keeps its addresses and may still run behind
+    a partition; one that departs clears them.
     """
     return member.state is State.DEAD and not member.gossip_address
 
 
 def sort_key(member):
-    """Return what the order compares.
+    """Return the tuple that the order compares.
 
-    Addresses come last: two updates that differ in nothing else can only come
-    from two processes under one name, and even then all keep the same one.
+    Addresses come last: two updates that differ in nothing else can only come from
+    two processes of one name, and even then all members keep the same one.
     """
     return (
         member.incarnation,
--- a/sassafrasdoor/membership/regions.py
+++ b/sassafrasdoor/membership/regions.py
@@ -1,19 +1,18 @@
-"""Which other regions can be reached from ours.
-
-When the way to a region is cut, each probe into it fails. To suspect each of
-its members and then declare it dead would empty the view of half the system in
-seconds, and flood the wire with refutations when the way is back. So a failed
-probe into another region is at first a doubt, kept here and told to nobody. Once
-somebody in our region hears from that region after the doubt began, the member
-is probed again, and a second failure makes it suspect. Until then the region,
-not the member, is what is silent.
+"""Reachability of the other regions from this one.
+
+During a partition between regions every probe across it fails. Suspecting each member
+and declaring it dead would empty the view of half the system within seconds and flood
+the network with refutations afterwards. A failed probe into another region is therefore
+only recorded here at first and not gossiped. Once a member of this region has received
+a message from that region after the failure, the member is probed again, and a second
+failure makes it suspect. Until then the region counts as silent, not the member.
 """
 
 from sassafrasdoor.clock import now
 
 
 class Regions:
-    """When our region last heard from each other one, and the open doubts."""
+    """The last contact with each other region, and unconfirmed failed probes."""
 
     __slots__ = ("_direct", "_failed_probes", "_reported", "_settings")
 
@@ -25,39 +24,39 @@
 
     @property
     def failed_probes(self):
-        """Names doubted, with their region and since when."""
+        """``(region, failed at)`` of each member with a failed probe, by name."""
         return dict(self._failed_probes)
 
     def record_contact(self, region):
-        """Note that this process heard from ``region`` just now."""
+        """Record that this process received a message from ``region`` now."""
         self._direct[region] = now()
         self._reported.pop(region, None)
 
     def record_reported_contact(self, region, age):
-        """Note that a member of our region heard from ``region`` ``age`` s ago."""
+        """Record a contact with ``region`` ``age`` s ago that a local member reported."""
         at = now() - age
         self._reported[region] = max(self._reported.get(region, at), at)
 
     def last_contact_at(self, region):
-        """Return when ``region`` was last heard (monotonic), -inf if never."""
+        """Return the (monotonic) time of the last contact, -inf if there was none."""
         never = float("-inf")
         return max(self._direct.get(region, never), self._reported.get(region, never))
 
     def contact_ages(self):
-        """Return ``(region, seconds)`` since this process itself heard a region.
+        """Return ``(region, seconds)`` since this process's own last contact.
 
-        What others told is not passed on. Each hop makes an age too young by
-        the way's latency: told round and round, a region cut for long would
-        seem to have been heard a moment ago.
+        Contacts that others reported are not relayed: each hop understates the age
+        by the network latency, and through repeated relaying a region partitioned
+        long ago would seem to have been in contact a moment ago.
         """
         current = now()
         return [(region, current - at) for region, at in self._direct.items()]
 
     def record_failed_probe(self, member, began):
-        """A probe of a member of another region, begun at ``began``, failed.
+        """Record that a probe into another region, begun at ``began``, failed.
 
-        Return True if one failed before, and its region was heard between the
-        two: then the member is at fault, and not the way to its region.
+        Return True if an earlier one failed too and there was contact with the region
+        between the two: then the member has failed, and not the path to its region.
         """
         region, since = self._failed_probes.get(member.name, (member.region, None))
         if since is None:
@@ -69,11 +68,11 @@
         return True
 
     def clear_failed_probe(self, name):
-        """The member answered."""
+        """Discard the failed probe of a member that has answered."""
         self._failed_probes.pop(name, None)
 
     def members_to_reprobe(self):
-        """Return the doubted whose region was heard since: the doubt can end."""
+        """Return members with a failed probe and a later contact with their region."""
         return [
             name
             for name, (region, since) in self._failed_probes.items()
@@ -81,7 +80,7 @@
         ]
 
     def silent_since(self, region):
-        """Return since when the region is silent, or None if it can be reached."""
+        """Return since when the region is silent, or None if it is reachable."""
         since = [
             at
             for failed_region, at in self._failed_probes.values()
@@ -92,9 +91,9 @@
         return min(since)
 
     def regions_with_failed_probes(self):
-        """Return the regions that have an open doubt."""
+        """Return the regions of all members with a failed probe."""
         return {region for region, _ in self._failed_probes.values()}
 
     def reset(self):
-        """Forget all doubts: this process was paused, and they are void."""
+        """Discard all failed probes; after a pause of this process they mean nothing."""
         self._failed_probes.clear()
--- a/sassafrasdoor/membership/roster.py
+++ b/sassafrasdoor/membership/roster.py
@@ -1,4 +1,4 @@
-"""The members known, and digests by which two rosters are compared cheaply."""
+"""The known members, with digests for a cheap comparison of two rosters."""
 
 import functools
 import hashlib
@@ -9,16 +9,16 @@
 from sassafrasdoor.view import State
 
 BUCKET_COUNT = 32
-# How long a dead member is remembered. Forgotten too early, an old "alive"
-# still under way would bring it back; one would see it flap.
+# Seconds. If a dead member were removed too early, a delayed "alive" update would
+# bring it back, and the member would flap.
 DEAD_MEMBER_RETENTION = 120.0
 
 
 class Roster:
-    """Members by name. Digests cover all that are not dead.
+    """Members by name; the digests cover all that are not dead.
 
-    Suspicion is left out of the digests: it comes and goes, and rosters that
-    differ only in it need no repair.
+    The digests leave out suspicion: it is short-lived, and rosters that differ in
+    nothing else need no repair.
     """
 
     __slots__ = ("_buckets", "_drop_deadlines", "_member_hashes", "_members")
@@ -31,7 +31,7 @@
 
     @property
     def digest(self):
-        """One number for the whole roster."""
+        """The digest of the whole roster."""
         return functools.reduce(operator.xor, self._buckets)
 
     @property
@@ -47,7 +47,7 @@
         return self._members.get(name)
 
     def all(self):
-        """Return all members, the dead that are still remembered included."""
+        """Return all members, with the dead ones that are still kept."""
         return list(self._members.values())
 
     def living(self):
@@ -55,11 +55,11 @@
         return [m for m in self._members.values() if m.state is not State.DEAD]
 
     def dead(self):
-        """Return the dead members that are still remembered."""
+        """Return the dead members that are still kept."""
         return [self._members[name] for name in self._drop_deadlines]
 
     def apply(self, update):
-        """Take an update; return whether it was newer than what was known."""
+        """Apply an update; return False if it is not newer than the known state."""
         if not order.is_newer(update, self._members.get(update.name)):
             return False
         self._members[update.name] = update
@@ -79,13 +79,13 @@
             self._buckets[bucket] ^= member_hash
 
     def drop_expired(self):
-        """Drop the members that have been dead for long."""
+        """Remove members that have been dead for ``DEAD_MEMBER_RETENTION``."""
         for name in [name for name, at in self._drop_deadlines.items() if passed(at)]:
             del self._drop_deadlines[name]
             del self._members[name]
 
     def differing(self, buckets):
-        """Return the members of the buckets whose digests differ from these."""
+        """Return the members of all buckets whose digests differ from ``buckets``."""
         if len(buckets) != BUCKET_COUNT:
             return self.all()
         differ = {
--- a/sassafrasdoor/membership/suspicions.py
+++ b/sassafrasdoor/membership/suspicions.py
@@ -1,8 +1,8 @@
-"""Members under suspicion, and when they count as dead."""
+"""Suspected members, and when a suspicion expires."""
 
 from sassafrasdoor.clock import deadline_in, now, passed
 
-# Hearing nobody for this many probe intervals, a process is itself cut off.
+# A process that has received nothing for this many probe intervals is isolated.
 ISOLATION_PROBE_INTERVALS = 3
 
 
@@ -16,13 +16,12 @@
 
 
 class Suspicions:
-    """Suspicions by name; each ends by a refutation, or in death.
+    """Suspicions by name; a suspicion that is not refuted in time means death.
 
-    Unless the way to the member may be at fault, and not the member. If this
-    process hears nobody at all, it is the one that is cut off: to declare all
-    others dead would flood them with updates to refute when it is back, and one
-    would see a storm of incarnations. A region that nobody of ours hears is
-    judged likewise.
+    It is postponed while the network path to the member may have failed. A process
+    that receives nothing is itself isolated: if it declared all others dead, it
+    would flood them with updates to refute on its return, and incarnations would
+    rise everywhere. The same holds for a region without contact.
     """
 
     __slots__ = ("_by_name", "_region", "_regions", "_settings", "last_received_at")
@@ -35,22 +34,22 @@
         self.last_received_at = now()
 
     def begin(self, name):
-        """The member is suspect from now on."""
+        """Start the suspicion timeout of a member."""
         self._by_name[name] = _Suspicion(self._settings.suspicion_timeout)
 
     def end(self, name):
-        """The member is suspect no more."""
+        """Remove the suspicion of a member, if there is one."""
         self._by_name.pop(name, None)
 
     def restart_timers(self):
-        """Give all their full time again: this process was paused."""
+        """Restart every suspicion timeout, after a pause of this process."""
         for name in self._by_name:
             self.begin(name)
 
     def pop_expired(self, roster, others):
-        """Take out and return the members that count as dead now.
+        """Remove and return the members whose suspicion has expired.
 
-        ``others`` is how many members there are besides this process.
+        ``others`` is the number of members besides this process.
         """
         dead = []
         for name, suspicion in list(self._by_name.items()):
@@ -58,8 +57,8 @@
             if self._may_be_postponed(suspicion) and self._is_partitioned(
                 member, suspicion, others
             ):
-                # Begin anew: once the way is back, the member gets its full
-                # time to refute.
+                # Restarted, so that the member has the full timeout to refute once
+                # it can be reached again.
                 timeout = self._settings.suspicion_timeout
                 self._by_name[name] = _Suspicion(timeout, suspicion.first_suspected_at)
             elif passed(suspicion.deadline):
@@ -76,8 +75,8 @@
             self._settings.suspicion_timeout / 2,
         )
         if member.region != self._region:
-            # What the region sent before its way was cut may arrive, or be read,
-            # after the suspicion began: it does not show that the way is there.
+            # Messages sent before a partition may arrive, or be read, after the
+            # suspicion began: they do not show that the region is reachable.
             last_contact_at = self._regions.last_contact_at(member.region)
             is_unreachable = (
                 last_contact_at < suspicion.suspected_at + isolation_timeout
--- a/sassafrasdoor/membership/targets.py
+++ b/sassafrasdoor/membership/targets.py
@@ -1,14 +1,14 @@
-"""Whom to probe next, and whom to ask for help with it."""
+"""Selection of the members to probe, to probe through and to gossip to."""
 
 from sassafrasdoor.view import State
 
 
 class TargetSelector:
-    """Chooses among the members of ``roster`` but this process itself.
+    """Selects among the members of ``roster`` other than this process.
 
-    Members of the own region are probed in random order, each once a round, so
-    that none waits for long; those of other regions now and then, and more
-    often while one is in doubt.
+    Members of the own region are probed in random order, each once a round, which
+    bounds the time between two probes of one; those of other regions are probed
+    occasionally, and more often while a region has failed probes.
     """
 
     __slots__ = ("_own", "_regions", "_rng", "_roster", "_round", "_settings")
@@ -22,7 +22,7 @@
         self._round = []
 
     def others(self):
-        """Return all members that are not dead."""
+        """Return all members but this one that are not dead."""
         return [m for m in self._roster.living() if m.name != self._own.name]
 
     def local_and_remote(self):
@@ -33,16 +33,16 @@
         return local, remote
 
     def add_to_round(self, member):
-        """Probe a new member within the running round.
+        """Add a new member to the current round of probes.
 
-        Waiting for the next one could leave it unprobed for minutes.
+        The next round may be minutes away.
         """
         if member.name != self._own.name and member.region == self._own.region:
             position = self._rng.randrange(len(self._round) + 1)
             self._round.insert(position, member.name)
 
     def next_probe_target(self):
-        """Return the member to probe now, or None if there is nobody."""
+        """Return the member to probe now, or None if there is none."""
         for name in self._regions.members_to_reprobe():
             member = self._get_living(name)
             if member is not None:
@@ -74,10 +74,9 @@
         return None if gone else member
 
     def indirect_probers(self, member):
-        """Return the members to ask to probe ``member``, one of each zone first.
+        """Return members for indirect probes of ``member``, one of each zone first.
 
-        A cut between two zones must not look like the death of the member
-        behind it.
+        A partition between two zones must not look like a failed member.
         """
         local, _ = self.local_and_remote()
         local = [m for m in local if m.name != member.name]
@@ -89,7 +88,7 @@
         return local[: self._settings.indirect_probes]
 
     def gossip_targets(self):
-        """Return the members to send updates to now, few of other regions."""
+        """Return the members to gossip to now, at most one of another region."""
         local, remote = self.local_and_remote()
         chosen = self._rng.sample(local, min(self._settings.gossip_fanout, len(local)))
         if remote and (not local or self._rng.random() < self._settings.remote_share):
--- a/sassafrasdoor/membership/tests/test_datagrams.py
+++ b/sassafrasdoor/membership/tests/test_datagrams.py
@@ -1,4 +1,4 @@
-"""Any datagram at all: counted, dropped, and the member goes on."""
+"""Arbitrary datagrams are counted and dropped and do not stop the member."""
 
 import struct
 import unittest
@@ -14,7 +14,7 @@
 
 
 def pack_words(raw):
-    """Pack whole words as Cap'n Proto does, none of them zero or full."""
+    """Pack whole words like Cap'n Proto; none may be all zero or without a zero byte."""
     words = [raw[at : at + 8] for at in range(0, len(raw), 8)]
     tags = [sum(1 << at for at in range(8) if word[at]) for word in words]
     return b"".join(
@@ -23,7 +23,7 @@
     )
 
 
-# Two segments, of which the second, of 1,000 words, is not there.
+# Two segments, of which the second (1,000 words) is missing.
 MISSING_SEGMENT = pack_words(struct.pack("<IIIIQ", 1, 1, 1000, 0, 1))
 
 UINT8, UINT32, UINT64 = (st.integers(0, 2**bits - 1) for bits in (8, 32, 64))
@@ -69,7 +69,7 @@
         self.addAsyncCleanup(self.node.stop)
 
     async def test_arbitrary_datagrams(self):
-        """An exception in ``datagram_received`` would close the socket for good."""
+        """Guards against an exception that closes the socket for good."""
 
         @fuzzed
         @example(b"\0" + MISSING_SEGMENT)
--- a/sassafrasdoor/membership/tests/test_node.py
+++ b/sassafrasdoor/membership/tests/test_node.py
@@ -30,13 +30,12 @@
     "compare_interval": 0.8,
     "reconnect_interval": 1.2,
 }
-"""Four times as long: ten members share one process, and where the machine gives that
-half a core only, members of one region cannot refute a suspicion within half a second.
-"""
+"""Four times as long: with ten members in one process on half a core, members of one
+region cannot refute a suspicion within half a second."""
 
 
 class Cluster:
-    """Members in one process; ``cut`` drops what crosses between two groups."""
+    """Members in one process; ``partition`` drops messages between two groups."""
 
     def __init__(self, **options):
         self.settings = settings.from_document(
@@ -87,7 +86,7 @@
         return seen == {**dict.fromkeys(self.nodes, "alive"), **expected}
 
     async def wait_until_settled(self, *viewers, **expected):
-        """Wait until all viewers see all nodes alive but the expected ones."""
+        """Wait until all viewers see all nodes alive except those in ``expected``."""
         gone = [name for name, state in expected.items() if state == "dead"]
         rest = {n: s for n, s in expected.items() if n not in gone}
 
@@ -127,7 +126,7 @@
             await cluster.wait_until_settled(b="dead", c="dead")
 
     async def test_slow_member_is_probed_indirectly(self):
-        """Guards against one failed direct probe taken for a death."""
+        """Guards against one failed direct probe that counts as a death."""
         async with Cluster(probe_interval=0.6, probe_timeout=0.1) as cluster:
             for name in "abc":
                 await cluster.add(name)
@@ -149,7 +148,7 @@
             self.assertEqual(states, [])
 
     async def test_false_suspicion_is_refuted(self):
-        """Guards against a false suspicion that its member does not refute."""
+        """Guards against a false suspicion that the member does not refute."""
         async with Cluster() as cluster:
             for name in "abc":
                 await cluster.add(name)
@@ -174,7 +173,7 @@
                     await cluster.wait_until_settled()
 
     async def test_address_taken_over_by_another_instance(self):
-        """Guards against an address's new member taken for the former one."""
+        """Guards against a new member at an address that is mistaken for the former one."""
         async with Cluster() as cluster:
             for name in "abc":
                 await cluster.add(name)
@@ -188,7 +187,7 @@
             await cluster.wait_until_settled()
 
     async def test_partitioned_region_is_suspect_and_recovers_with_few_updates(self):
-        """Guards against deaths and floods of updates by a partition of regions."""
+        """Guards against deaths and floods of updates after a partition of regions."""
         async with Cluster(remote_share=0.3, **SLOW_TIMINGS) as cluster:
             for index in range(5):
                 await cluster.add(f"n{index}")
@@ -197,7 +196,7 @@
             await cluster.wait_until_settled()
             await until(
                 lambda: not any(n._broadcasts for n in cluster.nodes.values()),
-                what="calm",
+                what="empty queues",
             )
             cluster.updates_sent = 0
             deaths = []
@@ -243,7 +242,7 @@
             self.assertNotIn(State.DEAD, [member.state for member in deaths])
 
     async def test_view_of_a_paused_member_is_untrusted_until_refreshed(self):
-        """Guards against a resumed process that counts its pause against others."""
+        """Guards against a process that blames others for its own pause."""
         async with Cluster() as cluster:
             for name in "abc":
                 await cluster.add(name)
@@ -279,7 +278,9 @@
                 await cluster.add(name, delegate=reader)
             await cluster.wait_until_settled()
             nodes = cluster.nodes.values()
-            await until(lambda: not any(n._broadcasts for n in nodes), what="calm")
+            await until(
+                lambda: not any(n._broadcasts for n in nodes), what="empty queues"
+            )
             readers["a"].as_of = 7
             cluster.nodes["a"].broadcast_log_position()
             await until(
@@ -288,11 +289,11 @@
                     == readers["c"].positions.get("a")
                     == 7
                 ),
-                what="the news",
+                what="the log position",
             )
 
     async def test_joining_member_does_not_rebroadcast_all_members(self):
-        """Guards against a joining member that gossips all members as news."""
+        """Guards against a joining member that gossips all members as new."""
         async with Cluster() as cluster:
             first = await cluster.add("a")
             for number in range(30):
@@ -338,7 +339,7 @@
 
 class RegionsTests(unittest.TestCase):
     def test_only_direct_contacts_are_relayed(self):
-        """Guards against indirect reports of a region that are relayed as fresh."""
+        """Guards against reported contacts with a region that are relayed as recent."""
         regions = Regions(settings.from_document({}).membership)
         regions.record_reported_contact("there", 1.0)
         self.assertGreater(regions.last_contact_at("there"), float("-inf"))
--- a/sassafrasdoor/membership/tests/test_order.py
+++ b/sassafrasdoor/membership/tests/test_order.py
@@ -33,10 +33,10 @@
             ("a refutation beats suspicion", (1, S), (2, A), True),
             ("old suspicion after refutation", (2, A), (1, S), False),
             ("leaving beats suspicion", (1, S), (1, L), True),
-            ("who leaves is not suspected back", (1, L), (1, S), False),
+            ("suspicion does not undo leaving", (1, L), (1, S), False),
             ("dead beats leaving", (1, L), (1, D), True),
             ("late alive after dead", (1, D), (1, A), False),
-            ("a new life beats dead", (1, D), (2, A), True),
+            ("a new incarnation beats dead", (1, D), (2, A), True),
             ("the same again", (1, A), (1, A), False),
         ]
         for name, known, update, wins in cases:
@@ -49,7 +49,7 @@
     @hypothesis_settings(derandomize=True, max_examples=200, deadline=None)
     @given(strategies.lists(UPDATES, max_size=8), strategies.randoms())
     def test_any_order_converges(self, updates, rng):
-        """Guards against members that depend on the order of updates."""
+        """Guards against rosters that depend on the order of updates."""
         left, right = Roster(), Roster()
         for update in updates:
             left.apply(update)
@@ -65,7 +65,7 @@
 class RosterTests(unittest.TestCase):
     def test_digests_differ_where_repair_is_needed(self):
         cases = [
-            ("suspicion needs none", (1, A), (1, S), False),
+            ("suspicion needs no repair", (1, A), (1, S), False),
             ("leaving", (1, A), (1, L), True),
             ("dead", (1, A), (1, D), True),
             ("a new incarnation", (1, A), (2, A), True),
--- a/sassafrasdoor/membership/tests/test_suspicions.py
+++ b/sassafrasdoor/membership/tests/test_suspicions.py
@@ -1,4 +1,4 @@
-"""When a suspicion ends in death, and when the way is at fault."""
+"""When a suspicion expires, and when a partition postpones it."""
 
 import unittest
 from unittest import mock
@@ -12,7 +12,7 @@
 
 
 class FakeRegions:
-    """Says when each region was last heard."""
+    """Returns one time of contact for all regions."""
 
     def __init__(self):
         self.contact_at = 0.0
@@ -45,7 +45,7 @@
         return self.suspicions.pop_expired({"f1": self.member}, others=3)
 
     def test_message_in_flight_at_a_partition_causes_no_death(self):
-        """Guards against a message in flight at a partition taken for connectivity."""
+        """Guards against a message in flight at a partition that counts as connectivity."""
         self.assertEqual(self.expired_after(contact_after=0.1), [])
 
     def test_member_of_a_silent_region_is_not_declared_dead(self):
--- a/sassafrasdoor/membership/transport.py
+++ b/sassafrasdoor/membership/transport.py
@@ -1,4 +1,4 @@
-"""Datagrams in and out, counted; bad ones are counted and dropped."""
+"""UDP transport that counts datagrams and drops invalid ones."""
 
 import asyncio
 
@@ -12,7 +12,7 @@
 
 
 class Traffic:
-    """Datagrams and bytes of one transport."""
+    """Counts of datagrams and bytes of one transport."""
 
     __slots__ = ("received", "received_bytes", "sent", "sent_bytes")
 
@@ -21,7 +21,7 @@
 
 
 class Transport(asyncio.DatagramProtocol):
-    """Sends messages and hands each one received to ``receiver(message, address)``."""
+    """Sends messages; calls ``receiver(message, address)`` for each received one."""
 
     def __init__(self, settings, receiver):
         self._keys = settings.membership.peer_keys
@@ -54,15 +54,15 @@
         except messages.Forged:
             FORGED.inc({})
         except (messages.Malformed, messages.capnp.KjException, ValueError, KeyError):
-            # Whoever reaches the port can send anything; a datagram that can't
-            # be read must cost a count and nothing else.
+            # Anyone who can reach the port can send anything: an unreadable
+            # datagram must have no effect but the count.
             MALFORMED.inc({})
 
     def error_received(self, error):
-        """A port that nobody listens on any more; the probe's timeout tells."""
+        """Ignored: an unreachable port shows as a probe timeout."""
 
     def send(self, address, **fields):
-        """Send one message; a datagram that can't be sent counts as lost."""
+        """Send one message; a datagram that can't be sent is treated as lost."""
         if self._endpoint is None or self._endpoint.is_closing():
             return
         datagram = messages.encode(self._keys, **fields)
@@ -79,7 +79,7 @@
         self._closed.set()
 
     async def close(self):
-        """Close the socket; its port is free afterwards."""
+        """Close the socket and wait until its port is free."""
         if self._endpoint is not None:
             self._endpoint.close()
             await self._closed.wait()
