--- a/sassafrasdoor/table/accepted.py
+++ b/sassafrasdoor/table/accepted.py
@@ -1,9 +1,9 @@
-"""Which table is in force: the fold over operators' proposals.
+"""The table in force: a fold over the operators' proposals.
 
-A proposal names its own id and the revision that it edits. In offset order, one
-is accepted if it is valid and its base is the revision in force; its own offset
-is the new revision. So of operators who race on one base the lowest offset wins,
-and every reader agrees without a clock or a coordinator.
+A proposal has an id and names the revision that it edits, its base. In offset order,
+a proposal is accepted if it is valid and its base is the revision in force; its offset
+becomes the new revision. Of concurrent proposals on one base the lowest offset wins,
+and all readers agree without a clock or a coordinator.
 """
 
 from pydantic import BaseModel, ConfigDict, Field, ValidationError
@@ -17,7 +17,7 @@
 
 
 class Proposal(BaseModel):
-    """The body of a proposal record; ``table`` is checked apart."""
+    """The body of a proposal record; ``table`` is validated separately."""
 
     model_config = ConfigDict(strict=True, extra="ignore")
 
@@ -28,10 +28,10 @@
 
 
 class Decision:
-    """What became of one proposal.
+    """The decision on one proposal.
 
-    ``winner`` is the revision that was in force when it was rejected and
-    ``winner_author`` who had published that; of no meaning if accepted.
+    ``winner`` is the revision that was in force when the proposal was rejected, and
+    ``winner_author`` is its author; both are meaningless if it was accepted.
     """
 
     __slots__ = (
@@ -75,15 +75,15 @@
     def from_document(cls, document):
         """Return the decision in a mapping made by ``as_document``.
 
-        Raises ``ValueError``, ``KeyError`` or ``TypeError`` if it is none.
+        Raises ``ValueError``, ``KeyError`` or ``TypeError`` if it is malformed.
         """
         _check_types(document, _DECISION_FIELD_TYPES)
         findings = [Finding(**finding) for finding in document["findings"]]
         return cls(**{**document, "findings": findings})
 
 
-# Types of the members of documents. A revision that is no number would be folded
-# in without a word, and the next record compared with it would stop the follower.
+# Types of document fields. A revision that is not a number would be adopted without
+# an error, and the comparison with the next record would stop the follower.
 _DECISION_FIELD_TYPES = {
     "id": str,
     "offset": int,
@@ -103,7 +103,7 @@
 
 
 class Accepted:
-    """The table in force (None: none yet), its revision, and late decisions."""
+    """The table in force (or None), its revision, and the latest decisions."""
 
     __slots__ = ("author", "decisions", "revision", "table")
 
@@ -114,7 +114,7 @@
         self.decisions = tuple(decisions)
 
     def decision(self, proposal_id):
-        """Return the ``Decision`` on a proposal, or None if not known (any more)."""
+        """Return the ``Decision`` on a proposal, or None if there is none (any more)."""
         return next((item for item in self.decisions if item.id == proposal_id), None)
 
     def as_document(self):
@@ -130,7 +130,7 @@
     def from_document(cls, document):
         """Return the state in a mapping made by ``as_document``.
 
-        Raises ``ValueError``, ``KeyError`` or ``TypeError`` if it is none.
+        Raises ``ValueError``, ``KeyError`` or ``TypeError`` if it is malformed.
         """
         _check_types(document, _ACCEPTED_FIELD_TYPES)
         table = document["table"]
@@ -143,13 +143,13 @@
 
 
 def fold(accepted, record):
-    """Return the state after a proposal record; total for every body."""
+    """Return the state after a proposal record; never raises, whatever its body."""
     try:
         proposal = Proposal.model_validate(record.body)
     except ValidationError as error:
         return _reject_malformed(accepted, record, findings_of(error))
-    # A retried append may stand in the log twice. Deciding the copy again would
-    # reject what was accepted, and its operator would read that rejection.
+    # A retried append may be in the log twice. A decision on the copy would reject an
+    # accepted proposal, and its operator would see the rejection.
     if accepted.decision(proposal.id):
         return accepted
     findings = _check_base(accepted, proposal, record.offset)
@@ -168,8 +168,8 @@
 
 def _check_base(accepted, proposal, offset):
     if offset == NO_REVISION:
-        # A log whose first offset is 0: a revision of that number could not be
-        # told from "no table yet", and a second proposal on base 0 would win too.
+        # The first offset of some logs is 0: that revision would be indistinguishable
+        # from "no table yet", and a second proposal on base 0 would be accepted too.
         return [Finding("offset", "0 stands for no revision; propose again")]
     if proposal.base == accepted.revision:
         return []
@@ -179,17 +179,17 @@
 
 def _reject_malformed(accepted, record, findings):
     body = record.body if isinstance(record.body, dict) else {}
-    name = body.get("id")
-    if not isinstance(name, str) or not 0 < len(name) <= 64:
+    proposal_id = body.get("id")
+    if not isinstance(proposal_id, str) or not 0 < len(proposal_id) <= 64:
         return accepted
-    if accepted.decision(name):
+    if accepted.decision(proposal_id):
         return accepted
-    return _reject(accepted, record, name, None, findings)
+    return _reject(accepted, record, proposal_id, None, findings)
 
 
-def _reject(accepted, record, name, proposal, findings):
+def _reject(accepted, record, proposal_id, proposal, findings):
     decision = Decision(
-        name,
+        proposal_id,
         record.offset,
         proposal.base if proposal else NO_REVISION,
         proposal.author if proposal else "",
--- a/sassafrasdoor/table/publisher.py
+++ b/sassafrasdoor/table/publisher.py
@@ -1,4 +1,4 @@
-"""Publishing a table: one append, then the fold decides."""
+"""Publishes a table: appends a proposal once and reads the decision from the fold."""
 
 import asyncio
 import uuid
@@ -9,12 +9,12 @@
 from sassafrasdoor.outcomes import Rejected, ReplyLost, Unavailable
 from sassafrasdoor.table.rows import table_from
 
-POLL_TIMEOUT = 1.0
-POLL_RETRY_DELAY = 0.1
+POLL_TIMEOUT = 1.0  # seconds
+POLL_RETRY_DELAY = 0.1  # seconds; a log that is down fails polls at once
 
 
 class LostRace(Rejected):
-    """Another revision is in force than the one edited; says which and whose."""
+    """The base has been replaced by revision ``winner`` of ``winner_author``."""
 
     __slots__ = ("winner", "winner_author")
 
@@ -26,9 +26,9 @@
 
 
 class Publisher:
-    """Proposes a table and follows the log until the fold has decided.
+    """Proposes one table and follows the log until the fold has decided on it.
 
-    ``deadline`` bounds everything on the monotonic clock.
+    A ``deadline`` is on the monotonic clock and bounds the whole call.
     """
 
     __slots__ = ("_decision", "_follower", "_id", "_last_folded", "_log", "_settings")
@@ -44,9 +44,9 @@
     async def propose(self, document, base, author, deadline):
         """Return the accepted ``Decision`` or an outcome.
 
-        ``Rejected`` (``LostRace`` if another was first) is final and without
-        effect; ``Unavailable``: nothing was published; ``ReplyLost``: it may
-        still be accepted, and the log did not say in time.
+        ``Rejected`` (``LostRace`` if another proposal won) is final and without
+        effect; ``Unavailable``: nothing was published; ``ReplyLost``: not decided by
+        the ``deadline``, the proposal may still be accepted.
         """
         table = table_from(document)
         if not table:
@@ -59,8 +59,8 @@
         appended = await self._append(table, base, author)
         if isinstance(appended, Unavailable):
             return appended
-        # A lost reply is settled by reading for our id. Appending again would
-        # publish a second copy of a proposal that may have been accepted.
+        # After a lost reply the log is read for our id: a second append would publish
+        # a copy of a proposal that may have been accepted.
         return await self._wait_for_decision(base, deadline)
 
     async def _append(self, table, base, author):
@@ -77,7 +77,6 @@
         while not self._decision:
             if passed(deadline):
                 return self._outcome_at_deadline(base)
-            # A log that is down answers at once: read it calmly.
             if not await self._follower.poll(min(POLL_TIMEOUT, remaining(deadline))):
                 await asyncio.sleep(min(POLL_RETRY_DELAY, remaining(deadline)))
         if self._decision.accepted:
@@ -93,13 +92,13 @@
     def _outcome_at_deadline(self, base):
         state = self._follower.state
         if state.revision != base and state is self._last_folded:
-            # Whether or not our record still comes: its base is out of force. Not
-            # so if a checkpoint took us past records that we have not seen.
+            # Our record can't win any more, as its base has been replaced. This is
+            # unknown if a checkpoint made the follower skip records.
             return LostRace(state.revision, state.accepted.author)
         return ReplyLost(f"proposal {self._id} has not been seen in the log yet")
 
     def _fold(self, state, record):
-        # Taken record by record: the state keeps only the latest decisions.
+        # Checked after each record: the state keeps only the latest decisions.
         after = self._last_folded = agreed.fold(state, record)
         if self._decision is None:
             self._decision = after.accepted.decision(self._id)
--- a/sassafrasdoor/table/routes.py
+++ b/sassafrasdoor/table/routes.py
@@ -1,7 +1,7 @@
-"""Routes: which service answers a request, within which time and how many tries.
+"""Routes: the services of a request, its timeout and its number of attempts.
 
-An operator's configuration names hosts and path prefixes beside the rows of the
-table. ``RoutesInForce`` holds the newest version seen and never goes back.
+The operator's configuration maps hosts and path prefixes to routes, next to the rows
+of the table. ``RoutesInForce`` holds the newest version seen, never an older one.
 """
 
 import math
@@ -13,9 +13,9 @@
 from sassafrasdoor.metrics import counter, gauge
 from sassafrasdoor.outcomes import NotRun
 
+# Seconds; while the operator's records can't be read, a read is attempted at least
+# this often.
 STALE_RETRY_AFTER = 1.0
-"""Seconds after which a route that was not known may be: the operator's records are
-asked for at least that often while they cannot be read."""
 
 AGE = gauge("routes_age_seconds", "Seconds since the routes were last found current.")
 STALE_REFUSALS = counter(
@@ -24,12 +24,12 @@
 
 
 class Repeat(StrEnum):
-    """What may be done again with the requests of a route."""
+    """How a request of the route may be repeated."""
 
     SAFE = "safe"
     ONCE = "once"
     RESUME = "resume"
-    """A stream that another replica can go on with after its last event."""
+    """A stream that another replica can resume after its last event."""
     STEP = "step"
 
 
@@ -37,9 +37,9 @@
     """One route; times are in seconds.
 
     ``services`` are ``(service, weight)`` pairs. ``timeout`` bounds how long a
-    caller is kept waiting, ``target`` is the latency the operator wants.
-    ``streams`` says that answers are streams of events, passed on as they come.
-    ``keep_for`` is how long a step's sample may go on before it may be given up,
+    caller waits, ``target`` is the latency that the operator wants.
+    ``streams`` means that answers are event streams, relayed as they arrive.
+    ``keep_for`` is how long a sample of a step runs before it may be abandoned,
     ``one_version`` forbids samples of several weight versions.
     """
 
@@ -62,7 +62,7 @@
             setattr(self, name, fields[name])
 
     def pick_service(self):
-        """Return one of the services, by weight."""
+        """Return a random service, by weight."""
         names = [name for name, _ in self.services]
         if len(names) == 1:
             return names[0]
@@ -71,7 +71,7 @@
 
 
 class Limits:
-    """What a caller may send: bytes, and seconds that a connection may idle."""
+    """Limits for callers: sizes in bytes, and seconds that a connection may be idle."""
 
     __slots__ = ("body_bytes", "header_bytes", "idle_timeout")
 
@@ -108,8 +108,8 @@
 class RoutesInForce:
     """The newest configuration seen; ``current`` is None before the first.
 
-    ``confirmed_at()`` is the monotonic time at which nothing newer was found, or None;
-    ``bound()`` are the seconds within which a new configuration must be in force.
+    ``confirmed_at()`` returns the monotonic time of the last check that found nothing
+    newer, or None; ``max_age()`` the seconds until a new version must be in force.
     """
 
     __slots__ = (
@@ -131,12 +131,12 @@
 
     @property
     def age(self):
-        """Seconds since nothing newer was found; infinite before."""
+        """Seconds since a check last found nothing newer; infinite before the first."""
         confirmed_at = self._confirmed_at()
         return now() - (LONG_AGO if confirmed_at is None else confirmed_at)
 
     def report_age(self):
-        """Show the age, and write a line when it passes the bound, either way."""
+        """Update the age metric; log when the routes become stale or current again."""
         age = self.age
         AGE.set({}, age)
         is_stale = self.current is not None and age > self._max_age()
@@ -149,9 +149,9 @@
             note("routes.current_again", version=self.current.version)
 
     def resolve_unknown(self, outcome):
-        """Return ``outcome`` for a route that is not known, if that is sure.
+        """Return ``outcome`` for an unknown route, ``NotRun`` if the routes are stale.
 
-        By an old configuration it is not: the caller should come again.
+        A stale configuration may lack a new route, so the caller should retry.
         """
         age = self.age
         if age <= self._max_age():
@@ -165,10 +165,10 @@
         self._callbacks.append(callback)
 
     def take(self, configuration):
-        """Put a version in force unless a newer one is; say whether it is now.
+        """Put a version in force if it is newer; return whether it was.
 
-        A record read late, or a page that is no snapshot, may show an older
-        version: going back would run requests that the operator has forbidden.
+        A delayed record, or a page that is not a snapshot, may contain an older
+        version, with which requests would run that the operator has forbidden since.
         """
         before = self.current.version if self.current else 0
         if configuration.version <= before:
--- a/sassafrasdoor/table/rows.py
+++ b/sassafrasdoor/table/rows.py
@@ -1,4 +1,4 @@
-"""Rows of the operators' table, checked by pydantic, all findings at once."""
+"""Rows of the operators' table; pydantic reports all findings at once."""
 
 import re
 from enum import StrEnum
@@ -19,14 +19,14 @@
 
 
 class Preference(StrEnum):
-    """Which headline figure a trainer's row weighs more."""
+    """The measure that a trainer's row puts first."""
 
     STALENESS = "staleness"
     IDLE = "idle"
 
 
 class Row(BaseModel):
-    """One trainer or application: its claim on the fixed capacity.
+    """One trainer or application and its share of the fixed capacity.
 
     ``limit`` is the hard limit, a share (0..1] of the service's capacity;
     ``staleness_bound`` counts weight versions behind the newest.
--- a/sassafrasdoor/table/sheets.py
+++ b/sassafrasdoor/table/sheets.py
@@ -1,8 +1,8 @@
 """The table as a file: a JSON document or a CSV sheet.
 
-A JSON sheet is ``{"revision": n, "rows": [...]}``. A CSV sheet has a header of
-column names, may begin with a line ``# revision n``, and leaves a cell empty for
-the default. ``revision`` is the one that the sheet was made from; None if unsaid.
+A JSON sheet is ``{"revision": n, "rows": [...]}``. A CSV sheet may begin with a line
+``# revision n`` and has a header of column names; an empty cell means the default.
+``revision`` is the one that the sheet was made from, None if not given.
 """
 
 import csv
@@ -20,7 +20,7 @@
 
 
 class Sheet:
-    """A sheet: its ``document`` (not yet checked) and the ``revision`` it edits."""
+    """A sheet: its ``document`` (not yet validated) and the ``revision`` it edits."""
 
     __slots__ = ("document", "revision")
 
@@ -30,7 +30,7 @@
 
 
 def read(path):
-    """Return the ``Sheet`` in a file, by its suffix, or ``Rejected``."""
+    """Return the ``Sheet`` in a file, parsed by its suffix, or ``Rejected``."""
     try:
         text = pathlib.Path(path).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
@@ -39,7 +39,7 @@
 
 
 def to_text(path, table, revision):
-    """Return the text of a table's sheet in the form that the suffix asks for."""
+    """Return a table's sheet as text in the format of the path's suffix."""
     return _WRITERS.get(_suffix(path), to_json)(table, revision)
 
 
--- a/sassafrasdoor/table/tests/test_accepted.py
+++ b/sassafrasdoor/table/tests/test_accepted.py
@@ -1,4 +1,4 @@
-"""The fold over proposals: who wins, who is told, what changes nothing."""
+"""The fold over proposals: races, duplicates and malformed bodies."""
 
 import unittest
 
@@ -35,7 +35,7 @@
 
 
 def fold_records(*pairs):
-    """Fold ``(offset, body)`` pairs from the beginning."""
+    """Fold ``(offset, body)`` pairs into an empty state."""
     state = Accepted()
     for offset, body in pairs:
         state = fold(state, Record(offset, body))
@@ -57,7 +57,7 @@
         self.assertIn("ben", str(lost.findings[0]))
 
     def test_duplicate_record_changes_nothing(self):
-        """Guards against a duplicate record that rejects its accepted proposal."""
+        """Guards against a duplicate record that rejects its own accepted proposal."""
         once = fold_records((4, proposal("a", 0)))
         twice = fold(once, Record(5, proposal("a", 0)))
         self.assertIs(twice, once)
--- a/sassafrasdoor/table/tests/test_publisher.py
+++ b/sassafrasdoor/table/tests/test_publisher.py
@@ -1,4 +1,4 @@
-"""Publishing: the fold decides, and a lost reply is settled by reading."""
+"""Publishing: the fold decides, and a lost reply is resolved by reading the log."""
 
 import asyncio
 import unittest
@@ -16,7 +16,7 @@
 
 
 class DroppingLog(MemoryLog):
-    """Loses the next append, and its reply, altogether."""
+    """Loses every append and its reply."""
 
     async def append(self, stream, body):
         return ReplyLost("connection broke")
@@ -41,7 +41,7 @@
         self.assertGreater(second.offset, first.offset)
 
     async def test_lost_reply_is_resolved_by_reading_the_log(self):
-        """Guards against a lost reply taken for a failed append."""
+        """Guards against a lost reply that is treated as a failed append."""
         self.log.lose_replies = 1
         decision = await self.propose(0)
         self.assertTrue(decision.accepted)
@@ -52,7 +52,7 @@
         self.assertTrue((await self.propose(0)).accepted)
 
     async def test_one_of_eighty_concurrent_proposals_wins(self):
-        """Guards against a decision that is dropped before its operator reads it."""
+        """Guards against a decision that is dropped before its publisher reads it."""
         calls = [self.propose(0, n + 1.0, f"operator-{n}") for n in range(80)]
         results = await asyncio.gather(*calls)
         winners = [result for result in results if result]
--- a/sassafrasdoor/table/tests/test_routes.py
+++ b/sassafrasdoor/table/tests/test_routes.py
@@ -1,4 +1,4 @@
-"""How sure an instance is of the routes in force."""
+"""When the routes in force are stale, and unknown routes then."""
 
 import unittest
 from unittest import mock
@@ -18,7 +18,7 @@
         self.missing = NotFound("no such route")
 
     def reported_event(self):
-        """Return the line that a look writes, or None."""
+        """Return the event that ``report_age`` logs, or None."""
         with mock.patch.object(module, "note") as line:
             self.routes.report_age()
         return line.call_args.args[0] if line.called else None
@@ -27,14 +27,14 @@
         self.assertIs(self.routes.resolve_unknown(self.missing), self.missing)
 
     def test_unknown_route_is_retryable_when_routes_are_stale(self):
-        """Guards against a 404 for a route that was added since."""
+        """Guards against a 404 for a route that was added since the last check."""
         self.confirmed_at -= 2.1
         outcome = self.routes.resolve_unknown(self.missing)
         self.assertIsInstance(outcome, NotRun)
         self.assertGreater(outcome.retry_after, 0)
 
     def test_unknown_route_is_retryable_before_the_first_confirmation(self):
-        """Guards against a 404 by what another instance knew at the own start."""
+        """Guards against a 404 from routes that were adopted from another instance."""
         self.confirmed_at = None
         self.assertIsInstance(self.routes.resolve_unknown(self.missing), NotRun)
 
