--- a/sassafrasdoor/membership/regions.py
+++ b/sassafrasdoor/membership/regions.py
@@ -33,7 +33,7 @@
         self._reported.pop(region, None)
 
     def record_reported_contact(self, region, age):
-        """Record a contact with ``region`` ``age`` s ago that a local member reported."""
+        """Record a contact ``age`` s ago that another local member reported."""
         at = now() - age
         self._reported[region] = max(self._reported.get(region, at), at)
 
@@ -95,5 +95,5 @@
         return {region for region, _ in self._failed_probes.values()}
 
     def reset(self):
-        """Discard all failed probes; after a pause of this process they mean nothing."""
+        """Discard all failed probes, after a pause of this process."""
         self._failed_probes.clear()
--- a/sassafrasdoor/membership/tests/test_datagrams.py
+++ b/sassafrasdoor/membership/tests/test_datagrams.py
@@ -14,7 +14,7 @@
 
 
 def pack_words(raw):
-    """Pack whole words like Cap'n Proto; none may be all zero or without a zero byte."""
+    """Pack whole words like Cap'n Proto; each must have zero and nonzero bytes."""
     words = [raw[at : at + 8] for at in range(0, len(raw), 8)]
     tags = [sum(1 << at for at in range(8) if word[at]) for word in words]
     return b"".join(
--- a/sassafrasdoor/membership/tests/test_node.py
+++ b/sassafrasdoor/membership/tests/test_node.py
@@ -173,7 +173,7 @@
                     await cluster.wait_until_settled()
 
     async def test_address_taken_over_by_another_instance(self):
-        """Guards against a new member at an address that is mistaken for the former one."""
+        """Guards against a new member that is mistaken for the former at its address."""
         async with Cluster() as cluster:
             for name in "abc":
                 await cluster.add(name)
--- a/sassafrasdoor/membership/tests/test_suspicions.py
+++ b/sassafrasdoor/membership/tests/test_suspicions.py
@@ -45,7 +45,7 @@
         return self.suspicions.pop_expired({"f1": self.member}, others=3)
 
     def test_message_in_flight_at_a_partition_causes_no_death(self):
-        """Guards against a message in flight at a partition that counts as connectivity."""
+        """Guards against a message in flight that counts as contact after a partition."""
         self.assertEqual(self.expired_after(contact_after=0.1), [])
 
     def test_member_of_a_silent_region_is_not_declared_dead(self):
--- a/sassafrasdoor/peers/__init__.py
+++ b/sassafrasdoor/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Authenticated pycapnp connections between our processes."""
+"""Authenticated Cap'n Proto connections between processes of the service."""
--- a/sassafrasdoor/peers/link.py
+++ b/sassafrasdoor/peers/link.py
@@ -12,21 +12,20 @@
 from sassafrasdoor.peers import proof
 from sassafrasdoor.peers.server import MAX_MESSAGE_WORDS, SCHEMA
 
-HEARTBEAT_INTERVAL = 1.0
-CALL_TIMEOUT = 3.0
-MIN_RETRY_DELAY = 0.2
-MAX_RETRY_DELAY = 3.0
+HEARTBEAT_INTERVAL = 1.0  # seconds
+CALL_TIMEOUT = 3.0  # seconds
+MIN_RETRY_DELAY = 0.2  # seconds
+MAX_RETRY_DELAY = 3.0  # seconds
 
 FAILED = metrics.counter("peer_call_failures_total", "Calls to peers that failed.")
 
 
 class PeerLink:
-    """One connection to ``address``; calls go to ``interface`` behind the door.
+    """One connection to ``address``; calls go to its ``interface``.
 
-    A peer that is frozen, or a connection that something between the two ends
-    has forgotten, takes bytes and never answers: one would notice callers that
-    wait for ever. So each call ends at its deadline with ``Unavailable`` and a
-    failed call closes the connection; the next one starts anew.
+    A frozen peer, or a connection that a middlebox has dropped silently, accepts
+    bytes and never answers, and callers would wait for ever. So each call ends at its
+    timeout with ``Unavailable``, and a failed call closes the connection.
     """
 
     __slots__ = (
@@ -57,11 +56,11 @@
 
     @property
     def connected(self):
-        """Whether the door was passed and no call has failed since."""
+        """Whether the connection is authenticated and no call has failed since."""
         return self._capability is not None
 
     async def open(self, timeout=CALL_TIMEOUT):
-        """Connect and prove the key; return None or ``Unavailable``."""
+        """Connect and authenticate; return None or ``Unavailable``."""
         self.close()
         try:
             async with asyncio.timeout(timeout):
@@ -99,7 +98,7 @@
         )
 
     async def ping(self, timeout=CALL_TIMEOUT):
-        """Prove the connection alive; return the answer or ``Unavailable``."""
+        """Check that the connection is alive; return the answer or ``Unavailable``."""
         if not self.connected:
             return Unavailable("not connected")
         stamp = EVENTS.clock.stamp()
@@ -127,7 +126,7 @@
             stream.close()
 
     async def run(self):
-        """Keep the connection open and proved alive until cancelled."""
+        """Keep the connection open, with heartbeats and reconnects, until cancelled."""
         delay = MIN_RETRY_DELAY
         try:
             while True:
--- a/sassafrasdoor/peers/peer.capnp
+++ b/sassafrasdoor/peers/peer.capnp
@@ -1,7 +1,7 @@
 @0xd3a1f0c2b4e59876;
 
-# What a process of ours shows to whoever connects: a door that opens on proof
-# of a peer key. Stamps are hybrid logical clocks (sassafrasdoor.clock).
+# The bootstrap interface of a connection: returns the capability on proof of a
+# peer key. Stamps are hybrid logical clocks (sassafrasdoor.clock).
 
 interface Door {
   # `nonce` is fresh on each connection; `mac` proves that the server has a key.
--- a/sassafrasdoor/peers/proof.py
+++ b/sassafrasdoor/peers/proof.py
@@ -1,9 +1,8 @@
-"""Proof of a peer key on one connection, in both directions.
+"""Mutual authentication of one connection by peer keys.
 
-Each end sends a nonce that it never used before, so that a recorded proof is
-worth nothing on another connection. With no keys in the settings every proof
-holds (an open system, for a closed network only). The bytes after the proof are
-neither signed nor encrypted.
+Each end sends a fresh nonce, so that a recorded proof is not valid on any other
+connection. Without keys in the settings every proof is valid (an open system, for
+closed networks only). The bytes after the proof are neither signed nor encrypted.
 """
 
 import os
@@ -17,7 +16,7 @@
 
 
 def new_nonce():
-    """Return bytes that no connection used before."""
+    """Return random bytes that no connection has used before."""
     return os.urandom(NONCE_BYTES)
 
 
@@ -32,12 +31,12 @@
 
 
 def verify_server(keys, client_nonce, server_nonce, mac):
-    """Say whether the server showed one of the keys now valid."""
+    """Say whether the server proved one of the valid keys."""
     return is_signed(keys, SERVER_ROLE + client_nonce + server_nonce, bytes(mac))
 
 
 def verify_client(keys, server_nonce, caller, stamp, mac):
-    """Say whether the client showed one of the keys now valid."""
+    """Say whether the client proved one of the valid keys."""
     return is_signed(keys, _client_payload(server_nonce, caller, stamp), bytes(mac))
 
 
@@ -46,16 +45,16 @@
 
 
 def sign_with_all(keys, payload):
-    """Return the MACs of ``payload`` under all keys (at most two), joined.
+    """Return the concatenated MACs of ``payload`` under all keys (at most two).
 
-    While a key is being replaced, some instances hold the old key only and some
-    both: signed with one key alone, these would refuse each other.
+    During a key rotation some instances have only the old key and some have both:
+    with a MAC of one key only they would refuse each other.
     """
     return b"".join(security.sign(key, payload) for key in keys)
 
 
 def is_signed(keys, payload, macs):
-    """Say whether one of ``macs`` is right under one of ``keys``."""
+    """Say whether one of ``macs`` is valid under one of ``keys``."""
     if not keys:
         return True
     parts = (macs[at : at + MAC_BYTES] for at in range(0, len(macs), MAC_BYTES))
--- a/sassafrasdoor/peers/server.py
+++ b/sassafrasdoor/peers/server.py
@@ -11,11 +11,11 @@
 
 SCHEMA = capnp.load(str(pathlib.Path(__file__).with_name("peer.capnp")))
 
-# A frame may claim any size. Above 8 MB (counted in words of 8 bytes) the
-# connection ends, so that a forged header can't claim the process's memory.
+# Words of 8 bytes, 8 MB in all. A larger frame ends the connection, so that a forged
+# header can't exhaust the memory of the process.
 MAX_MESSAGE_WORDS = 1 << 20
-# Whoever connects and proves no key within this time is cut off: idle strangers
-# would otherwise take all file descriptors, and peers could not connect.
+# Seconds. Otherwise idle unauthenticated connections could use up all file
+# descriptors, and peers could not connect.
 AUTHENTICATION_TIMEOUT = 5.0
 
 ACCEPTED = metrics.counter("peer_connections_total", "Connections accepted.")
@@ -26,7 +26,7 @@
 
 
 class _DoorServer(SCHEMA.Door.Server):
-    """The door of one connection; opens once the key is proved."""
+    """Authenticates one connection; returns the capability once a key is proved."""
 
     def __init__(self, keys, capability):
         self._keys = keys
@@ -55,7 +55,7 @@
 
 
 class PeerServer:
-    """Listens for peers and hands ``capability`` to those that prove a key.
+    """Listens for peers and gives ``capability`` to those that prove a key.
 
     ``capability`` is a pycapnp server object; needs a running ``kj_loop``.
     """
@@ -78,11 +78,11 @@
 
     @property
     def connections(self):
-        """How many connections are open."""
+        """The number of open connections."""
         return len(self._connections)
 
     async def start(self):
-        """Bind and accept; raises OSError if the port is taken."""
+        """Bind and accept connections; raises OSError if the port is taken."""
         self._server = await capnp.AsyncIoStream.create_server(
             self._serve, self._host, self._port
         )
@@ -103,15 +103,15 @@
         try:
             await server.on_disconnect()
         except capnp.KjException:
-            # A truncated or garbage frame: it ends this connection and no other.
+            # A truncated or invalid frame ends only this connection.
             pass
         except asyncio.CancelledError:
             # Only close() cancels; pycapnp prints a traceback for a cancelled task.
             pass
         finally:
             timer.cancel()
-            # Cap'n Proto tells a bad frame and a hang-up alike; a stranger's bytes
-            # show by the proof that never came.
+            # Cap'n Proto does not distinguish an invalid frame from a disconnect, so
+            # unauthenticated connections are counted instead.
             if not door.is_authenticated:
                 UNAUTHENTICATED.inc({})
             self._connections.discard(task)
--- a/sassafrasdoor/peers/tests/test_link.py
+++ b/sassafrasdoor/peers/tests/test_link.py
@@ -20,7 +20,7 @@
 
 
 class FakeControl(CONTROL.Server):
-    """Answers ``leave``; never answers ``events``; fails ``fetch``."""
+    """Answers ``leave``, never answers ``events``, fails ``fetch``."""
 
     async def leave(self, stamp, _context, **_):
         return stamp + 1
@@ -60,7 +60,7 @@
 
     @on_kj_loop
     async def test_accepted_and_refused_keys(self):
-        """Guards against a peer link without proof, or broken by a key rotation."""
+        """Guards against unauthenticated links, and failures during a key rotation."""
         cases = [
             (("new", "old"), ("old",), True),
             (("new", "old"), ("new", "old"), True),
@@ -101,7 +101,7 @@
 
     @on_kj_loop
     async def test_call_to_a_silent_peer_times_out(self):
-        """Guards against a call to a silent peer without an end."""
+        """Guards against a call to a silent peer that never ends."""
         server = await self.serve()
         link = self.link(server.address)
         await link.open()
@@ -134,11 +134,11 @@
             "garbage": b"garbage" * 50,
             "too many segments": b"\xff" * 64,
             "truncated": b"\x00\x00\x00\x00\x05\x00\x00\x00abc",
-            "claims 16 GB": b"\x00\x00\x00\x00\xff\xff\xff\x7f" + bytes(64),
+            "header claims 16 GB": b"\x00\x00\x00\x00\xff\xff\xff\x7f" + bytes(64),
         }
         rng = random.Random(11)
         for number in range(30):
-            # One segment of 8 words: a message by its frame, of any contents.
+            # One segment of 8 words: a valid frame with arbitrary contents.
             head = b"\0\0\0\0\x08\0\0\0" if number % 2 else b""
             words = rng.choices((0, 1, 2, 4, 0xFF, rng.randrange(256)), k=64)
             frames[f"seeded {number}"] = head + bytes(words)
