--- a/sassafrasdoor/table/accepted.py
+++ b/sassafrasdoor/table/accepted.py
@@ -1,9 +1,9 @@
-"""Which table is in force: the fold over operators' proposals.
+"""The table in force: a fold over the operators' proposals.
 
-A proposal names its own id and the revision that it edits. In offset order, one
-is accepted if it is valid and its base is the revision in force; its own offset
-is the new revision. So of operators who race on one base the lowest offset wins,
-and every reader agrees without a clock or a coordinator.
+A proposal has an id and names the revision that it edits, its base. In offset order,
+a proposal is accepted if it is valid and its base is the revision in force; its offset
+becomes the new revision. Of concurrent proposals on one base the lowest offset wins,
+and all readers agree without a clock or a coordinator.
 """
 
 from pydantic import BaseModel, ConfigDict, Field, ValidationError
@@ -12,12 +12,12 @@
 from sassafrasdoor.table.rows import table_from
 
 NO_REVISION = 0
-KEPT_DECISIONS = 64
-KEPT_FINDINGS = 20
+MAX_DECISIONS = 64
+MAX_DECISION_FINDINGS = 20
 
 
 class Proposal(BaseModel):
-    """The body of a proposal record; ``table`` is checked apart."""
+    """The body of a proposal record; ``table`` is validated separately."""
 
     model_config = ConfigDict(strict=True, extra="ignore")
 
@@ -28,10 +28,10 @@
 
 
 class Decision:
-    """What became of one proposal.
+    """The decision on one proposal.
 
-    ``winner`` is the revision that was in force when it was rejected and
-    ``winner_author`` who had published that; of no meaning if accepted.
+    ``winner`` is the revision that was in force when the proposal was rejected, and
+    ``winner_author`` is its author; both are meaningless if it was accepted.
     """
 
     __slots__ = (
@@ -75,16 +75,16 @@
     def from_document(cls, document):
         """Return the decision in a mapping made by ``as_document``.
 
-        Raises ``ValueError``, ``KeyError`` or ``TypeError`` if it is none.
+        Raises ``ValueError``, ``KeyError`` or ``TypeError`` if it is malformed.
         """
-        _check(document, _DECISION)
+        _check_types(document, _DECISION_FIELD_TYPES)
         findings = [Finding(**finding) for finding in document["findings"]]
         return cls(**{**document, "findings": findings})
 
 
-# Types of the members of documents. A revision that is no number would be folded
-# in without a word, and the next record compared with it would stop the follower.
-_DECISION = {
+# Types of document fields. A revision that is not a number would be adopted without
+# an error, and the comparison with the next record would stop the follower.
+_DECISION_FIELD_TYPES = {
     "id": str,
     "offset": int,
     "base": int,
@@ -93,17 +93,17 @@
     "winner": int,
     "winner_author": str,
 }
-_ACCEPTED = {"revision": int, "author": str}
+_ACCEPTED_FIELD_TYPES = {"revision": int, "author": str}
 
 
-def _check(document, types):
+def _check_types(document, types):
     for name, kind in types.items():
         if type(document[name]) is not kind:
             raise ValueError(name)
 
 
 class Accepted:
-    """The table in force (None: none yet), its revision, and late decisions."""
+    """The table in force (or None), its revision, and the latest decisions."""
 
     __slots__ = ("author", "decisions", "revision", "table")
 
@@ -114,7 +114,7 @@
         self.decisions = tuple(decisions)
 
     def decision(self, proposal_id):
-        """Return the ``Decision`` on a proposal, or None if not known (any more)."""
+        """Return the ``Decision`` on a proposal, or None if there is none (any more)."""
         return next((item for item in self.decisions if item.id == proposal_id), None)
 
     def as_document(self):
@@ -130,9 +130,9 @@
     def from_document(cls, document):
         """Return the state in a mapping made by ``as_document``.
 
-        Raises ``ValueError``, ``KeyError`` or ``TypeError`` if it is none.
+        Raises ``ValueError``, ``KeyError`` or ``TypeError`` if it is malformed.
         """
-        _check(document, _ACCEPTED)
+        _check_types(document, _ACCEPTED_FIELD_TYPES)
         table = document["table"]
         if table is not None:
             table = table_from(table)
@@ -143,33 +143,33 @@
 
 
 def fold(accepted, record):
-    """Return the state after a proposal record; total for every body."""
+    """Return the state after a proposal record; never raises, whatever its body."""
     try:
         proposal = Proposal.model_validate(record.body)
     except ValidationError as error:
-        return _malformed(accepted, record, findings_of(error))
-    # A retried append may stand in the log twice. Deciding the copy again would
-    # reject what was accepted, and its operator would read that rejection.
+        return _reject_malformed(accepted, record, findings_of(error))
+    # A retried append may be in the log twice. A decision on the copy would reject an
+    # accepted proposal, and its operator would see the rejection.
     if accepted.decision(proposal.id):
         return accepted
-    findings = _base_findings(accepted, proposal, record.offset)
+    findings = _check_base(accepted, proposal, record.offset)
     table = None if findings else table_from(proposal.table)
     if table:
         decision = Decision(
             proposal.id, record.offset, proposal.base, proposal.author, True
         )
         return Accepted(
-            table, record.offset, proposal.author, _kept(accepted, decision)
+            table, record.offset, proposal.author, _append_decision(accepted, decision)
         )
     if table is not None:
         findings = table.findings
     return _reject(accepted, record, proposal.id, proposal, findings)
 
 
-def _base_findings(accepted, proposal, offset):
+def _check_base(accepted, proposal, offset):
     if offset == NO_REVISION:
-        # A log whose first offset is 0: a revision of that number could not be
-        # told from "no table yet", and a second proposal on base 0 would win too.
+        # The first offset of some logs is 0: that revision would be indistinguishable
+        # from "no table yet", and a second proposal on base 0 would be accepted too.
         return [Finding("offset", "0 stands for no revision; propose again")]
     if proposal.base == accepted.revision:
         return []
@@ -177,24 +177,24 @@
     return [Finding("base", f"{reason}, by {accepted.author or 'nobody'}")]
 
 
-def _malformed(accepted, record, findings):
+def _reject_malformed(accepted, record, findings):
     body = record.body if isinstance(record.body, dict) else {}
-    name = body.get("id")
-    if not isinstance(name, str) or not 0 < len(name) <= 64:
+    proposal_id = body.get("id")
+    if not isinstance(proposal_id, str) or not 0 < len(proposal_id) <= 64:
         return accepted
-    if accepted.decision(name):
+    if accepted.decision(proposal_id):
         return accepted
-    return _reject(accepted, record, name, None, findings)
+    return _reject(accepted, record, proposal_id, None, findings)
 
 
-def _reject(accepted, record, name, proposal, findings):
+def _reject(accepted, record, proposal_id, proposal, findings):
     decision = Decision(
-        name,
+        proposal_id,
         record.offset,
         proposal.base if proposal else NO_REVISION,
         proposal.author if proposal else "",
         False,
-        findings[:KEPT_FINDINGS],
+        findings[:MAX_DECISION_FINDINGS],
         accepted.revision,
         accepted.author,
     )
@@ -202,9 +202,9 @@
         accepted.table,
         accepted.revision,
         accepted.author,
-        _kept(accepted, decision),
+        _append_decision(accepted, decision),
     )
 
 
-def _kept(accepted, decision):
-    return (*accepted.decisions, decision)[-KEPT_DECISIONS:]
+def _append_decision(accepted, decision):
+    return (*accepted.decisions, decision)[-MAX_DECISIONS:]
--- a/sassafrasdoor/table/sheets.py
+++ b/sassafrasdoor/table/sheets.py
@@ -1,8 +1,8 @@
 """The table as a file: a JSON document or a CSV sheet.
 
-A JSON sheet is ``{"revision": n, "rows": [...]}``. A CSV sheet has a header of
-column names, may begin with a line ``# revision n``, and leaves a cell empty for
-the default. ``revision`` is the one that the sheet was made from; None if unsaid.
+A JSON sheet is ``{"revision": n, "rows": [...]}``. A CSV sheet may begin with a line
+``# revision n`` and has a header of column names; an empty cell means the default.
+``revision`` is the one that the sheet was made from, None if not given.
 """
 
 import csv
@@ -15,12 +15,12 @@
 
 COLUMNS = list(Row.model_fields)
 LIST_COLUMN = "key_hashes"
-REVISION_MARK = "# revision "
-MAX_DIGITS = 18
+REVISION_PREFIX = "# revision "
+MAX_REVISION_DIGITS = 18
 
 
 class Sheet:
-    """A sheet: its ``document`` (not yet checked) and the ``revision`` it edits."""
+    """A sheet: its ``document`` (not yet validated) and the ``revision`` it edits."""
 
     __slots__ = ("document", "revision")
 
@@ -30,7 +30,7 @@
 
 
 def read(path):
-    """Return the ``Sheet`` in a file, by its suffix, or ``Rejected``."""
+    """Return the ``Sheet`` in a file, parsed by its suffix, or ``Rejected``."""
     try:
         text = pathlib.Path(path).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
@@ -38,8 +38,8 @@
     return _READERS.get(_suffix(path), from_json)(text)
 
 
-def write(path, table, revision):
-    """Return the text of a table's sheet in the form that the suffix asks for."""
+def to_text(path, table, revision):
+    """Return a table's sheet as text in the format of the path's suffix."""
     return _WRITERS.get(_suffix(path), to_json)(table, revision)
 
 
@@ -62,10 +62,10 @@
 def from_csv(text):
     """Return the ``Sheet`` in CSV text, or ``Rejected``."""
     revision = None
-    if text.startswith(REVISION_MARK):
+    if text.startswith(REVISION_PREFIX):
         first, _, text = text.partition("\n")
-        digits = first.removeprefix(REVISION_MARK).strip(" ,\r")
-        if not digits.isdecimal() or len(digits) > MAX_DIGITS:
+        digits = first.removeprefix(REVISION_PREFIX).strip(" ,\r")
+        if not digits.isdecimal() or len(digits) > MAX_REVISION_DIGITS:
             return Rejected("sheet invalid", [Finding("revision", "not an integer")])
         revision = int(digits)
     try:
@@ -79,7 +79,7 @@
     ]
     if findings:
         return Rejected("sheet invalid", findings)
-    return Sheet({"rows": [_row(line) for line in lines]}, revision)
+    return Sheet({"rows": [_parse_row(line) for line in lines]}, revision)
 
 
 def to_json(table, revision):
@@ -91,7 +91,7 @@
 def to_csv(table, revision):
     """Return the sheet of a table as CSV text."""
     text = io.StringIO()
-    text.write(f"{REVISION_MARK}{revision}\n")
+    text.write(f"{REVISION_PREFIX}{revision}\n")
     writer = csv.DictWriter(text, COLUMNS, lineterminator="\n")
     writer.writeheader()
     for row in table.model_dump(mode="json")["rows"]:
@@ -103,7 +103,7 @@
     return pathlib.Path(path).suffix.lower()
 
 
-def _row(line):
+def _parse_row(line):
     row = {name: cell for name, cell in line.items() if cell not in ("", None)}
     if LIST_COLUMN in row:
         row[LIST_COLUMN] = row[LIST_COLUMN].split()
