--- a/sassafrasdoor/platform/configuration.py
+++ b/sassafrasdoor/platform/configuration.py
@@ -11,14 +11,14 @@
 OPERATOR_TOPIC = "keyed.op"
 SERVERS_TOPIC = "keyed.servers"
 CONFIGURATION_KEY = "config"
-VERSION_KEYS = "version/"
+VERSION_KEY_PREFIX = "version/"
 DEFAULT_TIMEOUT_MS = 10_000
-DEFAULT_KEEP_S = 40.0
-_NUMBER = re.compile(rb'"Sequence":\s*\d+')
-REPEATS = {"safe": Repeat.SAFE, "rollout": Repeat.STEP}
+DEFAULT_RETENTION_S = 40.0
+_SEQUENCE_FIELD = re.compile(rb'"Sequence":\s*\d+')
+REPEAT_BY_KIND = {"safe": Repeat.SAFE, "rollout": Repeat.STEP}
 """Every other kind of route may run once at most, but streams that can be resumed."""
 STREAMING = "streaming"
-MALFORMED = (
+PARSE_ERRORS = (
     KeyError,
     TypeError,
     ValueError,
@@ -27,15 +27,15 @@
     RecursionError,
 )
 """What reading a record raises that another writer may have written."""
-REASON = 200
+MAX_LOGGED_REASON_LENGTH = 200
 """Characters of a reason in a log line."""
 
-UNREADABLE = counter(
+UNREADABLE_RECORDS = counter(
     "platform_records_unreadable_total", "Keyed records that cannot be used, by topic."
 )
 
 
-def configuration_from(document):
+def parse_configuration(document):
     """Return the ``Configuration``; raises ``KeyError``, ``TypeError``, ``ValueError``."""
     models = {
         one["Name"]: [model["Name"] for model in one["Engine"].get("Models", ())]
@@ -45,7 +45,7 @@
     limits = document.get("Limits") or {}
     return Configuration(
         int(document["Version"]),
-        [_route(one) for one in document["Routes"]],
+        [_parse_route(one) for one in document["Routes"]],
         models,
         Limits(
             int(limits.get("MaxHeaderBytes", 16384)),
@@ -55,7 +55,7 @@
     )
 
 
-def _route(one):
+def _parse_route(one):
     services = [(one["Service"], 1)] if one.get("Service") else []
     services += [
         (part["Service"], part["Weight"]) for part in one.get("TrafficSplit") or ()
@@ -65,56 +65,56 @@
         name=one["Name"],
         host=one["Host"].lower(),
         prefix=one["PathPrefix"],
-        repeat=_repeat(one),
+        repeat=_repeat_policy(one),
         streams=one["Kind"] == STREAMING,
         services=services,
         timeout=timeout,
         target=(one.get("TargetLatencyMs") or timeout * 1000) / 1000,
         attempts=max(1, one.get("MaxAttempts") or 1),
-        keep_for=float(one.get("RetentionS") or DEFAULT_KEEP_S),
+        keep_for=float(one.get("RetentionS") or DEFAULT_RETENTION_S),
         one_version=bool(one.get("SingleVersion")),
     )
 
 
-def _repeat(one):
+def _repeat_policy(one):
     if one["Kind"] == STREAMING and one.get("Resumable"):
         return Repeat.RESUME
-    return REPEATS.get(one["Kind"], Repeat.ONCE)
+    return REPEAT_BY_KIND.get(one["Kind"], Repeat.ONCE)
 
 
-def listing_from(document):
+def parse_listing(document):
     """Return the ``Listing`` in a replica's entry; raises as above.
 
     An entry may be another writer's. Taken for what it resembles, it would send
     requests to an address where nobody waits for them.
     """
-    address = _typed(document, "Address", str)
+    address = _typed_field(document, "Address", str)
     host, _, port = address.rpartition(":")
     if not host or not port.isdigit():
         raise ValueError(f"Address {address!r}")
-    slots = _typed(document, "Slots", int)
+    slots = _typed_field(document, "Slots", int)
     if slots < 1:
         raise ValueError(f"Slots {slots}")
     return Listing(
-        _typed(document, "Service", str),
+        _typed_field(document, "Service", str),
         address,
-        _typed(document, "Zone", str),
+        _typed_field(document, "Zone", str),
         slots,
-        _LEAVING[_typed(document, "State", str)],
+        _IS_DRAINING[_typed_field(document, "State", str)],
         {
-            _typed(one, "Name", str): _typed(one, "Version", int)
-            for one in _typed(document, "Models", list, [])
+            _typed_field(one, "Name", str): _typed_field(one, "Version", int)
+            for one in _typed_field(document, "Models", list, [])
         },
-        _typed(document, "born", int, 0),
+        _typed_field(document, "born", int, 0),
     )
 
 
-_LEAVING = {"ready": False, "draining": True}
+_IS_DRAINING = {"ready": False, "draining": True}
 """Whether a replica in a state gets no new work."""
 _REQUIRED = object()
 
 
-def _typed(document, name, kind, default=_REQUIRED):
+def _typed_field(document, name, kind, default=_REQUIRED):
     """Return a field of exactly one type; raises ``KeyError`` or ``TypeError``."""
     value = document[name] if default is _REQUIRED else document.get(name, default)
     if type(value) is not kind:
@@ -122,16 +122,16 @@
     return value
 
 
-class OperatorKeys:
+class OperatorTopicReader:
     """Hands configurations and named versions on to the product."""
 
-    __slots__ = ("_named", "_routes")
+    __slots__ = ("_on_named_version", "_routes")
 
     def __init__(self, routes, named):
         self._routes = routes
-        self._named = named
+        self._on_named_version = named
 
-    def take(self, key, value):
+    def apply(self, key, value):
         """Take the newest value of a key; bad ones are noted and change nothing."""
         key = key.removeprefix("op/")
         if not value:
@@ -139,42 +139,46 @@
         try:
             document = json.loads(value)
             if key == CONFIGURATION_KEY:
-                self._routes.take(configuration_from(document))
-            elif key.startswith(VERSION_KEYS):
-                model = _typed(document, "Model", str)
-                self._named(model, _typed(document, "Version", int))
-        except MALFORMED as error:
-            UNREADABLE.inc({"topic": OPERATOR_TOPIC})
-            note("operator.record_unreadable", key=key, reason=repr(error)[:REASON])
-
-
-class ServerKeys:
+                self._routes.take(parse_configuration(document))
+            elif key.startswith(VERSION_KEY_PREFIX):
+                model = _typed_field(document, "Model", str)
+                self._on_named_version(model, _typed_field(document, "Version", int))
+        except PARSE_ERRORS as error:
+            UNREADABLE_RECORDS.inc({"topic": OPERATOR_TOPIC})
+            note(
+                "operator.record_unreadable",
+                key=key,
+                reason=repr(error)[:MAX_LOGGED_REASON_LENGTH],
+            )
+
+
+class ServersTopicReader:
     """Hands the list of replicas on to the product."""
 
-    __slots__ = ("_replicas", "_taken")
+    __slots__ = ("_replicas", "_last_entries")
 
     def __init__(self, replicas):
         self._replicas = replicas
-        self._taken = {}
+        self._last_entries = {}
 
-    def take(self, key, value):
+    def apply(self, key, value):
         """Take the newest entry of a replica."""
         identity = key.removeprefix("servers/")
         if not value:
-            self._taken.pop(identity, None)
+            self._last_entries.pop(identity, None)
             self._replicas.unlisted(identity)
             return
         # Nearly every record is a heartbeat in which the number alone differs. Parsing
         # each anew would take most of an idle instance's processor time.
-        without_number = _NUMBER.sub(b"", value)
-        if self._taken.get(identity) == without_number:
+        without_number = _SEQUENCE_FIELD.sub(b"", value)
+        if self._last_entries.get(identity) == without_number:
             return
-        self._taken[identity] = without_number
+        self._last_entries[identity] = without_number
         try:
-            listing = listing_from(json.loads(value))
-        except MALFORMED as error:
-            UNREADABLE.inc({"topic": SERVERS_TOPIC})
-            reason = repr(error)[:REASON]
+            listing = parse_listing(json.loads(value))
+        except PARSE_ERRORS as error:
+            UNREADABLE_RECORDS.inc({"topic": SERVERS_TOPIC})
+            reason = repr(error)[:MAX_LOGGED_REASON_LENGTH]
             note("replica.entry_unreadable", replica=identity, reason=reason)
             self._replicas.refuse(identity)
             return
--- a/sassafrasdoor/platform/front.py
+++ b/sassafrasdoor/platform/front.py
@@ -15,7 +15,7 @@
 from sassafrasdoor.outcomes import NotRun, Rejected
 from sassafrasdoor.platform import steps as documents, wire
 from sassafrasdoor.platform.handlers import (
-    LOGGED_PATH,
+    MAX_LOGGED_PATH,
     DirectoryHandler,
     ReadyHandler,
     WireHandler,
@@ -33,26 +33,26 @@
 from sassafrasdoor.steps.durable.service import NotFound, Page
 from sassafrasdoor.table.routes import Repeat
 
-LONGEST_WAIT = 60.0
+DEFAULT_CALL_TIMEOUT = 60.0
 """Seconds taken for a caller that states no deadline."""
-LONGEST_POLL = 1.0
+MAX_POLL_WAIT = 1.0
 """Seconds that a reader may be kept waiting for a further sample."""
 NO_CONFIGURATION_RETRY_AFTER = 0.5
-HANDED_ON = "X-Handed-On"
+FORWARDED_HEADER = "X-Handed-On"
 """Header of a call that one of our instances hands to another."""
-PEER_TIMEOUT = 1.8
+FORWARD_TIMEOUT = 1.8
 """Seconds for the other instance: an append, which has 0.8, or a reader's wait of one
 second."""
-PEERS_TIMEOUT = 1.4
+PEER_READ_TIMEOUT = 1.4
 """Seconds for all that are asked for one read, beyond the time that its caller lets it
 wait: the caller leaves after 1.5."""
-HEDGE_AFTER = 0.5
+HEDGE_DELAY = 0.5
 """Seconds without an answer, beyond that time, after which another one is asked too."""
-MOST_PEERS = 3
-LOT = re.compile(r"^/-/lots/([^/?]+)$")
-ITEM = re.compile(r"^/-/items/([^/?]+)$")
+MAX_PEERS_ASKED = 3
+STEP_PATH = re.compile(r"^/-/lots/([^/?]+)$")
+ITEM_PATH = re.compile(r"^/-/items/([^/?]+)$")
 
-HANDED = counter(
+FORWARDED_CALLS = counter(
     "front_handed_on_total", "Calls handed to another instance, by result."
 )
 
@@ -75,7 +75,7 @@
         configuration = self._parts.routes.current
         if configuration is None:
             refused = NotRun("no configuration yet", NO_CONFIGURATION_RETRY_AFTER)
-            self._own_failure(refused)
+            self._reply_failure(refused)
             return
         host = self.request.headers.get("Host", "").partition(":")[0]
         route = configuration.match(host, path)
@@ -87,7 +87,7 @@
                 routes_version=configuration.version,
             )
             missing = NotFound("no such route")
-            self._own_failure(self._parts.routes.unknown(missing))
+            self._reply_failure(self._parts.routes.unknown(missing))
         elif route.repeat is Repeat.STEP:
             await self._submit(route, host, path)
         else:
@@ -98,16 +98,16 @@
             route=route,
             method=self.request.method,
             path=self.request.uri,
-            headers=wire.header_pairs(self.request.headers, wire.NOT_SENT_ON),
+            headers=wire.header_pairs(self.request.headers, wire.DROPPED_FROM_REQUEST),
             body=self.request.body,
             request_id=self._request_id,
-            deadline=min(self._deadline(), self._began + route.timeout),
+            deadline=min(self._deadline(), self._started_at + route.timeout),
             version=configuration.version,
         )
         if route.streams:
             await self._stream(request)
             return
-        answer = await self._while_present(self._parts.direct.answer(request))
+        answer = await self._while_connected(self._parts.direct.answer(request))
         if answer is not None:
             self._answer(answer)
 
@@ -115,21 +115,23 @@
         if isinstance(answer, Answer):
             self._reply(answer.status, answer.headers, answer.body)
         else:
-            self._own_failure(answer)
+            self._reply_failure(answer)
 
     async def _stream(self, request):
         caller = _WireCaller(self)
         passing = self._parts.streams.answer(request, caller)
-        result = await self._while_present(passing)
+        result = await self._while_connected(passing)
         if result is True:
             self.finish()
         elif result is not None and self._headers_written:
-            self._cut()
+            self._abort_connection()
         elif result is not None:
             self._answer(result)
 
     async def _submit(self, route, host, path):
-        spec = documents.spec_from(self._request_id, host, path, self.request.body)
+        spec = documents.parse_step_spec(
+            self._request_id, host, path, self.request.body
+        )
         if isinstance(spec, Rejected):
             note(
                 "step.invalid",
@@ -140,96 +142,104 @@
                 400, {"findings": [one.as_dict() for one in spec.findings]}
             )
             return
-        submission = self._parts.steps.submit(spec, self._deadline(), self._elsewhere)
-        result = await self._while_present(submission)
+        submission = self._parts.steps.submit(spec, self._deadline(), self._forwarder)
+        result = await self._while_connected(submission)
         if result is True:
             self._reply(202)
         elif result is not None:
-            self._own_failure(result)
+            self._reply_failure(result)
 
-    async def _read(self, step_id):
+    async def _read_step(self, step_id):
         query = parse_qs_bytes(self.request.query.encode())
-        first = max(0, _whole(query.get("After", [b"0"])[0], 0))
-        wait = _whole(self.request.headers.get(wire.WAIT), 0) / 1000
-        until = deadline_in(min(wait, LONGEST_POLL))
-        page = await self._while_present(self._parts.steps.read(step_id, first, until))
+        first = max(0, _parse_int(query.get("After", [b"0"])[0], 0))
+        wait = _parse_int(self.request.headers.get(wire.WAIT), 0) / 1000
+        until = deadline_in(min(wait, MAX_POLL_WAIT))
+        page = await self._while_connected(
+            self._parts.steps.read(step_id, first, until)
+        )
         if isinstance(page, Page):
             self._reply_json(200, documents.page_document(page))
         elif page is not None:
-            await self._from_peer_or_failure(page)
+            await self._reply_from_peer_or_fail(page)
 
-    async def _body(self, step_id):
+    async def _read_body(self, step_id):
         query = parse_qs_bytes(self.request.query.encode())
         item_id = query.get("Id", [b""])[0].decode("utf-8", "replace")
-        body = await self._while_present(self._parts.steps.body(step_id, item_id))
+        body = await self._while_connected(self._parts.steps.body(step_id, item_id))
         if isinstance(body, bytes):
             self._reply(200, [("Content-Type", "application/octet-stream")], body)
         elif body is not None:
-            await self._from_peer_or_failure(body)
+            await self._reply_from_peer_or_fail(body)
 
-    async def _end(self, step_id):
-        deadline = min(self._deadline(), deadline_in(LONGEST_WAIT))
-        ending = self._parts.steps.end(step_id, deadline, self._elsewhere)
-        result = await self._while_present(ending)
+    async def _end_step(self, step_id):
+        deadline = min(self._deadline(), deadline_in(DEFAULT_CALL_TIMEOUT))
+        ending = self._parts.steps.end(step_id, deadline, self._forwarder)
+        result = await self._while_connected(ending)
         if result is True:
             self._reply(200)
         elif result is not None:
-            await self._from_peer_or_failure(result)
+            await self._reply_from_peer_or_fail(result)
 
     @property
-    def _elsewhere(self):
+    def _forwarder(self):
         """What hands this call to another instance; None for one handed on already."""
-        return None if HANDED_ON in self.request.headers else self._kept_by_peer
+        return (
+            None if FORWARDED_HEADER in self.request.headers else self._accepted_by_peer
+        )
 
-    async def _kept_by_peer(self):
-        reply = await self._ask_peer()
+    async def _accepted_by_peer(self):
+        reply = await self._forward_to_peer()
         if reply is None:
             return False
         if isinstance(reply, Broken):
             return None if reply.began else False
         return {200: True, 202: True, 503: False}.get(reply.status)
 
-    async def _from_peer_or_failure(self, outcome):
+    async def _reply_from_peer_or_fail(self, outcome):
         """Answer as another instance does if it can, else with the own failure."""
-        if isinstance(outcome, NotRun) and self._elsewhere is not None:
-            reply = await self._while_present(self._first_answer(outcome.reason))
-            if self._left:
+        if isinstance(outcome, NotRun) and self._forwarder is not None:
+            reply = await self._while_connected(self._first_peer_reply(outcome.reason))
+            if self._caller_left:
                 return
             if reply is not None:
                 kind = reply.headers.get("Content-Type", wire.JSON_TYPE)
                 self._reply(200, [("Content-Type", kind)], reply.body)
                 return
-        self._own_failure(outcome)
+        self._reply_failure(outcome)
 
-    async def _first_answer(self, reason):
+    async def _first_peer_reply(self, reason):
         """Return the ``Reply`` of the first peer that has an answer, or None."""
-        wait = _whole(self.request.headers.get(wire.WAIT), 0) / 1000
-        peers = self._parts.instances.peers_to_ask(MOST_PEERS)
+        wait = _parse_int(self.request.headers.get(wire.WAIT), 0) / 1000
+        peers = self._parts.instances.peers_to_ask(MAX_PEERS_ASKED)
         reply = await first_answer(
             peers,
-            self._ask,
+            self._forward_to,
             lambda reply: isinstance(reply, Reply) and reply.status == 200,
-            wait + HEDGE_AFTER,
-            self._began + wait + PEERS_TIMEOUT,
+            wait + HEDGE_DELAY,
+            self._started_at + wait + PEER_READ_TIMEOUT,
         )
         if reply is None:
             note(
                 "request.handed_on_in_vain",
                 request=self._request_id,
-                path=self.request.path[:LOGGED_PATH],
+                path=self.request.path[:MAX_LOGGED_PATH],
                 reason=reason,
                 peers=peers,
             )
         return reply
 
-    async def _ask_peer(self):
+    async def _forward_to_peer(self):
         """Send this call to another instance; None where none is known."""
         peers = self._parts.instances.peers()
-        return await self._ask(peers[0], deadline_in(PEER_TIMEOUT)) if peers else None
+        return (
+            await self._forward_to(peers[0], deadline_in(FORWARD_TIMEOUT))
+            if peers
+            else None
+        )
 
-    async def _ask(self, peer, deadline):
-        pairs = wire.header_pairs(self.request.headers, wire.NOT_SENT_ON)
-        headers = {**dict(pairs), HANDED_ON: "1"}
+    async def _forward_to(self, peer, deadline):
+        pairs = wire.header_pairs(self.request.headers, wire.DROPPED_FROM_REQUEST)
+        headers = {**dict(pairs), FORWARDED_HEADER: "1"}
         call = Outgoing(
             self.request.method,
             self.request.uri,
@@ -239,19 +249,21 @@
         )
         reply = await self._parts.connections.send(peer, call)
         outcome = "broken" if isinstance(reply, Broken) else str(reply.status)
-        HANDED.inc({"result": outcome})
+        FORWARDED_CALLS.inc({"result": outcome})
         note(
             "request.handed_on",
             request=self._request_id,
-            path=self.request.path[:LOGGED_PATH],
+            path=self.request.path[:MAX_LOGGED_PATH],
             to=peer,
             result=outcome,
         )
         return reply
 
     def _deadline(self):
-        stated = _whole(self.request.headers.get(wire.DEADLINE), 0)
-        return self._began + (stated / 1000 if stated > 0 else LONGEST_WAIT)
+        stated = _parse_int(self.request.headers.get(wire.DEADLINE), 0)
+        return self._started_at + (
+            stated / 1000 if stated > 0 else DEFAULT_CALL_TIMEOUT
+        )
 
 
 class _WireCaller(StreamCaller):
@@ -263,7 +275,7 @@
         self._handler = handler
 
     async def begin(self, headers):
-        self._handler._head(200, headers)
+        self._handler._write_head(200, headers)
         await self._flush()
 
     async def pass_on(self, block):
@@ -278,9 +290,9 @@
 
 
 _STEP_CALLS = (
-    (LOT, "GET", FrontHandler._read),
-    (LOT, "DELETE", FrontHandler._end),
-    (ITEM, "GET", FrontHandler._body),
+    (STEP_PATH, "GET", FrontHandler._read_step),
+    (STEP_PATH, "DELETE", FrontHandler._end_step),
+    (ITEM_PATH, "GET", FrontHandler._read_body),
 )
 
 
@@ -322,7 +334,7 @@
     return Application(handlers, log_function=lambda handler: None)
 
 
-def _whole(text, default):
+def _parse_int(text, default):
     try:
         return int(text)
     except (TypeError, ValueError):
--- a/sassafrasdoor/platform/handlers.py
+++ b/sassafrasdoor/platform/handlers.py
@@ -16,15 +16,15 @@
 from sassafrasdoor.requests.crash_watch import Quarantined
 from sassafrasdoor.steps.durable.service import NotFound
 
-DIRECTORY_VALID = 2
+DIRECTORY_TTL = 2
 """Seconds that a directory answer holds. Some callers keep it three times as long,
 and a stopping instance serves on for that time within its eight seconds."""
-FRAMES_LOGGED = 2
-LOGGED_PATH = 120
+MAX_LOGGED_FRAMES = 2
+MAX_LOGGED_PATH = 120
 """Characters of a caller's path in a log line."""
 
 ANSWERS = counter("front_answers_total", "Answers to callers, by kind and status.")
-SECONDS = histogram(
+ANSWER_SECONDS = histogram(
     "front_seconds",
     "Seconds from a request's head to its answer.",
     buckets=[0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.5, 3, 6, 12],
@@ -68,9 +68,9 @@
 
     def initialize(self, parts):
         self._parts = parts
-        self._work = None
-        self._left = False
-        self._began = now()
+        self._task = None
+        self._caller_left = False
+        self._started_at = now()
 
     def prepare(self):
         self._parts.process.in_flight.add(self)
@@ -87,23 +87,23 @@
         return None
 
     def on_connection_close(self):
-        self._left = True
+        self._caller_left = True
         self._parts.process.in_flight.discard(self)
-        if self._work is not None:
-            self._work.cancel()
+        if self._task is not None:
+            self._task.cancel()
 
-    async def _while_present(self, coroutine):
+    async def _while_connected(self, coroutine):
         """Return the coroutine's result; None if the caller has left meanwhile.
 
         A request that is cancelled because the process ends must raise: Tornado
         finishes a handler that returns with an empty answer of 200, and a caller
         would take that for a step accepted or a call answered.
         """
-        self._work = asyncio.ensure_future(coroutine)
+        self._task = asyncio.ensure_future(coroutine)
         try:
-            return await self._work
+            return await self._task
         except asyncio.CancelledError:
-            if not self._left:
+            if not self._caller_left:
                 note("request.cut_by_stop", request=self._request_id)
                 raise
             note("request.caller_left", request=self._request_id)
@@ -114,19 +114,19 @@
         return self.request.headers.get(wire.REQUEST_ID, "")
 
     def _reply(self, status, headers=(), body=b""):
-        self._head(status, headers)
+        self._write_head(status, headers)
         self.finish(body)
 
-    def _head(self, status, headers=()):
+    def _write_head(self, status, headers=()):
         self.set_status(status)
         for name, value in headers:
             self.add_header(name, value)
         if self._parts.process.closing:
             self.set_header("Connection", "close")
         ANSWERS.inc({"kind": type(self).__name__, "status": str(status)})
-        SECONDS.observe({"kind": type(self).__name__}, now() - self._began)
+        ANSWER_SECONDS.observe({"kind": type(self).__name__}, now() - self._started_at)
 
-    def _cut(self):
+    def _abort_connection(self):
         """Close the connection in the middle of an answer, without its end."""
         self._auto_finish = False
         self.request.connection.stream.close()
@@ -134,7 +134,7 @@
     def send_error(self, status_code=500, **kwargs):
         # Tornado would end a begun answer as if it were whole.
         if self._headers_written:
-            self._cut()
+            self._abort_connection()
         else:
             super().send_error(status_code, **kwargs)
 
@@ -144,20 +144,20 @@
         )
         self._reply(status, [("Content-Type", wire.JSON_TYPE)], body)
 
-    def _own_failure(self, outcome):
+    def _reply_failure(self, outcome):
         status, headers = failure(outcome)
         note(
             "request.not_served",
             request=self._request_id,
-            path=self.request.path[:LOGGED_PATH],
+            path=self.request.path[:MAX_LOGGED_PATH],
             status=status,
             reason=outcome.reason,
-            seconds=round(now() - self._began, 3),
+            seconds=round(now() - self._started_at, 3),
         )
         self._reply(status, headers, (outcome.reason + "\n").encode())
 
     def log_exception(self, kind, value, trace):
-        frames = traceback.format_tb(trace)[-FRAMES_LOGGED:]
+        frames = traceback.format_tb(trace)[-MAX_LOGGED_FRAMES:]
         where = "".join(frames)
         reason = repr(value)
         note("request.failed", request=self._request_id, reason=reason, where=where)
@@ -184,9 +184,9 @@
         zone = self.get_query_argument("Zone", "")
         addresses = self._parts.instances.addresses(zone)
         if not addresses:
-            self._own_failure(NotRun("no instance known", 1.0))
+            self._reply_failure(NotRun("no instance known", 1.0))
             return
-        self._reply_json(200, {"Addresses": addresses, "TtlS": DIRECTORY_VALID})
+        self._reply_json(200, {"Addresses": addresses, "TtlS": DIRECTORY_TTL})
 
 
 @singledispatch
--- a/sassafrasdoor/platform/local.py
+++ b/sassafrasdoor/platform/local.py
@@ -11,10 +11,10 @@
 from sassafrasdoor.platform import settings
 from sassafrasdoor.support import ROOT
 
-LOCAL = "127.0.0.1"
+LOOPBACK = "127.0.0.1"
 PROGRAM = "sassafrasdoor.platform"
-FIRST_PORT, LAST_PORT, BLOCK, PORT_BLOCKS = 15000, 32000, 100, 150
-TEXT = """
+FIRST_PORT, LAST_PORT, PORTS_PER_BLOCK, PORT_BLOCKS = 15000, 32000, 100, 150
+SETTINGS_TEMPLATE = """
 NodeName={name}
 Zone=z
 Region=r
@@ -35,10 +35,10 @@
 
     A process keeps its addresses over a restart, so it cannot pick them itself.
     """
-    first = FIRST_PORT + os.getpid() % PORT_BLOCKS * BLOCK
+    first = FIRST_PORT + os.getpid() % PORT_BLOCKS * PORTS_PER_BLOCK
     for port in range(first, LAST_PORT):
         with contextlib.closing(socket.socket()) as sock:
-            if sock.connect_ex((LOCAL, port)):
+            if sock.connect_ex((LOOPBACK, port)):
                 yield port
 
 
@@ -50,12 +50,14 @@
 
     def __init__(self, folder, name, store, seeds=()):
         self.name = name
-        ports = [f"{LOCAL}:{next(PORTS)}" for _ in range(4)]
+        ports = [f"{LOOPBACK}:{next(PORTS)}" for _ in range(4)]
         self.front, self.ready, self.directory, self.control = ports
         self.settings_path = pathlib.Path(folder) / f"{name}.conf"
         fields = {"name": name, "store": store, "front": self.front}
         fields |= {"control": self.control, "seeds": ",".join(seeds)}
-        text = TEXT.format(ready=self.ready, directory=self.directory, **fields)
+        text = SETTINGS_TEMPLATE.format(
+            ready=self.ready, directory=self.directory, **fields
+        )
         self.settings_path.write_text(text, "utf-8")
         self.log_path = pathlib.Path(folder) / f"{name}.log"
         self._log = self.log_path.open("ab")
--- a/sassafrasdoor/platform/measure.py
+++ b/sassafrasdoor/platform/measure.py
@@ -24,7 +24,7 @@
 HOST, MODEL = "h.example", "m"
 ITEMS, EVENTS = 40, 16
 IN_FLIGHT = 8
-TICKS = os.sysconf("SC_CLK_TCK")
+CLOCK_TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
 ROUTE = {"Host": HOST, "TimeoutMs": 9000, "TargetLatencyMs": 500, "MaxAttempts": 3}
 DOCUMENT = {
     "Version": 1,
@@ -36,7 +36,7 @@
 }
 
 
-class Bench:
+class Benchmark:
     """One process of ours and its stand-ins."""
 
     def __init__(self, folder):
@@ -69,11 +69,11 @@
         reply = await self._send(method, path, address, body, request_id)
         return getattr(reply, "status", None)
 
-    def processor(self):
+    def processor_seconds(self):
         """Return the process's processor seconds so far."""
         text = pathlib.Path(f"/proc/{self._instance.process.pid}/stat").read_text()
         fields = text.rpartition(")")[2].split()
-        return (int(fields[11]) + int(fields[12])) / TICKS
+        return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_SECOND
 
     async def calls(self, count):
         """Call on kept connections, some at a time."""
@@ -120,23 +120,23 @@
 
 async def _measure(calls, steps):
     with tempfile.TemporaryDirectory() as folder:
-        bench = Bench(folder)
+        bench = Benchmark(folder)
         try:
             await bench.start()
             await bench.calls(200)
-            before = bench.processor()
+            before = bench.processor_seconds()
             await asyncio.sleep(5)
-            idle = (bench.processor() - before) / 5
+            idle = (bench.processor_seconds() - before) / 5
             print(f"idle: {100 * idle:.2f} % of a core")
             for what, count, work in (
                 ("plain call", calls, bench.calls(calls)),
                 (f"item of {EVENTS} events", steps * ITEMS, bench.steps(steps)),
             ):
                 started = asyncio.get_running_loop().time()
-                before = bench.processor()
+                before = bench.processor_seconds()
                 await work
                 took = asyncio.get_running_loop().time() - started
-                spent = bench.processor() - before - idle * took
+                spent = bench.processor_seconds() - before - idle * took
                 print(f"{what}: {1000 * spent / count:.2f} ms of processor time")
         finally:
             bench.close()
--- a/sassafrasdoor/platform/peers.py
+++ b/sassafrasdoor/platform/peers.py
@@ -18,7 +18,7 @@
     Store,
     batch_document,
     newest_document,
-    unpacked,
+    unpack_records,
 )
 
 NEWEST_PATH, READ_PATH, APPEND_PATH = (
@@ -26,38 +26,38 @@
     "/-/log-read",
     "/-/log-append",
 )
-FROM_STORE = "Store"
+FROM_STORE_PARAMETER = "Store"
 """Asks for a list as the store has it now, not as the other instance knows it."""
-LONGEST_READ = 1.0
+MAX_RELAYED_READ_WAIT = 1.0
 """Seconds that a read is held for another instance; its own reads wait as long."""
-TIMEOUT = 0.8
+RELAY_TIMEOUT = 0.8
 """Seconds for the store's answer beyond that; as long as an append of our own."""
-UNKNOWN = 504
+UNKNOWN_OUTCOME_STATUS = 504
 """An append whose fate is not known; the store's client takes any such status so."""
 
 
 class Peers:
     """Asks the control addresses of other instances."""
 
-    __slots__ = ("_addresses", "_relays", "_stores")
+    __slots__ = ("_addresses", "_relay_clients", "_peer_clients")
 
     def __init__(self, addresses):
         self._addresses = list(addresses)
-        self._stores = [Store(address) for address in addresses]
-        self._relays = {}
+        self._peer_clients = [Store(address) for address in addresses]
+        self._relay_clients = {}
 
     def relays(self, addresses):
         """Return the clients of control addresses, or of those the settings name."""
         addresses = addresses or self._addresses
         for address in addresses:
-            if address not in self._relays:
-                relay = Store(address, newest_query={FROM_STORE: 1})
-                self._relays[address] = relay
-        return [self._relays[address] for address in addresses]
+            if address not in self._relay_clients:
+                relay = Store(address, newest_query={FROM_STORE_PARAMETER: 1})
+                self._relay_clients[address] = relay
+        return [self._relay_clients[address] for address in addresses]
 
     async def newest(self, topic):
         """Return the ``NewestKeys`` of a topic as a peer knows them, or None."""
-        for store in random.sample(self._stores, len(self._stores)):
+        for store in random.sample(self._peer_clients, len(self._peer_clients)):
             found = await store.newest(topic)
             if not isinstance(found, Unavailable):
                 return found
@@ -65,7 +65,7 @@
 
     def close(self):
         """Close all connections."""
-        for store in [*self._stores, *self._relays.values()]:
+        for store in [*self._peer_clients, *self._relay_clients.values()]:
             store.close()
 
 
@@ -76,8 +76,8 @@
         tail = self._parts.lists.get(self.get_query_argument("Topic", ""))
         if tail is None:
             newest = None
-        elif self.get_query_argument(FROM_STORE, ""):
-            newest = await self._from_store(tail)
+        elif self.get_query_argument(FROM_STORE_PARAMETER, ""):
+            newest = await self._load_from_store(tail)
         else:
             newest = tail.newest
         if newest is None or isinstance(newest, Outcome):
@@ -85,11 +85,11 @@
         else:
             self._reply_json(200, newest_document(newest))
 
-    async def _from_store(self, tail):
+    async def _load_from_store(self, tail):
         if tail.failing_since is not None:
             return None
         with asked_for(RELAY):
-            return await self._while_present(self._parts.store.newest(tail.topic))
+            return await self._while_connected(self._parts.store.newest(tail.topic))
 
 
 class RelayHandler(WireHandler):
@@ -108,12 +108,14 @@
             await self._read()
 
     async def _read(self):
-        wait = min(LONGEST_READ, int(self.get_query_argument("WaitMs", "0")) / 1000)
+        wait = min(
+            MAX_RELAYED_READ_WAIT, int(self.get_query_argument("WaitMs", "0")) / 1000
+        )
         offset = int(self.get_query_argument("From"))
         store = self._parts.store
         most = int(self.get_query_argument("MaxKb", "0")) * 1024 or None
-        result = await self._while_present(
-            store.read(*self._partition(), offset, wait, TIMEOUT, most)
+        result = await self._while_connected(
+            store.read(*self._partition(), offset, wait, RELAY_TIMEOUT, most)
         )
         if isinstance(result, Expired):
             self._reply_json(GONE, {"First": result.first})
@@ -124,16 +126,16 @@
 
     async def post(self):
         """Append; an append of unknown fate is not answered as one without effect."""
-        records = unpacked(self.request.body)
+        records = unpack_records(self.request.body)
         if not records:
             self._reply(400)
             return
         with asked_for(RELAY):
             result = await self._parts.store.append(
-                *self._partition(), records, deadline_in(TIMEOUT)
+                *self._partition(), records, deadline_in(RELAY_TIMEOUT)
             )
         if isinstance(result, ReplyLost):
-            self._reply(UNKNOWN)
+            self._reply(UNKNOWN_OUTCOME_STATUS)
         elif isinstance(result, Outcome):
             self._reply(UNAVAILABLE)
         else:
--- a/sassafrasdoor/platform/process.py
+++ b/sassafrasdoor/platform/process.py
@@ -37,43 +37,43 @@
 from sassafrasdoor.table.routes import RoutesInForce
 from sassafrasdoor.weights.named import WeightsController
 
-LIST_PAUSE = 0.35
+REPLICA_LIST_READ_INTERVAL = 0.35
 """Seconds between reads of the replicas' list: a leaving replica is known well
 within its two seconds, and heartbeats of all replicas come in one answer."""
-CRASHES_PAUSE = 0.5
+CRASH_LIST_READ_INTERVAL = 0.5
 """Seconds between reads of the crashes: all instances know of one within a second."""
-SERVE_ON_SHARE = 0.86
+DRAIN_SHARE = 0.86
 """Part of the planned stop for which open and remembered connections are served."""
-FINISH_SHARE = 0.1
+FINISH_IN_FLIGHT_SHARE = 0.1
 """Part of the planned stop in which requests in progress may still end."""
-FINISH_TICK = 0.02
-ALONE_UP_TO = 60
+IN_FLIGHT_CHECK_INTERVAL = 0.02
+MAX_REPLICAS_FOR_ONE_RUNNER = 60
 """Replicas before which one process runs all shards: before more it lacks the processor
 and keeps too many connections."""
-AFTER_THE_FIRST = 3
+NON_CONTROLLER_RANK_OFFSET = 3
 """Places by which all others step back for a shard while whoever orders the loads lives:
 it reads megabytes after a start, and where the next in rank is done a moment sooner,
 loads and items stay apart, and replicas that load refuse items."""
-FENCED_HANDOVER = 0.3
+FENCED_HANDOVER_DELAY = 0.3
 """Seconds that an order of a lapsed holder may be on its way, at most."""
-FOLLOW_TICK, FIRST_TICK = 0.2, 0.05
+FOLLOW_CHECK_INTERVAL, READ_SLOT_CHECK_INTERVAL = 0.2, 0.05
 """Seconds between looks at whether this instance should read the steps, and before its
 turn to read them has come."""
-UNREAD_PAUSE = 0.4
+UNOWNED_SHARD_MIN_READ_INTERVAL = 0.4
 """Seconds between reads of a shard that this process neither runs nor answers for."""
-FIRST_IDLE_LIMIT = 60.0
+INITIAL_IDLE_TIMEOUT = 60.0
 """Seconds that a connection may idle before the operator's limit is known."""
 CLEANUP_INTERVAL = 10.0
-ROUTES_INTERVAL = 0.5
+ROUTES_CHECK_INTERVAL = 0.5
 """Seconds between looks at how old the routes are."""
-REPORT_INTERVAL = 5.0
+CALL_REPORT_INTERVAL = 5.0
 """Seconds between lines of what was asked of the log."""
-SETTINGS_INTERVAL = 1.0
+SETTINGS_CHECK_INTERVAL = 1.0
 """Seconds between looks at the settings file; a look is one call to the kernel."""
-MOST_FINDINGS = 5
-KEEP_MARGIN = 60.0
+MAX_LOGGED_FINDINGS = 5
+RESULT_RETENTION_MARGIN = 60.0
 """Seconds beyond the promised time that finished steps stay readable."""
-BACKLOG = 512
+LISTEN_BACKLOG = 512
 
 
 class Process:
@@ -85,11 +85,11 @@
     def __init__(self, settings, path, metrics_port=0):
         self._settings = settings
         self._path = path
-        self._settings_stamp = platform_settings.stamp(path)
+        self._settings_signature = platform_settings.file_signature(path)
         self._metrics_port = metrics_port
         self._stop = asyncio.Event()
-        self._turn = Turn()
-        self._follows = asyncio.Event()
+        self._read_slot = Turn()
+        self._following = asyncio.Event()
         self._servers = []
         self.closing = False
         self.in_flight = set()
@@ -97,14 +97,14 @@
 
     def _build(self):
         settings = self._settings
-        self._demand = Demand()
-        self._store = Store(settings.store, self._demand)
+        self._call_counter = Demand()
+        self._store = Store(settings.store, self._call_counter)
         self._peers = Peers(settings.peers)
-        self._log = RelayedLog(self._store, self._relays)
+        self._log = RelayedLog(self._store, self._relay_clients)
         self._way = Way(self._backlog_share, self._retry_pause)
         self._client = WireReplicas()
         self._routes = RoutesInForce(
-            lambda: self._operator.confirmed_at, lambda: settings.config_apply
+            lambda: self._operator_tail.confirmed_at, lambda: settings.config_apply
         )
         self._replicas = Replicas(
             settings.instance.availability_zone, settings.heartbeat
@@ -117,11 +117,11 @@
             settings.name,
             lambda: self._instances.ranking(CRASHES_TOPIC) == 0,
         )
-        self._crash_list = KeyedTail(
+        self._crash_list_tail = KeyedTail(
             self._log,
             CRASHES_TOPIC,
             self._crashes.take,
-            CRASHES_PAUSE,
+            CRASH_LIST_READ_INTERVAL,
             self._peers.newest,
             # Apart from the others: while it is late the steps are read all the same.
             Way(self._backlog_share, self._retry_pause),
@@ -147,9 +147,9 @@
                 self._log,
                 TOPIC,
                 shard,
-                self._fold_of(shard),
-                self._pause_of(shard),
-                self._follows,
+                self._make_fold(shard),
+                self._make_pause(shard),
+                self._following,
                 self._way,
             )
             for shard in range(shards + 1)
@@ -171,37 +171,37 @@
             self._steps,
             self._tails,
             member,
-            self._rank,
-            self._gained,
+            self._shard_rank,
+            self._on_shard_gained,
             self._runner.stop_shard,
             self._instances,
         )
         self._build_weights()
-        keys = configuration.OperatorKeys(self._routes, self._weights.named)
-        self._operator = KeyedTail(
+        keys = configuration.OperatorTopicReader(self._routes, self._weights.named)
+        self._operator_tail = KeyedTail(
             self._log,
             configuration.OPERATOR_TOPIC,
-            keys.take,
+            keys.apply,
             elsewhere=self._peers.newest,
             way=self._way,
         )
-        listed = configuration.ServerKeys(self._replicas)
-        self._list = KeyedTail(
+        listed = configuration.ServersTopicReader(self._replicas)
+        self._replica_list_tail = KeyedTail(
             self._log,
             configuration.SERVERS_TOPIC,
-            listed.take,
-            LIST_PAUSE,
+            listed.apply,
+            REPLICA_LIST_READ_INTERVAL,
             self._peers.newest,
             self._way,
         )
-        self._replicas.list_tail = self._list
+        self._replicas.list_tail = self._replica_list_tail
 
-    def _gained(self, shard):
+    def _on_shard_gained(self, shard):
         self._runner.start_shard(shard)
         if shard == self._weights_shard:
             self._weights.wake()
 
-    def _relays(self):
+    def _relay_clients(self):
         return self._peers.relays(self._instances.controls())
 
     def _build_weights(self):
@@ -210,27 +210,31 @@
             ShardLease(self._shards, self._weights_shard, self._settings.name),
             self._replicas,
             self._routes,
-            handover=lambda: self._handover,
+            handover=lambda: self._handover_delay,
             work=self._runner,
         )
         self._steps.mark_used(self._weights_shard)
         self._steps.on_change(self._weights.record_demand)
 
     @property
-    def _handover(self):
+    def _handover_delay(self):
         """Seconds between a former holder's last order and our first.
 
         Replicas that check fencing numbers refuse a lapsed holder's orders by
         themselves; others take any, so there its time must have run out for sure.
         """
-        return FENCED_HANDOVER if self._settings.fenced else self._settings.lease + 0.2
+        return (
+            FENCED_HANDOVER_DELAY
+            if self._settings.fenced
+            else self._settings.lease + 0.2
+        )
 
     @property
     def ready(self):
         """Whether callers should be sent here."""
         return (
             self._routes.current is not None
-            and self._list.loaded
+            and self._replica_list_tail.loaded
             and not self._stop.is_set()
         )
 
@@ -238,7 +242,7 @@
         """Serve until SIGTERM, then until callers have gone elsewhere."""
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGTERM, self._stop.set)
-        loop.add_signal_handler(signal.SIGHUP, self._reload)
+        loop.add_signal_handler(signal.SIGHUP, self._reload_settings)
         note(
             "process.started",
             front=self._settings.front,
@@ -246,9 +250,9 @@
         )
         self._listen()
         self._routes.on_change(self._apply_limits)
-        tasks = lasting(self._jobs())
+        tasks = lasting(self._background_jobs())
         await self._stop.wait()
-        await self._leave()
+        await self._shut_down()
         for task in tasks:
             task.cancel()
         self._store.close()
@@ -256,11 +260,11 @@
         self._client.close()
         note("process.stopped")
 
-    def _jobs(self):
+    def _background_jobs(self):
         return [
-            self._operator.run(),
-            self._list.run(),
-            self._crash_list.run(),
+            self._operator_tail.run(),
+            self._replica_list_tail.run(),
+            self._crash_list_tail.run(),
             self._crashes.run(),
             self._crashes.expire(),
             self._instances.tail.run(),
@@ -268,11 +272,11 @@
             self._weights.run(),
             self._runner.run(),
             self._shards.run(),
-            self._look_who_follows(),
-            self._forget_old(),
+            self._update_following(),
+            self._discard_expired_steps(),
             self._watch_settings(),
-            self._report_demand(),
-            self._look_at_routes(),
+            self._report_call_counts(),
+            self._check_routes(),
             *(tail.run() for tail in self._tails),
             *(outbox.run() for outbox in self._outboxes),
         ]
@@ -293,10 +297,10 @@
             self._store,
         )
         tails = (
-            self._operator,
-            self._list,
+            self._operator_tail,
+            self._replica_list_tail,
             self._instances.tail,
-            self._crash_list,
+            self._crash_list_tail,
         )
         parts.lists = {tail.topic: tail for tail in tails}
         applications = [
@@ -315,8 +319,10 @@
             applications.append((f"{host}:{self._metrics_port}", application))
         for address, application in applications:
             host, _, port = address.rpartition(":")
-            server = HTTPServer(application, idle_connection_timeout=FIRST_IDLE_LIMIT)
-            server.listen(int(port), host, backlog=BACKLOG)
+            server = HTTPServer(
+                application, idle_connection_timeout=INITIAL_IDLE_TIMEOUT
+            )
+            server.listen(int(port), host, backlog=LISTEN_BACKLOG)
             self._servers.append(server)
 
     def _apply_limits(self, configuration):
@@ -330,18 +336,20 @@
             server.conn_params.max_header_size = limits.header_bytes
             server.conn_params.max_body_size = limits.body_bytes
 
-    async def _look_who_follows(self):
+    async def _update_following(self):
         while True:
-            if self._follows_steps():
-                self._follows.set()
+            if self._should_follow_steps():
+                self._following.set()
             else:
-                self._follows.clear()
+                self._following.clear()
             steps = self._tails[: self._weights_shard]
-            self._instances.has_read = self._follows.is_set() and all_read(steps)
-            waits = not (self._turn.has_come or self._instances.in_reserve)
-            await asyncio.sleep(FIRST_TICK if waits else FOLLOW_TICK)
+            self._instances.has_read = self._following.is_set() and all_read(steps)
+            waits = not (self._read_slot.has_come or self._instances.in_reserve)
+            await asyncio.sleep(
+                READ_SLOT_CHECK_INTERVAL if waits else FOLLOW_CHECK_INTERVAL
+            )
 
-    def _follows_steps(self):
+    def _should_follow_steps(self):
         """Say whether this instance reads the steps' records itself.
 
         A process that runs a shard does so also when callers are sent elsewhere: it
@@ -353,15 +361,15 @@
         if self._shards.holds_any:
             return True
         if not self._instances.is_entry_point:
-            self._turn.step_back()
+            self._read_slot.step_back()
             return False
-        if not self._turn.has_come:
-            self._look_at_turn()
-        return self._turn.has_come
+        if not self._read_slot.has_come:
+            self._acquire_read_slot()
+        return self._read_slot.has_come
 
-    def _look_at_turn(self):
-        ahead = self._unread_ahead
-        waited = self._turn.look(ahead, now())
+    def _acquire_read_slot(self):
+        ahead = self._unread_instances_ahead
+        waited = self._read_slot.look(ahead, now())
         if waited is not None:
             note(
                 "steps.reading",
@@ -371,38 +379,45 @@
             )
 
     @property
-    def _unread_ahead(self):
+    def _unread_instances_ahead(self):
         """How many read the steps before this instance; none if it is to run some."""
-        keys = set(map(self._ranked_for, range(self._weights_shard + 1)))
+        keys = set(map(self._ranking_key, range(self._weights_shard + 1)))
         if any(self._instances.unread_before(key) == 0 for key in keys):
             return 0
         return self._instances.unread_before(READERS_KEY)
 
-    def _rank(self, shard):
+    def _shard_rank(self, shard):
         """Return this instance's place among those that could run a shard.
 
         Whoever orders the loads comes first for the steps too: it loads a replica once
         the items that wait have begun, and sends none to one that it loads. Apart, much
         of what is sent to engines is refused.
         """
-        rank = self._instances.ranking(self._ranked_for(shard))
-        if self._replicas.count > ALONE_UP_TO or shard == self._weights_shard:
+        rank = self._instances.ranking(self._ranking_key(shard))
+        if (
+            self._replicas.count > MAX_REPLICAS_FOR_ONE_RUNNER
+            or shard == self._weights_shard
+        ):
             return rank
         if self._shards.runs_here(self._weights_shard):
             return 0
         if self._shards.runs_elsewhere(self._weights_shard):
-            return rank + AFTER_THE_FIRST
+            return rank + NON_CONTROLLER_RANK_OFFSET
         return rank + 1
 
-    def _ranked_for(self, shard):
+    def _ranking_key(self, shard):
         """Return the key by which instances are ranked for a shard.
 
         One process that runs all steps knows what every replica does, and its kept
         connections serve all of them. Before many replicas it lacks the processor.
         """
-        return f"shard-{shard}" if self._replicas.count > ALONE_UP_TO else READERS_KEY
+        return (
+            f"shard-{shard}"
+            if self._replicas.count > MAX_REPLICAS_FOR_ONE_RUNNER
+            else READERS_KEY
+        )
 
-    def _pause_of(self, shard):
+    def _make_pause(self, shard):
         """Return the pause between reads of a shard, as a function of no arguments."""
 
         def pause():
@@ -413,7 +428,7 @@
             )
             if self._shards.runs_here(shard):
                 return shared
-            return max(shared, UNREAD_PAUSE)
+            return max(shared, UNOWNED_SHARD_MIN_READ_INTERVAL)
 
         return pause
 
@@ -428,66 +443,68 @@
     def _retry_pause(self):
         return retry_pause(self._instances.alive, self._settings.reads_per_second)
 
-    def _fold_of(self, shard):
+    def _make_fold(self, shard):
         return lambda offset, data: self._steps.fold(shard, offset, data)
 
-    async def _forget_old(self):
+    async def _discard_expired_steps(self):
         while True:
             await asyncio.sleep(CLEANUP_INTERVAL)
-            self._steps.discard_done(now() - self._settings.results_kept - KEEP_MARGIN)
+            self._steps.discard_done(
+                now() - self._settings.results_kept - RESULT_RETENTION_MARGIN
+            )
 
-    async def _look_at_routes(self):
+    async def _check_routes(self):
         while True:
             self._routes.look()
-            await asyncio.sleep(ROUTES_INTERVAL)
+            await asyncio.sleep(ROUTES_CHECK_INTERVAL)
 
-    async def _report_demand(self):
+    async def _report_call_counts(self):
         while True:
-            await asyncio.sleep(REPORT_INTERVAL)
-            self._demand.report()
+            await asyncio.sleep(CALL_REPORT_INTERVAL)
+            self._call_counter.report()
 
     async def _watch_settings(self):
         """Reload a settings file that was changed without a signal."""
         while True:
-            await asyncio.sleep(SETTINGS_INTERVAL)
-            if platform_settings.stamp(self._path) != self._settings_stamp:
-                self._reload()
+            await asyncio.sleep(SETTINGS_CHECK_INTERVAL)
+            if platform_settings.file_signature(self._path) != self._settings_signature:
+                self._reload_settings()
 
-    def _reload(self):
+    def _reload_settings(self):
         """Take over what may change while the process runs; say what may not.
 
         A file that is invalid changes nothing: the process would end with the next
         restart, and until then serves on as it is.
         """
-        self._settings_stamp = platform_settings.stamp(self._path)
+        self._settings_signature = platform_settings.file_signature(self._path)
         found = platform_settings.load(self._path)
         if not found:
-            findings = [str(one) for one in found.findings[:MOST_FINDINGS]]
+            findings = [str(one) for one in found.findings[:MAX_LOGGED_FINDINGS]]
             note("process.reloaded", valid=False, findings=findings)
             return
         taken, waiting = self._settings.take_over(found)
         note("process.reloaded", valid=True, taken=taken, at_next_start=waiting)
 
-    async def _leave(self):
+    async def _shut_down(self):
         """Send callers elsewhere, hand the duties over, and serve on meanwhile."""
-        limit = deadline_in(self._settings.stop_within * SERVE_ON_SHARE)
+        limit = deadline_in(self._settings.stop_within * DRAIN_SHARE)
         note("process.stopping", seconds=round(remaining(limit), 2))
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout_at(limit):
                 await asyncio.gather(
                     self._instances.leave(),
-                    self._hand_over(),
+                    self._release_shards(),
                 )
         await asyncio.sleep(max(0.0, remaining(limit) - 1.0))
         self.closing = True
         await asyncio.sleep(remaining(limit))
         for server in self._servers:
             server.stop()
-        end = limit + self._settings.stop_within * FINISH_SHARE
+        end = limit + self._settings.stop_within * FINISH_IN_FLIGHT_SHARE
         while self.in_flight and not passed(end):  # noqa: ASYNC110
-            await asyncio.sleep(FINISH_TICK)
+            await asyncio.sleep(IN_FLIGHT_CHECK_INTERVAL)
 
-    async def _hand_over(self):
+    async def _release_shards(self):
         """Give all shards up, with what was received of their items before."""
         for shard, release in self._shards.leave().items():
             self._runner.stop_shard(shard)
--- a/sassafrasdoor/platform/servers.py
+++ b/sassafrasdoor/platform/servers.py
@@ -17,13 +17,13 @@
 from sassafrasdoor.outcomes import NotRun, ReplyLost, Unavailable
 from sassafrasdoor.platform import wire
 
-NEVER_DOABLE = 422
+UNPROCESSABLE = 422
 ORDER_ACCEPTED = (200, 202)
 ORDER_FENCED = 412
 RETRY_AFTER = 0.1
 VERSION_LINE = wire.VERSIONS.lower()
 EVENT_END = b"\n\n"
-NO_STAMP = "answer without the replica's stamp"
+MISSING_STAMP = "answer without the replica's stamp"
 
 
 class WireReplicas(ReplicaClient):
@@ -45,9 +45,9 @@
     async def call(self, replica, call):
         """Return the ``Answer``, ``NotRun``, ``WrongReplica`` or ``Broken``."""
         reply = await self._send(
-            replica, _outgoing(replica, call), _own(call.request_id)
+            replica, _build_request(replica, call), _response_check(call.request_id)
         )
-        return _whole_answer(reply)
+        return _answer_from(reply)
 
     async def reach(self, replica):
         """Return True if it can be connected to, else ``Refused`` or ``Broken``."""
@@ -55,25 +55,25 @@
 
     async def stream(self, replica, call, passing):
         """Pass events on; return True when whole, or as ``call`` does."""
-        blocks = _Blocks()
-        own = _own(call.request_id)
+        blocks = _EventSplitter()
+        own = _response_check(call.request_id)
 
         def accept(status, answered):
             refused = own(status, answered)
             if not refused and status == 200:
                 if wire.STAMP not in answered:
-                    return NO_STAMP
-                passing.head(wire.header_pairs(answered, wire.NOT_SENT_BACK))
+                    return MISSING_STAMP
+                passing.head(wire.header_pairs(answered, wire.DROPPED_FROM_ANSWER))
             return refused
 
         async def take(data):
             for block in blocks.feed(data):
                 await passing.event(_event_number(block), block + EVENT_END)
 
-        reply = await self._send(replica, _outgoing(replica, call), accept, take)
+        reply = await self._send(replica, _build_request(replica, call), accept, take)
         if isinstance(reply, Broken) or reply.status != 200:
-            return _whole_answer(reply)
-        return blocks.whole
+            return _answer_from(reply)
+        return blocks.end_result
 
     async def generate(self, replica, order, on_event):
         """Hand on events; return True, ``SampleFailed``, ``NotRun`` or ``Broken``."""
@@ -85,23 +85,23 @@
             headers[wire.LAST_EVENT] = str(order.after)
         request = Outgoing("POST", order.path, headers, order.body, order.deadline)
         events = _EventReader(on_event)
-        own = _own(order.item_id)
+        own = _response_check(order.item_id)
 
         def accept(status, answered):
             refused = own(status, answered)
             if not refused and status == 200:
-                events.version = _number(answered.get(wire.VERSIONS))
+                events.version = _parse_int(answered.get(wire.VERSIONS))
             return refused
 
         reply = await self._send(replica, request, accept, events.feed)
         if isinstance(reply, Broken):
             return reply
         if reply.status == 200:
-            return events.whole
+            return events.end_result
         refused = _refusal(reply)
         if refused is not None:
             return refused
-        return SampleFailed(f"status {reply.status}", reply.status == NEVER_DOABLE)
+        return SampleFailed(f"status {reply.status}", reply.status == UNPROCESSABLE)
 
     async def order(self, replica, order):
         """Return True, ``Stale``, ``OrderRefused``, ``Unavailable`` or ``ReplyLost``."""
@@ -136,27 +136,33 @@
             if reply.reason == "timeout":
                 self._connections.forget(address)
             return reply
-        _take_load(replica, reply.headers)
+        _record_load(replica, reply.headers)
         return reply
 
 
-class _Blocks:
+class _EventSplitter:
     """Cuts a stream's bytes into events; a half one is kept until its rest comes."""
 
-    __slots__ = ("_rest",)
+    __slots__ = ("_incomplete_event",)
 
     def __init__(self):
-        self._rest = b""
+        self._incomplete_event = b""
 
     @property
-    def whole(self):
+    def end_result(self):
         """True if the last event is whole, else ``Broken``."""
-        return Broken("stream ended inside an event") if self._rest.strip() else True
+        return (
+            Broken("stream ended inside an event")
+            if self._incomplete_event.strip()
+            else True
+        )
 
     def feed(self, data):
         """Take bytes of the stream; return the events that they complete."""
-        *whole, self._rest = (self._rest + data).split(EVENT_END)
-        return [block for block in whole if block.strip()]
+        *end_result, self._incomplete_event = (self._incomplete_event + data).split(
+            EVENT_END
+        )
+        return [block for block in end_result if block.strip()]
 
 
 class _EventReader:
@@ -166,30 +172,30 @@
 
     def __init__(self, on_event):
         self._on_event = on_event
-        self._blocks = _Blocks()
+        self._blocks = _EventSplitter()
         self._stopped = False
         self.version = 0
 
     @property
-    def whole(self):
+    def end_result(self):
         """True if the last event is whole, else ``Broken``."""
-        return self._blocks.whole
+        return self._blocks.end_result
 
     def feed(self, data):
         """Take bytes of the stream."""
         for block in self._blocks.feed(data):
             if not self._stopped:
-                self._event(block)
+                self._dispatch_event(block)
 
-    def _event(self, block):
+    def _dispatch_event(self, block):
         number, lines = None, []
         for line in block.decode("utf-8", "replace").split("\n"):
             name, _, value = line.partition(":")
             value = value.removeprefix(" ")
             if name == VERSION_LINE:
-                self.version = _number(value) or self.version
+                self.version = _parse_int(value) or self.version
             elif name == "id":
-                number = _number(value, None)
+                number = _parse_int(value, None)
             elif name == "data":
                 lines.append(value)
         if number is None and not lines:
@@ -198,7 +204,7 @@
             self._stopped = True
 
 
-def _outgoing(replica, call):
+def _build_request(replica, call):
     headers = HTTPHeaders()
     for name, value in call.headers:
         headers.add(name, value)
@@ -212,7 +218,7 @@
     )
 
 
-def _whole_answer(reply):
+def _answer_from(reply):
     """Return the ``Answer`` in a reply, ``NotRun``, ``WrongReplica`` or ``Broken``."""
     if isinstance(reply, Broken):
         return reply
@@ -222,8 +228,8 @@
     if wire.STAMP not in reply.headers:
         # A head cut short still reads as one. Passed on, the caller would take
         # half an answer for its own; only the stamp shows whose answer it is.
-        return Broken(NO_STAMP, began=True)
-    pairs = wire.header_pairs(reply.headers, wire.NOT_SENT_BACK)
+        return Broken(MISSING_STAMP, began=True)
+    pairs = wire.header_pairs(reply.headers, wire.DROPPED_FROM_ANSWER)
     return Answer(reply.status, pairs, reply.body, reply.headers[wire.STAMP])
 
 
@@ -232,11 +238,11 @@
     for line in block.decode("utf-8", "replace").split("\n"):
         name, _, value = line.partition(":")
         if name == "id":
-            return _number(value, None)
+            return _parse_int(value, None)
     return None
 
 
-def _own(request_id):
+def _response_check(request_id):
     """Return the check that an answer belongs to the request of that id.
 
     An extra answer that comes late may name no request at all. On a kept connection it
@@ -263,13 +269,13 @@
     return None
 
 
-def _take_load(replica, headers):
+def _record_load(replica, headers):
     parts = headers.get(wire.LOAD, "").split(",")
     if len(parts) == 3 and all(part.strip().isdigit() for part in parts):
         replica.told_load(int(parts[0]), int(parts[1]))
 
 
-def _number(text, default=0):
+def _parse_int(text, default=0):
     try:
         return int(text)
     except (TypeError, ValueError):
--- a/sassafrasdoor/platform/settings.py
+++ b/sassafrasdoor/platform/settings.py
@@ -26,7 +26,7 @@
     "Listen.Directory",
     "Platform.Address",
 )
-NUMBERS = {
+NUMBER_DEFAULTS = {
     "Bounds.ConfigApplyMs": 2000.0,
     "Bounds.GraceS": 8.0,
     "Bounds.LeaseMs": 3000.0,
@@ -42,7 +42,7 @@
 """Defaults where a platform leaves a figure out: those of its pages."""
 
 
-LIVE = (
+RELOADABLE = (
     "config_apply",
     "fenced",
     "lease",
@@ -53,7 +53,7 @@
 )
 """What a running process takes over from a changed file: bounds that are read when they
 are needed. Addresses, places and partitions hold until the next start."""
-FEWEST_PARTITIONS = 2
+MIN_PARTITIONS = 2
 """One for the steps, one for the duty of ordering loads."""
 
 
@@ -103,13 +103,13 @@
             for name in self.__slots__
             if name != "instance" and getattr(self, name) != getattr(other, name)
         ]
-        taken = [name for name in changed if name in LIVE]
+        taken = [name for name in changed if name in RELOADABLE]
         for name in taken:
             setattr(self, name, getattr(other, name))
-        return taken, [name for name in changed if name not in LIVE]
+        return taken, [name for name in changed if name not in RELOADABLE]
 
 
-def stamp(path):
+def file_signature(path):
     """Return what changes when the file at ``path`` is written; None without a file."""
     try:
         found = os.stat(path)
@@ -118,7 +118,7 @@
     return found.st_mtime_ns, found.st_size, found.st_ino
 
 
-def read_lines(text):
+def parse_lines(text):
     """Return the mapping in lines ``a.b=value``; other lines are left out."""
     pairs = (line.partition("=") for line in text.splitlines())
     return {key.strip(): value.strip() for key, sep, value in pairs if sep}
@@ -128,7 +128,7 @@
     """Return ``PlatformSettings`` from the file at ``path``, or ``Rejected``."""
     try:
         with open(path, encoding="utf-8") as file:
-            fields = read_lines(file.read())
+            fields = parse_lines(file.read())
     except OSError as error:
         return Rejected("settings unreadable", [Finding(str(path), error.strerror)])
     return from_fields(fields)
@@ -138,23 +138,23 @@
     """Return ``PlatformSettings``, or ``Rejected`` with all findings."""
     findings = [Finding(key, "missing") for key in REQUIRED if not fields.get(key)]
     numbers = {}
-    for key, default in NUMBERS.items():
+    for key, default in NUMBER_DEFAULTS.items():
         try:
             numbers[key] = float(fields.get(key) or default)
         except ValueError:
             findings.append(Finding(key, "not a number"))
-    if numbers.get("Platform.parts", FEWEST_PARTITIONS) < FEWEST_PARTITIONS:
-        findings.append(Finding("Platform.parts", f"below {FEWEST_PARTITIONS}"))
+    if numbers.get("Platform.parts", MIN_PARTITIONS) < MIN_PARTITIONS:
+        findings.append(Finding("Platform.parts", f"below {MIN_PARTITIONS}"))
     for key in ADDRESSES:
         value = fields.get(key)
         if value and not value.rpartition(":")[2].isdigit():
             findings.append(Finding(key, "not an address host:port"))
     if findings:
         return Rejected("settings invalid", findings)
-    return _translated(fields, numbers)
+    return _build_settings(fields, numbers)
 
 
-def _translated(fields, numbers):
+def _build_settings(fields, numbers):
     found = PlatformSettings()
     found.name = fields["NodeName"]
     found.front = fields["Listen.Front"]
--- a/sassafrasdoor/platform/standin.py
+++ b/sassafrasdoor/platform/standin.py
@@ -19,22 +19,22 @@
 from sassafrasdoor.log.partitioned import keyed_record
 from sassafrasdoor.outcomes import Expired, Outcome, ReplyLost
 from sassafrasdoor.platform import configuration, wire
-from sassafrasdoor.platform.store import batch_document, newest_document, unpacked
+from sassafrasdoor.platform.store import batch_document, newest_document, unpack_records
 
-LOCAL = "127.0.0.1"
+LOOPBACK = "127.0.0.1"
 READ_SLACK = 1.0
 
 
-RESET = struct.pack("ii", 1, 0)
+LINGER_RESET = struct.pack("ii", 1, 0)
 """Lingering for no time: a connection is reset instead of closed."""
 
 
 def serve(application, port=0):
     """Serve on a port, by default one of its own; return ``(server, "host:port")``."""
     server = HTTPServer(application)
-    sockets = bind_sockets(port, LOCAL)
+    sockets = bind_sockets(port, LOOPBACK)
     server.add_sockets(sockets)
-    return server, f"{LOCAL}:{sockets[0].getsockname()[1]}"
+    return server, f"{LOOPBACK}:{sockets[0].getsockname()[1]}"
 
 
 class StoreStandin:
@@ -46,7 +46,7 @@
 
     def __init__(self, log=None):
         self.log = log or MemoryPartitionedLog()
-        self.record_seconds = {}
+        self.record_read_seconds = {}
         self.answering = asyncio.Event()
         self.answering.set()
         routes = [
@@ -54,7 +54,9 @@
             (r"/-/log-read", _Read, {"store": self}),
             (r"/-/log-newest", _Newest, {"store": self}),
         ]
-        self._server, self.address = serve(Application(routes, log_function=_quiet))
+        self._server, self.address = serve(
+            Application(routes, log_function=_log_nothing)
+        )
 
     async def put(self, topic, key, document):
         """Write one key of a keyed topic; None drops it."""
@@ -72,7 +74,7 @@
         self._server.stop()
 
 
-def _quiet(handler):
+def _log_nothing(handler):
     """Write no line for an answer."""
 
 
@@ -86,7 +88,7 @@
     def _partition(self):
         return self.get_query_argument("Topic"), int(self.get_query_argument("part"))
 
-    def _failed(self, outcome):
+    def _reply_failure(self, outcome):
         if isinstance(outcome, ReplyLost):
             self.request.connection.stream.close()
             return
@@ -100,10 +102,10 @@
 
 class _Append(_StoreHandler):
     async def post(self):
-        records = unpacked(self.request.body)
+        records = unpack_records(self.request.body)
         result = await self._store.log.append(*self._partition(), records, None)
         if isinstance(result, Outcome):
-            self._failed(result)
+            self._reply_failure(result)
         else:
             self.finish({"Offset": result.first, "End": result.end})
 
@@ -115,9 +117,9 @@
         partition = self._partition()
         result = await self._store.log.read(*partition, offset, wait, READ_SLACK)
         if isinstance(result, Outcome):
-            self._failed(result)
+            self._reply_failure(result)
             return
-        seconds = self._store.record_seconds.get(partition[0])
+        seconds = self._store.record_read_seconds.get(partition[0])
         if seconds and result.records:
             del result.records[1:]
             await asyncio.sleep(seconds)
@@ -129,7 +131,7 @@
     async def get(self):
         result = await self._store.log.newest(self.get_query_argument("Topic"))
         if isinstance(result, Outcome):
-            self._failed(result)
+            self._reply_failure(result)
             return
         self.finish(newest_document(result))
 
@@ -173,15 +175,15 @@
         self.crash_paths = set()
         self.crash_after = 0.05
         self.away = 1.0
-        self.on_back = _nothing
+        self.on_recovered = _ignore_recovery
         self.streams = set()
         self.crashes = 0
-        self.crashed_with = []
+        self.paths_running_at_crash = []
         routes = [
             (r"/-/order", _Order, {"replica": self}),
             (r"/.*", _Work, {"replica": self}),
         ]
-        self._application = Application(routes, log_function=_quiet)
+        self._application = Application(routes, log_function=_log_nothing)
         self._server, self.address = serve(self._application)
 
     @property
@@ -212,13 +214,13 @@
         """End at once; come back at the same address under a new identity."""
         self.crashes += 1
         self._server.stop()
-        self.crashed_with.append([run.path for run in self.running])
+        self.paths_running_at_crash.append([run.path for run in self.running])
         for run in self.running:
             run.ended = asyncio.get_running_loop().time()
         for stream in self.streams:
             if not stream.closed():
                 sock = stream.socket
-                sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+                sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
                 stream.close()
         self.streams.clear()
         await asyncio.sleep(self.away)
@@ -227,14 +229,14 @@
         self.restart()
         port = int(self.address.rpartition(":")[2])
         self._server, _ = serve(self._application, port)
-        await self.on_back(former)
+        await self.on_recovered(former)
 
     def stop(self):
         """Stop serving."""
         self._server.stop()
 
 
-async def _nothing(former):
+async def _ignore_recovery(former):
     """Tell nobody that a replica is back."""
 
 
@@ -242,12 +244,12 @@
     def initialize(self, replica):
         self._replica = replica
         self._run = None
-        self._gone = False
-        self._life = replica.born
+        self._connection_closed = False
+        self._incarnation = replica.born
         replica.streams.add(self.request.connection.stream)
 
     def on_connection_close(self):
-        self._gone = True
+        self._connection_closed = True
 
     def _begin(self):
         """Begin a run; return whether the request is one for this replica."""
@@ -305,7 +307,7 @@
         try:
             for number in range(first, replica.events):
                 await asyncio.sleep(replica.pause)
-                ended = self._gone or self._life != replica.born
+                ended = self._connection_closed or self._incarnation != replica.born
                 if ended or number - first == broken:
                     self._end()
                     self.request.connection.stream.close()
--- a/sassafrasdoor/platform/steps.py
+++ b/sassafrasdoor/platform/steps.py
@@ -10,13 +10,13 @@
 from sassafrasdoor.steps.durable.records import Item, RewardCall, StepSpec
 
 
-def spec_from(step_id, host, path, body):
+def parse_step_spec(step_id, host, path, body):
     """Return the ``StepSpec`` in a submission, or ``Rejected`` with its findings."""
     try:
         document = json.loads(body)
         model = document.get("Model", "")
         rows = document["Items"]
-        items = [_item(row, model, f"Items.{at}") for at, row in enumerate(rows)]
+        items = [_parse_item(row, model, f"Items.{at}") for at, row in enumerate(rows)]
         faults = [one for found in items if isinstance(found, list) for one in found]
         if faults:
             return Rejected("step invalid", faults)
@@ -37,10 +37,10 @@
         return Rejected("step invalid", [Finding("(root)", repr(error))])
 
 
-def _item(row, model, place):
+def _parse_item(row, model, place):
     """Return the ``Item`` in a row, or the list of its ``Finding``s."""
     try:
-        reward = _reward(row.get("Scorer"), f"{place}.Scorer")
+        reward = _parse_reward(row.get("Scorer"), f"{place}.Scorer")
         if isinstance(reward, list):
             return reward
         headers = dict(row.get("Headers") or {})
@@ -59,7 +59,7 @@
         return [Finding(place, repr(error))]
 
 
-def _reward(document, place):
+def _parse_reward(document, place):
     """Return the ``RewardCall``, None where there is none, or its ``Finding``s."""
     if document is None:
         return None
@@ -84,7 +84,7 @@
 
 def page_document(page):
     """Return the JSON bytes of a ``Page``."""
-    results = [_result(sample) for sample in page.samples]
+    results = [_result_document(sample) for sample in page.samples]
     document = {
         "Total": page.total,
         "NextToken": page.first + len(results),
@@ -93,7 +93,7 @@
     return json.dumps(document).encode()
 
 
-def _result(sample):
+def _result_document(sample):
     result = {
         "Id": sample.item_id,
         "State": sample.state,
--- a/sassafrasdoor/platform/store.py
+++ b/sassafrasdoor/platform/store.py
@@ -21,8 +21,8 @@
 CALL_TIMEOUT = 2.0
 """Seconds for a call that the store need not hold open: 60 times slower than usual
 (4 ms) is still within it."""
-LENGTH = struct.Struct(">I")
-ENDS = struct.Struct(">QQ")
+RECORD_LENGTH = struct.Struct(">I")
+READ_OFFSETS = struct.Struct(">QQ")
 OK, GONE, UNAVAILABLE, TOO_MANY, FULL = 200, 410, 503, 429, 507
 NO_EFFECT = {UNAVAILABLE, TOO_MANY, FULL}
 JSON_HEADERS = {"Content-Type": "application/json"}
@@ -36,12 +36,12 @@
     ``newest_query`` goes with loads of the newest values.
     """
 
-    __slots__ = ("_address", "_connections", "_demand", "_newest_query")
+    __slots__ = ("_address", "_connections", "_call_counter", "_newest_query")
 
     def __init__(self, address, demand=None, newest_query=()):
         self._address = address
         self._newest_query = dict(newest_query)
-        self._demand = demand or Demand()
+        self._call_counter = demand or Demand()
         self._connections = Connections()
 
     def close(self):
@@ -50,13 +50,13 @@
 
     async def append(self, topic, part, records, deadline):
         """Append all records or none: ``Appended``, ``Unavailable``, ``ReplyLost``."""
-        body = packed(records)
+        body = pack_records(records)
         query = {"Topic": topic, "part": part}
         reply = await self._call("append", "POST", "log-append", query, body, deadline)
         if isinstance(reply, Broken):
             lost = ReplyLost if reply.began else Unavailable
             return lost(reply.reason)
-        document = _document(reply)
+        document = _json_object(reply)
         if reply.status == OK and document:
             return Appended(document["Offset"], document["End"])
         if reply.status in NO_EFFECT or 400 <= reply.status < 500:
@@ -75,13 +75,13 @@
         if isinstance(reply, Broken):
             return Unavailable(reply.reason)
         if reply.status == GONE:
-            document = _document(reply)
+            document = _json_object(reply)
             if document is None:
                 return Unavailable("expiry without its first offset")
             return Expired("offset no longer kept", document["First"])
         if reply.status != OK:
             return Unavailable(f"store answered {reply.status}")
-        return _raw_batch(reply.body, offset)
+        return _parse_batch(reply.body, offset)
 
     async def newest(self, topic):
         """Return the ``NewestKeys`` of a keyed topic, or ``Unavailable``."""
@@ -96,7 +96,7 @@
             )
             if isinstance(reply, Broken):
                 return Unavailable(reply.reason)
-            document = _document(reply)
+            document = _json_object(reply)
             if reply.status != OK or document is None:
                 return Unavailable(f"store answered {reply.status}")
             # Pages are no snapshot: reading on from the first page's end meets
@@ -114,7 +114,7 @@
             path += "?" + urllib.parse.urlencode(query)
         headers = {"Host": self._address, **(JSON_HEADERS if body else {})}
         request = Outgoing(method, path, headers, body, deadline)
-        purpose = self._demand.begin(name)
+        purpose = self._call_counter.begin(name)
         reply, size = None, 0
         try:
             reply = await self._connections.send(self._address, request)
@@ -124,23 +124,23 @@
                 size = len(reply.body)
         finally:
             answered = reply is not None and not isinstance(reply, Broken)
-            self._demand.end(purpose, answered and reply.status == OK, size)
+            self._call_counter.end(purpose, answered and reply.status == OK, size)
         result = "broken" if isinstance(reply, Broken) else str(reply.status)
         CALLS.inc({"call": name, "result": result})
         return reply
 
 
-def packed(records):
+def pack_records(records):
     """Return records (bytes) one behind another, each with its length."""
-    return b"".join(LENGTH.pack(len(one)) + one for one in records)
+    return b"".join(RECORD_LENGTH.pack(len(one)) + one for one in records)
 
 
-def unpacked(data):
+def unpack_records(data):
     """Return the records in such bytes, None where one of them is cut."""
     records, at = [], 0
-    while at + LENGTH.size <= len(data):
-        (length,) = LENGTH.unpack_from(data, at)
-        at += LENGTH.size
+    while at + RECORD_LENGTH.size <= len(data):
+        (length,) = RECORD_LENGTH.unpack_from(data, at)
+        at += RECORD_LENGTH.size
         if at + length > len(data):
             return None
         records.append(data[at : at + length])
@@ -150,7 +150,7 @@
 
 def batch_document(batch, first_kept=0):
     """Return the answer that ``Store.read`` reads, of a ``RawBatch``."""
-    return ENDS.pack(batch.end, first_kept) + packed(batch.records)
+    return READ_OFFSETS.pack(batch.end, first_kept) + pack_records(batch.records)
 
 
 def newest_document(newest):
@@ -162,7 +162,7 @@
     return {"Items": items, "HasMore": False, "End": newest.end}
 
 
-def _document(reply):
+def _json_object(reply):
     try:
         document = json.loads(reply.body)
     except ValueError:
@@ -170,11 +170,11 @@
     return document if isinstance(document, dict) else None
 
 
-def _raw_batch(data, offset):
-    if len(data) < ENDS.size:
+def _parse_batch(data, offset):
+    if len(data) < READ_OFFSETS.size:
         return Unavailable("read answered without its offsets")
-    end, _ = ENDS.unpack_from(data)
-    records = unpacked(data[ENDS.size :])
+    end, _ = READ_OFFSETS.unpack_from(data)
+    records = unpack_records(data[READ_OFFSETS.size :])
     if records is None:
         return Unavailable("read answered with half a record")
     return RawBatch(records, offset, end)
--- a/sassafrasdoor/platform/tests/cases.py
+++ b/sassafrasdoor/platform/tests/cases.py
@@ -20,8 +20,8 @@
 from sassafrasdoor.timeline.lines import select
 
 HOST, MODEL, ENGINES, PLAIN = "h.example", "m", "engines", "plain"
-PATIENCE = 60.0
-ANSWERS_SHOWN, BODY_SHOWN, LINES_SHOWN = 5, 200, 40
+CONDITION_TIMEOUT = 60.0
+MAX_SHOWN_ANSWERS, MAX_SHOWN_BODY_BYTES, MAX_SHOWN_LOG_LINES = 5, 200, 40
 """How many of the last answers, bytes of each, and log lines a failure shows."""
 ROUTE = {
     "Host": HOST,
@@ -61,7 +61,7 @@
     async def asyncSetUp(self):
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
-        self.answers = deque(maxlen=ANSWERS_SHOWN)
+        self.answers = deque(maxlen=MAX_SHOWN_ANSWERS)
         self.client = AsyncHTTPClient(force_instance=True, max_clients=50)
         self.addCleanup(self.client.close)
         self.store = StoreStandin()
@@ -81,7 +81,7 @@
             instance = LocalInstance(folder.name, name, store)
             self.addCleanup(instance.close)
             self.instances.append(instance)
-        await self.until_ready()
+        await self.wait_until_ready()
 
     async def configure(self, version, routes=ROUTES):
         document = {"Version": version, "Routes": routes, "Services": SERVICES}
@@ -95,8 +95,8 @@
             entry = replica.entry(PLAIN, [])
             await self.store.put(configuration.SERVERS_TOPIC, replica.identity, entry)
 
-    async def until(self, condition):
-        limit = deadline_in(PATIENCE)
+    async def wait_until(self, condition):
+        limit = deadline_in(CONDITION_TIMEOUT)
         while True:
             found = condition()
             if asyncio.iscoroutine(found):
@@ -114,16 +114,16 @@
         """
         texts = [f"last answers: {list(self.answers)}"]
         for one in getattr(self, "instances", ()):
-            lines = one.log_path.read_text("utf-8").splitlines()[-LINES_SHOWN:]
+            lines = one.log_path.read_text("utf-8").splitlines()[-MAX_SHOWN_LOG_LINES:]
             texts += [
                 f"{one.name} front {one.front} ended {one.process.poll()}",
                 *lines,
             ]
         return "\n".join(texts)
 
-    async def until_ready(self):
+    async def wait_until_ready(self):
         for instance in self.instances:
-            await self.until(lambda one=instance: self.is_ready(one))
+            await self.wait_until(lambda one=instance: self.is_ready(one))
 
     async def is_ready(self, instance):
         return (await self.fetch(instance.ready, "/-/ready")).code == 200
@@ -137,7 +137,9 @@
             request_timeout=10,
         )
         reply = await reply_to(self.client, request)
-        self.answers.append((address, path, reply.code, reply.body[:BODY_SHOWN]))
+        self.answers.append(
+            (address, path, reply.code, reply.body[:MAX_SHOWN_BODY_BYTES])
+        )
         return reply
 
     async def submit(self, step_id, items=4, at=0, rewarded=False):
@@ -167,7 +169,7 @@
         reply = await self.fetch(address, f"/-/lots/{step_id}?After={after}")
         return json.loads(reply.body) if reply.code == 200 else None
 
-    async def whole(self, step_id, at=0):
+    async def all_results(self, step_id, at=0):
         page = await self.page(step_id, at)
         done = page is not None and page["NextToken"] == page["Total"]
         return page["Results"] if done else None
@@ -178,7 +180,7 @@
             self.assertEqual(result["Output"].split("\n"), lines)
             self.assertEqual(result["Versions"], [1])
 
-    def holder(self):
+    def runner_instance(self):
         """Return the instance whose process runs the steps."""
         # Two may claim at once; which claim counts is the fold's to say.
         shard, steps = shard_of(MODEL), Steps()
@@ -191,10 +193,10 @@
     def all_runs(self):
         return [run for engine in self.engines for run in engine.runs]
 
-    async def accepted(self, step_id):
+    async def is_accepted(self, step_id):
         return (await self.submit(step_id)).code == 202
 
-    async def knows_peers(self, at, count=0):
+    async def lists_instances(self, at, count=0):
         """Say whether an instance names so many instances, all of them without a count."""
         named = await self.fetch(self.instances[at].directory, "/-/resolve?Zone=z")
         addresses = json.loads(named.body)["Addresses"]
@@ -207,9 +209,9 @@
             texts += instance.log_path.read_text("utf-8").splitlines()
         return select(texts, wanted, kind)
 
-    async def line(self, wanted, kind):
+    async def wait_for_line(self, wanted, kind):
         """Wait for a line and return its fields."""
-        await self.until(lambda: self.lines(wanted, kind))
+        await self.wait_until(lambda: self.lines(wanted, kind))
         return self.lines(wanted, kind)[-1].fields
 
     async def refuses_body(self, front):
@@ -217,7 +219,7 @@
         reply = await self.fetch(front, "/plain/x", "POST", "b" * 11, **headers)
         return reply.code in (400, 413, 599)
 
-    async def plain_is(self, instance, status):
+    async def plain_call_returns(self, instance, status):
         headers = {wire.REQUEST_ID: "r"}
         reply = await self.fetch(instance.front, "/plain/x", "POST", "b", **headers)
         return reply.code == status
--- a/sassafrasdoor/platform/tests/test_boundary.py
+++ b/sassafrasdoor/platform/tests/test_boundary.py
@@ -49,7 +49,7 @@
         ]
         self.assertEqual(found, [])
 
-    def test_no_wire_name_stands_outside(self):
+    def test_wire_names_are_confined_to_the_folder(self):
         found = [
             f"{path.relative_to(ROOT)}: {match.group()}"
             for path in sources()
@@ -57,7 +57,7 @@
         ]
         self.assertEqual(found, [])
 
-    def test_program_starts_without_what_it_does_not_use(self):
+    def test_program_does_not_import_unused_packages(self):
         """Symptom: after all processes have died, callers find nobody for longer.
 
         Sequence: every instance starts again at once. Cause: a third of the start goes
@@ -74,7 +74,7 @@
         self.assertNotIn("pydantic", loaded)
         self.assertNotIn("capnp", loaded)
 
-    def test_the_pattern_finds_what_it_is_for(self):
+    def test_pattern_matches_wire_names(self):
         text = "".join(path.read_text("utf-8") for path in FOLDER.glob("*.py"))
         names = {match.group() for match in WIRE_NAMES.finditer(text)}
         self.assertGreater(len(names), 15)
--- a/sassafrasdoor/platform/tests/test_calls_processes.py
+++ b/sassafrasdoor/platform/tests/test_calls_processes.py
@@ -9,7 +9,7 @@
 from sassafrasdoor.platform import configuration, wire
 from sassafrasdoor.platform.standin import ReplicaStandin
 from sassafrasdoor.platform.tests.cases import (
-    PATIENCE,
+    CONDITION_TIMEOUT,
     PLAIN,
     ROUTES,
     SERVICES,
@@ -25,15 +25,15 @@
             self.assertEqual(reply.body, f"answer to r{at}".encode())
             self.assertIn(wire.STAMP, reply.headers)
         self.assertEqual((await self.submit("s")).code, 202)
-        results = await self.until(lambda: self.whole("s", 1))
+        results = await self.wait_until(lambda: self.all_results("s", 1))
         self.check_texts(results)
         body = await self.fetch(self.instances[2].front, "/-/items/s?Id=s-1")
         self.assertEqual(body.body, b"body")
         for at in range(3):
-            same = await self.until(lambda at=at: self.whole("s", at))
+            same = await self.wait_until(lambda at=at: self.all_results("s", at))
             self.assertEqual(same, results)
 
-    async def test_callers_stream_goes_on_elsewhere_or_is_cut(self):
+    async def test_broken_stream_is_resumed_or_cut(self):
         """Symptom: a text stops in the middle, or is read twice.
 
         Sequence: engines break their streams off, some callers leave. Cause: a stream
@@ -53,7 +53,7 @@
         self.assertEqual(reply.code, 599)
         self.assertEqual([run.request_id for run in self.all_runs()].count("o1"), 1)
 
-    async def test_planned_stop_cuts_nothing(self):
+    async def test_planned_stop_breaks_no_call(self):
         """Symptom: callers see broken connections during a rolling restart.
 
         Sequence: calls are under way and new ones come on remembered addresses
@@ -82,7 +82,7 @@
         named = await self.fetch(self.instances[1].directory, "/-/resolve?Zone=z")
         self.assertNotIn(first.front, json.loads(named.body)["Addresses"])
 
-    async def test_settings_that_change_are_taken_over(self):
+    async def test_changed_settings_are_reloaded(self):
         """Symptom: a stop takes longer than the platform allows, and is cut short.
 
         Sequence: the settings file changes without a signal, is invalid for a while,
@@ -92,20 +92,20 @@
         path = instance.settings_path
         before = path.read_text("utf-8")
         path.write_text(before.replace("GraceS=5", "GraceS=2"), "utf-8")
-        await self.until(lambda: "stop_within" in self.reloads(instance))
+        await self.wait_until(lambda: "stop_within" in self.reloads(instance))
         path.write_text(before.replace("GraceS=5", "GraceS=soon"), "utf-8")
-        await self.until(lambda: "not a number" in self.reloads(instance))
+        await self.wait_until(lambda: "not a number" in self.reloads(instance))
         self.assertTrue(instance.running)
         path.write_text(before, "utf-8")
         instance.signal(signal.SIGHUP)
-        await self.until(lambda: self.reloads(instance).count("stop_within") >= 2)
+        await self.wait_until(lambda: self.reloads(instance).count("stop_within") >= 2)
 
     def reloads(self, instance):
         """Return the lines that the process wrote on its settings."""
         lines = instance.log_path.read_text("utf-8").splitlines()
         return "".join(line for line in lines if "process.reloaded" in line)
 
-    async def test_refused_call_is_explained_by_its_lines(self):
+    async def test_refused_call_can_be_traced_in_the_log(self):
         """From the id to the cause, as the operations page goes: a refused call."""
         for replica in self.plain:
             replica.full = True
@@ -113,38 +113,40 @@
         address = self.instances[1].front
         reply = await self.fetch(address, "/plain/x", "POST", "b", **headers)
         self.assertEqual(reply.code, 503)
-        shown = await self.line("refused", "request.not_served")
+        shown = await self.wait_for_line("refused", "request.not_served")
         self.assertEqual(shown["status"], 503)
-        given_up = await self.line("refused", "request.given_up")
+        given_up = await self.wait_for_line("refused", "request.given_up")
         self.assertEqual(given_up["outcome"], "NotRun")
         self.assertEqual(given_up["replicas"], ["p0", "p1"])
         tried = self.lines("refused", "request.try_failed")
         self.assertTrue(all("503" in one.fields["reason"] for one in tried))
 
-    async def test_cut_stream_is_explained_by_its_lines(self):
+    async def test_cut_stream_can_be_traced_in_the_log(self):
         """The same for a sample whose stream was cut off."""
         for engine in self.engines:
             engine.break_after = [2] * 4
         self.assertEqual((await self.submit("s", items=1)).code, 202)
-        await self.until(lambda: self.whole("s"))
-        cut = await self.line("s-0", "item.try_failed")
+        await self.wait_until(lambda: self.all_results("s"))
+        cut = await self.wait_for_line("s-0", "item.try_failed")
         self.assertIn(cut["replica"], {"e0", "e1"})
         self.assertGreater(cut["events"], 0)
-        made = await self.line("s-0", "item.made")
+        made = await self.wait_for_line("s-0", "item.made")
         self.assertGreater(made["attempts"], 1)
         self.assertEqual(made["versions"], [1])
 
-    async def test_late_step_is_explained_by_its_lines(self):
+    async def test_late_step_can_be_traced_in_the_log(self):
         """The same for a step whose runner died."""
         for engine in self.engines:
             engine.pause = 0.3
         self.assertEqual((await self.submit("s")).code, 202)
-        await self.until(lambda: sum(len(one.running) for one in self.engines) == 4)
-        dead = self.holder()
+        await self.wait_until(
+            lambda: sum(len(one.running) for one in self.engines) == 4
+        )
+        dead = self.runner_instance()
         dead.kill()
         other = next(at for at, one in enumerate(self.instances) if one is not dead)
-        await self.until(lambda: self.whole("s", other))
-        submitted = await self.line("s", "step.submitted")
+        await self.wait_until(lambda: self.all_results("s", other))
+        submitted = await self.wait_for_line("s", "step.submitted")
         gained = [
             one
             for one in self.lines("", "shard.gained")
@@ -152,9 +154,9 @@
         ]
         self.assertEqual([one.process for one in gained][0], dead.name)
         self.assertNotEqual(gained[-1].process, dead.name)
-        await self.until(lambda: len(self.lines("s", "item.made")) >= 4)
+        await self.wait_until(lambda: len(self.lines("s", "item.made")) >= 4)
 
-    async def test_address_of_another_service_runs_nothing(self):
+    async def test_reused_address_of_another_service_gets_no_call(self):
         """Symptom: a replica of another service runs a request.
 
         Sequence: a replica ends, its address is given to another one, the list
@@ -172,27 +174,31 @@
             self.assertEqual(reply.code, 200)
         self.assertEqual(stranger.runs, [])
 
-    async def test_configuration_is_in_force_everywhere_and_stays(self):
+    async def test_newest_configuration_is_applied_everywhere(self):
         await self.configure(5, ROUTES[1:])
         for instance in self.instances:
-            await self.until(lambda one=instance: self.plain_is(one, 404))
+            await self.wait_until(
+                lambda one=instance: self.plain_call_returns(one, 404)
+            )
         await self.configure(4)
         await asyncio.sleep(1.0)
         for instance in self.instances:
-            self.assertTrue(await self.plain_is(instance, 404))
+            self.assertTrue(await self.plain_call_returns(instance, 404))
         await self.configure(6)
         for instance in self.instances:
-            await self.until(lambda one=instance: self.plain_is(one, 200))
+            await self.wait_until(
+                lambda one=instance: self.plain_call_returns(one, 200)
+            )
 
-    async def test_limits_of_the_configuration_are_kept(self):
+    async def test_configured_limits_are_enforced(self):
         limits = {"MaxBodyBytes": 10, "IdleTimeoutMs": 400}
         document = {"Version": 2, "Routes": ROUTES, "Services": SERVICES}
         await self.store.configure({**document, "Limits": limits})
         front = self.instances[0].front
-        await self.until(lambda: self.refuses_body(front))
+        await self.wait_until(lambda: self.refuses_body(front))
         host, _, port = front.rpartition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(CONDITION_TIMEOUT):
             self.assertEqual(await reader.read(), b"")
         writer.close()
 
--- a/sassafrasdoor/platform/tests/test_clock_processes.py
+++ b/sassafrasdoor/platform/tests/test_clock_processes.py
@@ -10,9 +10,9 @@
 from sassafrasdoor.steps.durable.service import TOPIC, shard_of
 from sassafrasdoor.steps.durable.state import Steps
 
-JUMP = 5.0
+JUMP_SECONDS = 5.0
 """Seconds; a lease lasts 1.7, the list of instances 3.2."""
-MODULE = "sassafrasdoor.platform.tests.stepped_clock"
+PROGRAM_MODULE = "sassafrasdoor.platform.tests.stepped_clock"
 
 
 class ClockProcessesTest(ProcessCase):
@@ -20,8 +20,8 @@
         await super().asyncSetUp()
         for instance in self.instances:
             instance.kill()
-            instance.start(MODULE)
-        await self.until_ready()
+            instance.start(PROGRAM_MODULE)
+        await self.wait_until_ready()
 
     def jump(self, instance, seconds):
         path = pathlib.Path(f"{instance.settings_path}{STEP_SUFFIX}")
@@ -42,7 +42,7 @@
                 reply = await self.fetch(instance.front, path, "POST", "b", **headers)
                 self.assertEqual(reply.code, 200)
 
-    async def test_jumps_forth_and_back_change_no_lease_and_no_answer(self):
+    async def test_clock_jumps_change_no_lease_and_no_answer(self):
         """Symptom: steps change hands and calls are refused when a clock is set.
 
         Sequence: the runner's time of day jumps forward by five seconds and another
@@ -52,20 +52,22 @@
         for engine in self.engines:
             engine.pause = 0.5
         self.assertEqual((await self.submit("s")).code, 202)
-        await self.until(lambda: sum(len(one.running) for one in self.engines) == 4)
-        holder = self.holder()
+        await self.wait_until(
+            lambda: sum(len(one.running) for one in self.engines) == 4
+        )
+        holder = self.runner_instance()
         epoch = self.epoch()
         other = next(one for one in self.instances if one is not holder)
-        self.jump(holder, JUMP)
-        self.jump(other, -JUMP)
+        self.jump(holder, JUMP_SECONDS)
+        self.jump(other, -JUMP_SECONDS)
         await self.plain_calls(3)
-        self.check_texts(await self.until(lambda: self.whole("s", 2)))
+        self.check_texts(await self.wait_until(lambda: self.all_results("s", 2)))
         self.jump(holder, 0.0)
         self.jump(other, 0.0)
         await self.plain_calls(3)
         self.assertEqual((await self.submit("t")).code, 202)
-        self.check_texts(await self.until(lambda: self.whole("t", 1)))
-        self.assertIs(self.holder(), holder)
+        self.check_texts(await self.wait_until(lambda: self.all_results("t", 1)))
+        self.assertIs(self.runner_instance(), holder)
         self.assertEqual(self.epoch(), epoch)
 
     async def test_lines_carry_both_clocks(self):
@@ -76,10 +78,10 @@
         """
         instance = self.instances[1]
         self.assertEqual((await self.submit("s", at=1)).code, 202)
-        await self.line("s", "step.submitted")
-        self.jump(instance, -JUMP)
+        await self.wait_for_line("s", "step.submitted")
+        self.jump(instance, -JUMP_SECONDS)
         self.assertEqual((await self.submit("t", at=1)).code, 202)
-        await self.line("t", "step.submitted")
+        await self.wait_for_line("t", "step.submitted")
         texts = instance.log_path.read_text("utf-8").splitlines()
         lines = [json.loads(one) for one in texts if '"step.submitted"' in one]
         first, second = lines[-2:]
--- a/sassafrasdoor/platform/tests/test_crash_processes.py
+++ b/sassafrasdoor/platform/tests/test_crash_processes.py
@@ -8,13 +8,13 @@
 from sassafrasdoor.platform.standin import ReplicaStandin
 from sassafrasdoor.platform.tests.cases import PLAIN, ProcessCase
 
-CRASHING, BESIDE = "/plain/crash", "/plain/beside"
-CERTAIN = 3
+CRASHING, CONCURRENT = "/plain/crash", "/plain/beside"
+CRASHES_TO_QUARANTINE = 3
 """Replicas after whose crashes the request counts as the cause."""
-SHARED_WITHIN = 3.0
+QUARANTINE_PROPAGATION_SECONDS = 3.0
 """Seconds after the third crash from which on sends are counted."""
-MOST_SENDS = 3
-REPEATS = 12
+MAX_SENDS = 3
+REPEAT_BY_KIND = 12
 
 
 class CrashTest(ProcessCase):
@@ -28,16 +28,16 @@
         for replica in self.plain:
             replica.pause = 0.2
             replica.crash_paths = {CRASHING}
-            replica.on_back = lambda former, one=replica: self.is_back(former, one)
+            replica.on_recovered = lambda former, one=replica: self.relist(former, one)
         await self.list_replicas()
         for one in more:
-            await self.until(lambda name=one.identity: self.is_known(name))
+            await self.wait_until(lambda name=one.identity: self.is_known(name))
 
     def is_known(self, identity):
         """Say whether each instance has a replica in its list."""
         return len(self.lines(identity, "replica.listed")) == len(self.instances)
 
-    async def is_back(self, former, replica):
+    async def relist(self, former, replica):
         await self.store.put(configuration.SERVERS_TOPIC, former, None)
         entry = replica.entry(PLAIN, [])
         await self.store.put(configuration.SERVERS_TOPIC, replica.identity, entry)
@@ -49,18 +49,18 @@
         headers = {wire.REQUEST_ID: f"r{self.sent}"}
         return await self.fetch(front, path, "POST", "b", **headers)
 
-    async def send_beside(self):
+    async def send_with_concurrent_requests(self):
         """Send the request that crashes while another runs at each replica."""
-        beside = [self.send(BESIDE) for _ in range(3 * len(self.plain))]
+        beside = [self.send(CONCURRENT) for _ in range(3 * len(self.plain))]
         tasks = [asyncio.ensure_future(one) for one in beside]
-        await self.until(lambda: all(one.running for one in self.plain))
+        await self.wait_until(lambda: all(one.running for one in self.plain))
         await self.send(CRASHING)
         await asyncio.gather(*tasks)
 
     async def all_serve(self):
         """Say whether each instance knows all replicas that are back."""
         for instance in self.instances:
-            if not await self.plain_is(instance, 200):
+            if not await self.plain_call_returns(instance, 200):
                 return False
         return all(one.running == [] for one in self.plain)
 
@@ -74,20 +74,20 @@
 
     async def test_request_that_crashes_replicas_reaches_few_more(self):
         """One request takes down replicas of its service again and again."""
-        while self.crashes < CERTAIN:
-            await self.send_beside()
-            await self.until(self.all_serve)
-        await asyncio.sleep(SHARED_WITHIN)
+        while self.crashes < CRASHES_TO_QUARANTINE:
+            await self.send_with_concurrent_requests()
+            await self.wait_until(self.all_serve)
+        await asyncio.sleep(QUARANTINE_PROPAGATION_SECONDS)
         counted_from = now()
-        for _ in range(REPEATS):
+        for _ in range(REPEAT_BY_KIND):
             await self.send(CRASHING)
-            await self.until(self.all_serve)
-        self.assertLessEqual(len(self.runs_since(counted_from)), MOST_SENDS)
-        ran = [paths for one in self.plain for paths in one.crashed_with]
-        self.assertTrue(any(BESIDE in paths for paths in ran))
+            await self.wait_until(self.all_serve)
+        self.assertLessEqual(len(self.runs_since(counted_from)), MAX_SENDS)
+        ran = [paths for one in self.plain for paths in one.paths_running_at_crash]
+        self.assertTrue(any(CONCURRENT in paths for paths in ran))
         limit = deadline_in(1.0)
         while not passed(limit):
-            self.assertEqual((await self.send(BESIDE)).code, 200)
+            self.assertEqual((await self.send(CONCURRENT)).code, 200)
 
 
 if __name__ == "__main__":
--- a/sassafrasdoor/platform/tests/test_foreign_records.py
+++ b/sassafrasdoor/platform/tests/test_foreign_records.py
@@ -69,9 +69,9 @@
     @example({**ENTRY, "Models": [{"Name": [], "Version": 1}]})
     def test_replicas(self, document):
         replicas = Replicas("palermo")
-        keys = configuration.ServerKeys(replicas)
-        keys.take("good", json.dumps(ENTRY).encode())
-        keys.take("other", json.dumps(document).encode())
+        keys = configuration.ServersTopicReader(replicas)
+        keys.apply("good", json.dumps(ENTRY).encode())
+        keys.apply("other", json.dumps(document).encode())
         self.assertIn("good", [one.identity for one in replicas.of_service("x")])
         for one in replicas.of_service("x"):
             self.assertIsInstance(one.load + one.room, int)
@@ -80,11 +80,11 @@
 
     @fuzzed
     @given(JSON | nearly(DOCUMENT), st.sampled_from(["config", "version/m", "x"]))
-    def test_operators_words(self, document, key):
+    def test_operator_records(self, document, key):
         routes = RoutesInForce()
-        keys = configuration.OperatorKeys(routes, lambda model, version: None)
-        keys.take("config", json.dumps(DOCUMENT).encode())
-        keys.take(key, json.dumps(document).encode())
+        keys = configuration.OperatorTopicReader(routes, lambda model, version: None)
+        keys.apply("config", json.dumps(DOCUMENT).encode())
+        keys.apply(key, json.dumps(document).encode())
         self.assertGreaterEqual(routes.current.version, DOCUMENT["Version"])
         routes.current.match("h.example", "/a/b")
 
--- a/sassafrasdoor/platform/tests/test_front.py
+++ b/sassafrasdoor/platform/tests/test_front.py
@@ -41,18 +41,18 @@
 }
 
 
-class Service:
+class ScriptedService:
     """Answers by a script: outcomes, or ``HANG``."""
 
     HANG = object()
 
     def __init__(self):
         self.result = None
-        self.seen = []
+        self.requests = []
         self.waiting = asyncio.Event()
 
     async def _answer(self, *request):
-        self.seen.append(request)
+        self.requests.append(request)
         if self.result is self.HANG:
             self.waiting.set()
             await asyncio.Event().wait()
@@ -61,7 +61,7 @@
     answer = submit = read = body = end = _answer
 
 
-class Streams:
+class ScriptedStreams:
     """Passes events on by a script: blocks, then ``HANG`` or a result."""
 
     def __init__(self):
@@ -70,7 +70,7 @@
 
     async def answer(self, request, caller):
         for number, step in enumerate(self.script):
-            if step is Service.HANG:
+            if step is ScriptedService.HANG:
                 try:
                     await asyncio.Event().wait()
                 finally:
@@ -83,7 +83,7 @@
         return True
 
 
-class Instances:
+class FakeInstances:
     def addresses(self, zone):
         return [f"address-in-{zone}"]
 
@@ -94,7 +94,7 @@
         return []
 
 
-class Process:
+class FakeProcess:
     ready = True
     closing = False
 
@@ -104,16 +104,16 @@
 
 class FrontTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
-        self.service = Service()
+        self.service = ScriptedService()
         plain = route(prefix=PLAIN, repeat=Repeat.SAFE)
         stream = route(prefix=STREAM, repeat=Repeat.RESUME, streams=True)
         self.routes = routes_in_force(route(), plain, stream)
-        self.process = Process()
-        self.streams = Streams()
+        self.process = FakeProcess()
+        self.streams = ScriptedStreams()
         self.parts = handlers.Parts(
             self.service,
             self.streams,
-            Instances(),
+            FakeInstances(),
             self.process,
             self.routes,
             self.service,
@@ -142,7 +142,7 @@
     async def submit(self):
         return await self.call(PREFIX, "POST", json.dumps(SUBMISSION))
 
-    async def test_outcomes_have_their_status(self):
+    async def test_outcomes_map_to_statuses(self):
         """Each outcome says on the wire exactly what it promises."""
         answer = Answer(201, [("X", "y")], b"body")
         cases = [
@@ -158,12 +158,12 @@
         response = await self.call(PLAIN)
         self.assertEqual((response.body, response.headers["X"]), (b"body", "y"))
 
-    async def test_refusal_says_when_to_come_back(self):
+    async def test_refusal_has_retry_after(self):
         self.service.result = NotRun("full", 0.25)
         response = await self.call(PLAIN)
         self.assertEqual(response.headers["Retry-After"], "0.25")
 
-    async def test_no_configuration_is_no_missing_route(self):
+    async def test_missing_configuration_returns_503_not_404(self):
         """Symptom: callers are told 404 for what is allowed, right after a start.
 
         Sequence: an instance starts while the store is away. Cause: no known route
@@ -174,7 +174,7 @@
         self.parts.routes = self.routes
         self.assertEqual((await self.call("/unknown/")).code, 404)
 
-    async def test_unknown_route_of_old_routes_may_be_asked_for_again(self):
+    async def test_unknown_route_in_stale_routes_returns_503(self):
         """Guards against a 404 by an old table for a route that was added since."""
         confirmed_at = now()
         old = RoutesInForce(lambda: confirmed_at, lambda: 2.0)
@@ -188,28 +188,28 @@
         self.service.result = Answer(200, [], b"known")
         self.assertEqual((await self.call(PLAIN)).code, 200)
 
-    async def test_stop_of_the_process_is_no_answer(self):
+    async def test_request_cancelled_by_stop_is_not_answered(self):
         """Symptom: a step counts as accepted that no instance has; a call gets an
         empty answer of 200.
 
         Sequence: a process ends with a submission in progress; its tasks are
         cancelled. Cause: the handler returned, and Tornado finished it with 200.
         """
-        self.service.result = Service.HANG
+        self.service.result = ScriptedService.HANG
         for request in (self.submit(), self.call(PLAIN)):
             self.service.waiting.clear()
             calling = asyncio.ensure_future(request)
             await self.service.waiting.wait()
             for handler in list(self.process.in_flight):
-                handler._work.cancel()
+                handler._task.cancel()
             await asyncio.sleep(0)
             finished, _ = await asyncio.wait([calling], timeout=0.3)
             if finished:
                 self.assertNotIn(calling.result().code, (200, 202))
             calling.cancel()
 
-    async def test_caller_who_leaves_ends_the_work(self):
-        self.service.result = Service.HANG
+    async def test_disconnected_caller_cancels_the_request(self):
+        self.service.result = ScriptedService.HANG
         cancelled = asyncio.Event()
         answer = self.service.answer
 
@@ -229,13 +229,13 @@
         async with asyncio.timeout(20):
             await cancelled.wait()
 
-    async def test_stream_is_passed_on_as_it_comes(self):
+    async def test_stream_is_forwarded_without_buffering(self):
         """Symptom: a reader waits for the first word until the last is written.
 
         Sequence: a stream that pauses after its first event. Cause: an answer that
         is collected before it is passed on.
         """
-        self.streams.script = [EVENTS[0], Service.HANG]
+        self.streams.script = [EVENTS[0], ScriptedService.HANG]
         reader, writer = await self.connect(STREAM)
         head = await reader.readuntil(b"\r\n\r\n")
         self.assertIn(f"{wire.STAMP}: x".encode(), head)
@@ -243,7 +243,7 @@
         writer.close()
         await asyncio.wait_for(self.streams.cancelled.wait(), 20)
 
-    async def test_ends_of_streams(self):
+    async def test_caller_stream_outcomes(self):
         self.streams.script = [*EVENTS, True]
         response = await self.call(STREAM, "POST", "")
         self.assertEqual((response.code, response.body), (200, b"".join(EVENTS)))
@@ -253,7 +253,7 @@
         self.streams.script = [Answer(500, [], b"no")]
         self.assertEqual((await self.call(STREAM, "POST", "")).code, 500)
 
-    async def test_part_of_a_stream_never_looks_whole(self):
+    async def test_truncated_stream_is_not_ended_normally(self):
         """Symptom: a sign shows half a sentence, and nobody notices.
 
         Sequence: the stream is lost after an event, or the handler fails. Cause: the
@@ -263,13 +263,13 @@
             with self.subTest(loss=loss):
                 self.streams.script = [EVENTS[0], loss]
                 if isinstance(loss, ValueError):
-                    self.streams.answer = self.failing
+                    self.streams.answer = self.fail_after_one_event
                 reader, _ = await self.connect(STREAM)
                 data = await reader.read()
                 self.assertIn(EVENTS[0], data)
                 self.assertNotIn(b"\r\n0\r\n", data)
 
-    async def failing(self, request, caller):
+    async def fail_after_one_event(self, request, caller):
         """Fail after one event."""
         await caller.begin([])
         await caller.pass_on(EVENTS[0])
@@ -297,7 +297,7 @@
         self.service.result = NotFound("no such step")
         self.assertEqual((await self.call("/-/lots/s1")).code, 404)
 
-    async def test_malformed_steps_are_refused_with_the_place(self):
+    async def test_malformed_steps_are_rejected_with_their_places(self):
         bad = {**SUBMISSION, "Items": [{**SUBMISSION["Items"][0], "Body": "%%"}]}
         cases = [
             ("{", "(root)"),
@@ -310,7 +310,7 @@
             self.assertEqual(response.code, 400)
             found = json.loads(response.body)["findings"][0]["place"]
             self.assertEqual(found, place)
-        self.assertEqual(self.service.seen, [])
+        self.assertEqual(self.service.requests, [])
 
     async def test_directory_and_readiness(self):
         self.address = self.serve(front.directory_application(self.parts))
@@ -322,7 +322,7 @@
         self.assertEqual((await self.call("/-/ready")).code, 503)
         self.assertIn(b"front_answers_total", (await self.call("/metrics")).body)
 
-    async def test_closing_process_asks_for_another_connection(self):
+    async def test_closing_process_sends_connection_close(self):
         self.service.result = Answer(200, [], b"")
         self.process.closing = True
         response = await self.call(PLAIN)
--- a/sassafrasdoor/platform/tests/test_health.py
+++ b/sassafrasdoor/platform/tests/test_health.py
@@ -6,7 +6,7 @@
 from sassafrasdoor.backends.interface import Answer
 from sassafrasdoor.clock import deadline_in, passed
 from sassafrasdoor.outcomes import Unknown
-from sassafrasdoor.platform.configuration import listing_from
+from sassafrasdoor.platform.configuration import parse_listing
 from sassafrasdoor.platform.servers import WireReplicas
 from sassafrasdoor.platform.standin import ReplicaStandin
 from sassafrasdoor.requests.crash_watch import CrashWatch
@@ -31,7 +31,7 @@
             self.addAsyncCleanup(proxy.close)
             self.proxies.append(proxy)
             entry = {**standin.entry(SERVICE, []), "Address": proxy.address}
-            self.replicas.listed(standin.identity, listing_from(entry))
+            self.replicas.listed(standin.identity, parse_listing(entry))
         self.client = WireReplicas()
         self.addCleanup(self.client.close)
         self.crashes = CrashWatch(self.client, self.replicas)
@@ -48,7 +48,7 @@
         )
         return await self.service.answer(request)
 
-    async def served(self, count=CALLS):
+    async def count_served(self, count=CALLS):
         """Call one after the other; return how many were answered as they should."""
         answers = [await self.call() for _ in range(count)]
         return sum(
@@ -59,7 +59,7 @@
     def runs(self, at):
         return len(self.standins[at].runs)
 
-    async def test_grey_replica_gets_little_and_is_probed_again(self):
+    async def test_failing_replica_gets_few_calls_and_is_probed_again(self):
         """Symptom: part of the calls fails although the list says all is well.
 
         Sequence: one replica answers 500 at once, so it always looks idle; later it is
@@ -67,25 +67,25 @@
         out for good.
         """
         self.standins[0].failures = [500] * CALLS
-        self.assertEqual(await self.served(), CALLS)
+        self.assertEqual(await self.count_served(), CALLS)
         self.assertLess(self.runs(0), CALLS / 6)
         self.standins[0].failures = []
         before = self.runs(0)
         limit = deadline_in(60)
         while self.runs(0) == before:
             self.assertFalse(passed(limit), "never tried again")
-            self.assertEqual(await self.served(1), 1)
+            self.assertEqual(await self.count_served(1), 1)
             await asyncio.sleep(0.02)
 
-    async def test_all_grey_replicas_are_still_tried(self):
+    async def test_all_failing_replicas_are_still_tried(self):
         """Symptom: nobody is served because nobody is trusted.
 
         Sequence: every replica fails once. Cause: suspicion without a bound.
         """
         for standin in self.standins:
             standin.failures = [500]
-        await self.served(3)
-        self.assertEqual(await self.served(), CALLS)
+        await self.count_served(3)
+        self.assertEqual(await self.count_served(), CALLS)
 
     async def test_flapping_replica_costs_no_call(self):
         """Symptom: calls are lost each time that a replica goes down.
@@ -95,24 +95,24 @@
         """
         for down in (True, False, True, False, True):
             self.proxies[0].set({"refuse": down, "cut": down})
-            self.assertEqual(await self.served(CALLS // 5), CALLS // 5)
+            self.assertEqual(await self.count_served(CALLS // 5), CALLS // 5)
 
-    async def test_idle_connection_that_drops_as_a_call_leaves(self):
+    async def test_idle_connection_closed_while_a_call_is_sent(self):
         """Symptom: a call that may run once is lost, or runs twice.
 
         Sequence: the replica closes an idle connection just when a call is sent on it.
         Cause: whether the call was read is open then. One that may be repeated goes to
         another replica; one that may not never uses a kept connection.
         """
-        self.assertEqual(await self.served(9), 9)
+        self.assertEqual(await self.count_served(9), 9)
         opened = sum(proxy.accepted for proxy in self.proxies)
         for proxy in self.proxies[:2]:
             proxy.set({"truncate": 0})
-        self.assertEqual(await self.served(3), 3)
+        self.assertEqual(await self.count_served(3), 3)
         for proxy in self.proxies:
             proxy.set({"truncate": 0})
         self.assertIsInstance(await self.call(Repeat.ONCE), Unknown)
-        self.assertEqual(self.ran("r13"), 1)
+        self.assertEqual(self.run_count("r13"), 1)
         for proxy in self.proxies:
             proxy.set({"clear": True})
         # A replica that broke a connection is connected to without a request.
@@ -125,7 +125,7 @@
         self.assertIsInstance(await self.call(Repeat.ONCE), Answer)
         self.assertEqual(sum(proxy.accepted for proxy in self.proxies), before + 1)
 
-    def ran(self, request_id):
+    def run_count(self, request_id):
         """Return how often a request ran."""
         runs = [run for standin in self.standins for run in standin.runs]
         return sum(run.request_id == request_id for run in runs)
--- a/sassafrasdoor/platform/tests/test_leaving_processes.py
+++ b/sassafrasdoor/platform/tests/test_leaving_processes.py
@@ -17,7 +17,7 @@
 
 
 class LeavingTest(ProcessCase):
-    async def test_server_that_leaves_after_a_cut_gets_nothing_soon(self):
+    async def test_server_leaving_after_a_list_outage_gets_no_calls(self):
         """A request reached a server 2,336 ms after it had left; the bound is 2,000.
 
         An instance was cut off from the platform's store and came back to it; 2 s
@@ -46,17 +46,19 @@
         self.proxy.freeze()
         await asyncio.sleep(CUT_SECONDS)
         self.proxy.thaw()
-        await self.until(lambda: self.lines(configuration.SERVERS_TOPIC, "log.regain"))
+        await self.wait_until(
+            lambda: self.lines(configuration.SERVERS_TOPIC, "log.regain")
+        )
         await asyncio.sleep(BACK_SECONDS)
         left, stays = self.plain
-        await self.plain_is(first, 200)
+        await self.plain_call_returns(first, 200)
         self.assertTrue(left.runs)
         await self.store.put(configuration.SERVERS_TOPIC, left.identity, None)
         await asyncio.sleep(DRAIN_SECONDS)
         runs = len(left.runs)
         limit = deadline_in(WATCHED_SECONDS)
         while not passed(limit):
-            self.assertTrue(await self.plain_is(first, 200))
+            self.assertTrue(await self.plain_call_returns(first, 200))
         self.assertEqual(len(left.runs), runs)
         self.assertTrue(stays.runs)
 
--- a/sassafrasdoor/platform/tests/test_process.py
+++ b/sassafrasdoor/platform/tests/test_process.py
@@ -7,7 +7,7 @@
 
 from sassafrasdoor.log.sharing import LISTS, READS_SHARE
 from sassafrasdoor.platform import settings
-from sassafrasdoor.platform.local import TEXT
+from sassafrasdoor.platform.local import SETTINGS_TEMPLATE
 from sassafrasdoor.platform.process import Process
 from sassafrasdoor.routing.instances import Instances
 
@@ -24,18 +24,18 @@
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         path = pathlib.Path(folder.name) / "a.conf"
-        text = TEXT.format(name="a", seeds="", **ADDRESSES)
+        text = SETTINGS_TEMPLATE.format(name="a", seeds="", **ADDRESSES)
         path.write_text(f"{text}Platform.ReadsPerS={READS}\n", "utf-8")
         self.process = Process(settings.load(path), path)
 
-    async def test_every_list_that_is_refused_is_asked_for_within_the_share(self):
+    async def test_list_retries_stay_within_the_read_share(self):
         """Guards against a list whose repeats alone take all reads of the log."""
         process = self.process
         lists = (
-            process._operator,
-            process._list,
+            process._operator_tail,
+            process._replica_list_tail,
             process._instances.tail,
-            process._crash_list,
+            process._crash_list_tail,
         )
         self.assertEqual(len(lists), LISTS)
         with mock.patch.object(Instances, "alive", ALIVE):
--- a/sassafrasdoor/platform/tests/test_processes.py
+++ b/sassafrasdoor/platform/tests/test_processes.py
@@ -23,10 +23,10 @@
             instance.kill()
         for instance in self.instances:
             instance.start()
-        await self.until_ready()
-        self.check_texts(await self.until(lambda: self.whole("s", 2)))
+        await self.wait_until_ready()
+        self.check_texts(await self.wait_until(lambda: self.all_results("s", 2)))
 
-    async def test_paused_runner_changes_nothing_that_was_read(self):
+    async def test_resumed_runner_changes_no_result_already_read(self):
         """Symptom: a position holds another sample after a process woke up.
 
         Sequence: the process that runs a step is stopped, another runs it, the
@@ -35,16 +35,18 @@
         for engine in self.engines:
             engine.pause = 0.2
         self.assertEqual((await self.submit("s")).code, 202)
-        await self.until(lambda: sum(len(one.running) for one in self.engines) == 4)
-        holder = self.holder()
+        await self.wait_until(
+            lambda: sum(len(one.running) for one in self.engines) == 4
+        )
+        holder = self.runner_instance()
         holder.signal(signal.SIGSTOP)
         others = [at for at, one in enumerate(self.instances) if one is not holder]
-        results = await self.until(lambda: self.whole("s", others[0]))
+        results = await self.wait_until(lambda: self.all_results("s", others[0]))
         holder.signal(signal.SIGCONT)
         await asyncio.sleep(1.0)
         for at in range(3):
             self.assertEqual(
-                await self.until(lambda at=at: self.whole("s", at)), results
+                await self.wait_until(lambda at=at: self.all_results("s", at)), results
             )
         self.check_texts(results)
 
@@ -58,10 +60,10 @@
         await self.list_replicas()
         await asyncio.sleep(0.8)
         self.assertEqual((await self.submit("s", items=12)).code, 202)
-        await self.until(lambda: sum(len(one.runs) for one in self.engines) >= 4)
+        await self.wait_until(lambda: sum(len(one.runs) for one in self.engines) >= 4)
         reply = await self.fetch(self.instances[1].front, "/-/lots/s", "DELETE")
         self.assertEqual(reply.code, 200)
-        await self.until(lambda: not any(one.running for one in self.engines))
+        await self.wait_until(lambda: not any(one.running for one in self.engines))
         runs = sum(len(one.runs) for one in self.engines)
         await asyncio.sleep(1.0)
         self.assertEqual(sum(len(one.runs) for one in self.engines), runs)
@@ -71,10 +73,10 @@
         self.engines[0].break_after = [2, 1]
         self.engines[1].break_after = [0]
         self.assertEqual((await self.submit("s")).code, 202)
-        self.check_texts(await self.until(lambda: self.whole("s")))
+        self.check_texts(await self.wait_until(lambda: self.all_results("s")))
         self.assertTrue(any(run.after is not None for run in self.all_runs()))
 
-    async def test_store_away_serves_on_and_comes_back(self):
+    async def test_store_outage_and_recovery(self):
         """The last configuration and replicas serve; steps are refused truly."""
         self.store.log.down = True
         headers = {wire.REQUEST_ID: "r1"}
@@ -85,10 +87,10 @@
         self.assertEqual(refused.code, 503)
         self.assertGreater(float(refused.headers["Retry-After"]), 0)
         self.store.log.down = False
-        await self.until(lambda: self.accepted("s"))
-        self.check_texts(await self.until(lambda: self.whole("s", 1)))
+        await self.wait_until(lambda: self.is_accepted("s"))
+        self.check_texts(await self.wait_until(lambda: self.all_results("s", 1)))
 
-    async def test_start_without_the_store_goes_by_another_instance(self):
+    async def test_start_without_the_store_uses_a_peer(self):
         """Symptom: an instance restarted in an outage refuses all until it is over.
 
         Sequence: it ends, the store is away for it, it starts; callers that remember
@@ -97,23 +99,25 @@
         """
         first, second, _ = self.instances
         self.assertEqual((await self.submit("s", at=1)).code, 202)
-        results = await self.until(lambda: self.whole("s", 1))
-        await self.until(lambda: self.knows_peers(1))
+        results = await self.wait_until(lambda: self.all_results("s", 1))
+        await self.wait_until(lambda: self.lists_instances(1))
         first.kill()
         self.proxy.set({"refuse": True, "cut": True})
         text = first.settings_path.read_text("utf-8")
         seeds = f"Seeds=127.0.0.1:1,{second.control}"
         first.settings_path.write_text(text.replace("Seeds=", seeds), "utf-8")
         first.start()
-        await self.until(lambda: self.is_ready(first))
+        await self.wait_until(lambda: self.is_ready(first))
         headers = {wire.REQUEST_ID: "r1"}
         reply = await self.fetch(first.front, "/plain/x", "POST", "b", **headers)
         self.assertEqual(reply.body, b"answer to r1")
-        self.assertEqual(await self.until(lambda: self.whole("s", 0)), results)
+        self.assertEqual(
+            await self.wait_until(lambda: self.all_results("s", 0)), results
+        )
         self.assertEqual((await self.submit("t", at=0)).code, 202)
         self.proxy.set({"clear": True})
         await self.configure(2, [{**ROUTES[0], "PathPrefix": "/plain/new/"}])
-        await self.until(lambda: self.is_dropped(first, "/plain/x"))
+        await self.wait_until(lambda: self.is_dropped(first, "/plain/x"))
 
     async def is_dropped(self, instance, path):
         """Say whether an instance knows that a route is no more."""
@@ -121,16 +125,16 @@
         reply = await self.fetch(instance.front, path, "POST", "b", **headers)
         return reply.code == 404
 
-    async def test_instance_that_alone_is_cut_off_serves_through_another(self):
+    async def test_instance_cut_off_from_the_store_uses_a_peer(self):
         """Symptom: a trainer is seconds late, whenever it meets one instance.
 
         Sequence: the path of one instance to the store falls silent; steps are
         submitted, read and ended there. Cause: each call waited for the store.
         """
-        await self.until(lambda: self.knows_peers(0))
+        await self.wait_until(lambda: self.lists_instances(0))
         self.proxy.freeze()
         self.assertEqual((await self.submit("s")).code, 202)
-        results = await self.until(lambda: self.whole("s"))
+        results = await self.wait_until(lambda: self.all_results("s"))
         self.check_texts(results)
         front = self.instances[0].front
         body = await self.fetch(front, "/-/items/s?Id=s-1")
@@ -141,45 +145,45 @@
         addresses = json.loads(named.body)["Addresses"]
         self.assertEqual(set(addresses), {one.front for one in self.instances[1:]})
         self.proxy.thaw()
-        self.assertEqual(await self.until(lambda: self.whole("s")), results)
-        await self.until(lambda: self.knows_peers(0))
+        self.assertEqual(await self.wait_until(lambda: self.all_results("s")), results)
+        await self.wait_until(lambda: self.lists_instances(0))
 
-    async def test_runner_that_alone_is_cut_off_goes_on(self):
+    async def test_runner_cut_off_from_the_store_continues(self):
         """Guards against a step begun anew since its runner is cut off from the store."""
         first, *others = self.instances
         for instance in others:
             instance.kill()
         # Else their old records could lapse between the last look at the list and the cut.
-        await self.until(lambda: self.knows_peers(0, 1))
+        await self.wait_until(lambda: self.lists_instances(0, 1))
         for engine in self.engines:
             engine.events, engine.pause = 20, 0.3
-        await self.until(lambda: self.accepted("s"))
+        await self.wait_until(lambda: self.is_accepted("s"))
         # The others' claims lapse first: they may have held the orders of loads.
-        await self.until(lambda: len(self.all_runs()) == 4)
+        await self.wait_until(lambda: len(self.all_runs()) == 4)
         for instance in others:
             instance.start()
-        await self.until(lambda: self.knows_peers(0))
-        await self.until(lambda: self.is_ready(others[0]))
+        await self.wait_until(lambda: self.lists_instances(0))
+        await self.wait_until(lambda: self.is_ready(others[0]))
         runs = len(self.all_runs())
         self.proxy.freeze()
-        results = await self.until(lambda: self.whole("s", 1))
+        results = await self.wait_until(lambda: self.all_results("s", 1))
         self.check_texts(results, events=20)
         self.assertEqual(len(self.all_runs()), runs, self.report())
         self.assertEqual(self.lines("", "shard.lost"), [])
         self.assertTrue(self.lines("", "log.relayed"))
         self.proxy.thaw()
 
-    async def test_append_that_lands_late_is_no_refusal(self):
+    async def test_late_append_is_not_reported_as_refused(self):
         self.store.log.lose_replies, self.store.log.land_late = 50, 1.0
         reply = await self.submit("s")
         self.assertNotIn(reply.code, (429, 503))
         self.store.log.lose_replies = 0
-        self.check_texts(await self.until(lambda: self.whole("s", 2)))
+        self.check_texts(await self.wait_until(lambda: self.all_results("s", 2)))
 
     async def test_named_version_is_ordered_once_by_one_holder(self):
         document = {"Model": MODEL, "Version": 2}
         await self.store.put(configuration.OPERATOR_TOPIC, f"version/{MODEL}", document)
-        await self.until(lambda: all(one.version == 2 for one in self.engines))
+        await self.wait_until(lambda: all(one.version == 2 for one in self.engines))
         orders = [order for engine in self.engines for order in engine.orders]
         self.assertEqual(len({order["Holder"] for order in orders}), 1)
         self.assertEqual(len({order["FencingToken"] for order in orders}), 1)
--- a/sassafrasdoor/platform/tests/test_reward_processes.py
+++ b/sassafrasdoor/platform/tests/test_reward_processes.py
@@ -18,9 +18,9 @@
         for result in results:
             self.assertIn(result["Score"], stamps[f"{result['Id']}-r"])
 
-    async def test_samples_bear_the_mark_of_their_own_call(self):
+    async def test_samples_have_the_score_of_their_own_call(self):
         self.assertEqual((await self.submit("s", rewarded=True)).code, 202)
-        results = await self.until(lambda: self.whole("s", 1))
+        results = await self.wait_until(lambda: self.all_results("s", 1))
         self.check_texts(results)
         self.check_scores(results)
 
@@ -33,19 +33,19 @@
         for replica in self.plain:
             replica.pause = 1.5
         self.assertEqual((await self.submit("s", rewarded=True)).code, 202)
-        await self.until(lambda: len(self.scoring_runs()) >= 4)
+        await self.wait_until(lambda: len(self.scoring_runs()) >= 4)
         made = len(self.all_runs())
-        holder = self.holder()
+        holder = self.runner_instance()
         holder.kill()
         other = next(at for at, one in enumerate(self.instances) if one is not holder)
-        results = await self.until(lambda: self.whole("s", other))
+        results = await self.wait_until(lambda: self.all_results("s", other))
         self.check_texts(results)
         self.check_scores(results)
         self.assertEqual(len(self.all_runs()), made)
         for run in self.scoring_runs():
             self.assertEqual(run.path, f"/plain/{run.request_id[2:-2]}")
 
-    async def test_paused_runner_changes_no_score_that_was_read(self):
+    async def test_resumed_runner_changes_no_score_already_read(self):
         """Symptom: a position shows another score after a process woke up.
 
         Sequence: the runner is stopped while its calls run, another one scores the
@@ -54,14 +54,16 @@
         for replica in self.plain:
             replica.pause = 0.8
         self.assertEqual((await self.submit("s", rewarded=True)).code, 202)
-        await self.until(lambda: len(self.scoring_runs()) >= 4)
-        holder = self.holder()
+        await self.wait_until(lambda: len(self.scoring_runs()) >= 4)
+        holder = self.runner_instance()
         holder.signal(signal.SIGSTOP)
         others = [at for at, one in enumerate(self.instances) if one is not holder]
-        results = await self.until(lambda: self.whole("s", others[0]))
+        results = await self.wait_until(lambda: self.all_results("s", others[0]))
         holder.signal(signal.SIGCONT)
         at = self.instances.index(holder)
-        self.assertEqual(await self.until(lambda: self.whole("s", at)), results)
+        self.assertEqual(
+            await self.wait_until(lambda: self.all_results("s", at)), results
+        )
         self.check_scores(results)
 
     async def test_malformed_reward_call_is_refused_and_nothing_is_kept(self):
@@ -72,12 +74,12 @@
         self.assertEqual(reply.code, 400)
         self.assertIn(b"Items.0.Scorer", reply.body)
 
-        async def answered_surely():
+        async def definitive_status():
             # 503 until the instance has read every shard to its end.
             reply = await self.fetch(front, "/-/lots/bad?After=0")
             return reply.code if reply.code != 503 else None
 
-        self.assertEqual(await self.until(answered_surely), 404)
+        self.assertEqual(await self.wait_until(definitive_status), 404)
 
 
 if __name__ == "__main__":
--- a/sassafrasdoor/platform/tests/test_servers.py
+++ b/sassafrasdoor/platform/tests/test_servers.py
@@ -29,7 +29,7 @@
     return "\r\n".join(lines).encode() + body
 
 
-def naming(data, head):
+def with_request_id(data, head):
     """Return an answer with the id of the request whose head is given."""
     name = f"{wire.REQUEST_ID}: ".encode()
     own = name + head.partition(name)[2].split(b"\r\n")[0]
@@ -37,7 +37,7 @@
     return b"\r\n".join([first, own, rest])
 
 
-class Passed:
+class RecordedStream:
     """Records what a stream passes on."""
 
     def __init__(self):
@@ -63,7 +63,7 @@
             length = head.lower().partition(b"content-length: ")[2].split(b"\r\n")[0]
             self.bodies.append(await reader.readexactly(int(length or 0)))
             named = echo and wire.REQUEST_ID.encode() not in data
-            writer.write(data if not named else naming(data, head))
+            writer.write(data if not named else with_request_id(data, head))
             await writer.drain()
             if cut:
                 writer.close()
@@ -92,7 +92,7 @@
         order = SampleOrder(item, "h.example", deadline_in(5), after)
         return await self.client.generate(self.replica, order, take)
 
-    async def test_ends_of_calls(self):
+    async def test_call_outcomes(self):
         cases = [
             (answer(200, STAMP, body=b"x"), Answer),
             (answer(500, STAMP), Answer),
@@ -106,7 +106,7 @@
                 await self.start(data)
                 self.assertIsInstance(await self.call(), outcome)
 
-    async def test_answer_that_names_no_request_is_nobodys(self):
+    async def test_answer_without_request_id_is_rejected(self):
         """Symptom: a member reads another member's answer.
 
         Sequence: a replica sends a second, late answer that names no request; it comes
@@ -127,7 +127,7 @@
         self.assertIsInstance(await self.generate(), Broken)
         self.assertEqual(self.events, [])
 
-    async def test_call_names_whom_it_means_and_what_is_left(self):
+    async def test_call_sends_identity_and_remaining_time(self):
         await self.start(answer(200, STAMP, f"{wire.LOAD}: 3,1,4"))
         await self.call()
         (head,) = self.heads
@@ -140,7 +140,7 @@
         self.assertEqual(self.bodies, [b"body"])
         self.assertEqual(self.replica.load, 4)
 
-    async def test_stream_is_cut_into_labelled_events(self):
+    async def test_stream_is_split_into_events_with_versions(self):
         await self.start(answer(200, STAMP, f"{wire.VERSIONS}: 3", body=EVENTS))
         self.assertIs(await self.generate(), True)
         self.assertEqual(self.events, [(0, "a", 3), (1, "b", 4)])
@@ -149,10 +149,10 @@
         """Pass a stream on; return the outcome, the head and the events."""
         call = DirectCall("POST", "/p", [], b"", "r1", deadline_in(5))
         call.after = after
-        self.passed = Passed()
+        self.passed = RecordedStream()
         return await self.client.stream(self.replica, call, self.passed)
 
-    async def test_stream_is_passed_on_byte_by_byte(self):
+    async def test_stream_is_forwarded_unchanged(self):
         await self.start(answer(200, STAMP, body=EVENTS))
         self.assertIs(await self.stream(after=4), True)
         self.assertIn((wire.STAMP, "x"), self.passed.headers)
@@ -160,7 +160,7 @@
         self.assertEqual(b"".join(block for _, block in self.passed.events), EVENTS)
         self.assertIn(f"{wire.LAST_EVENT}: 4\r\n", self.heads[0])
 
-    async def test_ends_of_passed_on_streams(self):
+    async def test_forwarded_stream_outcomes(self):
         half = EVENTS + b"id: 2\ndata: c"
         cases = [
             (answer(200, STAMP, body=half), Broken, 2),
@@ -176,7 +176,7 @@
                 self.assertIsInstance(await self.stream(), outcome)
                 self.assertEqual(len(self.passed.events), events)
 
-    async def test_half_an_event_is_none(self):
+    async def test_incomplete_event_is_dropped(self):
         """Symptom: a text ends in the middle of a piece, or holds one twice.
 
         Sequence: a replica stops inside an event; the item is resumed. Cause: the
@@ -186,7 +186,7 @@
         self.assertIsInstance(await self.generate(), Broken)
         self.assertEqual([number for number, _, _ in self.events], [0, 1])
 
-    async def test_events_of_another_request_are_none_of_this_one(self):
+    async def test_events_of_another_request_are_dropped(self):
         """Symptom: a text holds pieces of another sample.
 
         Sequence: on a kept connection the late answer of an earlier request comes
@@ -197,17 +197,17 @@
         self.assertIsInstance(await self.generate(), Broken)
         self.assertEqual(self.events, [])
 
-    async def test_resumed_stream_names_its_last_event(self):
+    async def test_resumed_stream_sends_last_event_id(self):
         await self.start(answer(200, STAMP, body=EVENTS))
         await self.generate(after=7)
         self.assertIn(f"{wire.LAST_EVENT}: 7\r\n", self.heads[0])
 
-    async def test_events_end_where_nobody_wants_them(self):
+    async def test_events_stop_when_the_consumer_declines(self):
         await self.start(answer(200, STAMP, body=EVENTS))
         await self.generate(keep=lambda event: False)
         self.assertEqual(len(self.events), 1)
 
-    async def test_ends_of_streams(self):
+    async def test_sample_stream_outcomes(self):
         cases = [
             (answer(500, STAMP), SampleFailed, False),
             (answer(422, STAMP), SampleFailed, True),
@@ -221,7 +221,7 @@
                 self.assertIsInstance(result, outcome)
                 self.assertEqual(getattr(result, "final", None), final)
 
-    async def test_ends_of_orders(self):
+    async def test_order_outcomes(self):
         cases = [
             (answer(202), True),
             (answer(200), True),
--- a/sassafrasdoor/platform/tests/test_translation.py
+++ b/sassafrasdoor/platform/tests/test_translation.py
@@ -55,9 +55,9 @@
 
 class SettingsTest(unittest.TestCase):
     def fields(self, **changes):
-        return {**settings.read_lines(LINES), **changes}
+        return {**settings.parse_lines(LINES), **changes}
 
-    def test_figures_are_translated(self):
+    def test_settings_are_translated(self):
         found = settings.from_fields(self.fields())
         self.assertEqual((found.lease, found.fenced), (3.0, True))
         self.assertEqual(found.instance.availability_zone, "palermo")
@@ -74,7 +74,7 @@
         places = {finding.place for finding in found.findings}
         self.assertEqual(places, set(broken))
 
-    def test_running_process_takes_over_bounds_only(self):
+    def test_reload_applies_bounds_only(self):
         running = settings.from_fields(self.fields())
         changed = {"Bounds.GraceS": "5", "Listen.Front": "10.1.0.10:1", "Unknown": "1"}
         taken, waiting = running.take_over(settings.from_fields(self.fields(**changed)))
@@ -91,12 +91,12 @@
     def setUp(self):
         self.routes = RoutesInForce()
         self.named = []
-        self.keys = configuration.OperatorKeys(
+        self.keys = configuration.OperatorTopicReader(
             self.routes, lambda *pair: self.named.append(pair)
         )
 
     def take(self, document, key="config"):
-        self.keys.take(key, json.dumps(document).encode())
+        self.keys.apply(key, json.dumps(document).encode())
 
     def test_route_is_translated(self):
         self.take(DOCUMENT)
@@ -111,7 +111,7 @@
         self.take({**DOCUMENT, "Routes": [{**ROUTE, "Kind": "new"}]})
         self.assertIs(self.routes.current.routes[0].repeat, Repeat.ONCE)
 
-    def test_longest_prefix_answers(self):
+    def test_longest_prefix_matches(self):
         longer = {**ROUTE, "Name": "longer", "PathPrefix": "/a/b/"}
         self.take({**DOCUMENT, "Routes": [ROUTE, longer]})
         current = self.routes.current
@@ -120,7 +120,7 @@
         self.assertIsNone(current.match("other", "/a/x"))
         self.assertIsNone(current.match("h.example", "/x"))
 
-    def test_older_version_changes_nothing(self):
+    def test_older_configuration_is_ignored(self):
         """Symptom: a dropped route is served again.
 
         Sequence: a read that began before the change ends after it. Cause: what
@@ -130,15 +130,15 @@
         self.take({**DOCUMENT, "Version": 6, "Routes": []})
         self.assertEqual(self.routes.current.version, 7)
 
-    def test_malformed_records_lose_nothing(self):
+    def test_malformed_records_are_ignored(self):
         self.take(DOCUMENT)
         for bad in (b"{", b"[]", b"null", b'{"Version": 9}', b'{"Version": "x"}'):
-            self.keys.take("config", bad)
-            self.keys.take("version/m", bad)
-        self.keys.take("config", b"")
+            self.keys.apply("config", bad)
+            self.keys.apply("version/m", bad)
+        self.keys.apply("config", b"")
         self.assertEqual((self.routes.current.version, self.named), (7, []))
 
-    def test_named_version_is_handed_on(self):
+    def test_named_version_is_reported(self):
         self.take({"Model": "m", "Version": 4}, "version/m")
         self.assertEqual(self.named, [("m", 4)])
 
@@ -146,16 +146,16 @@
 class EntryTest(unittest.TestCase):
     def setUp(self):
         self.replicas = Replicas("palermo")
-        self.keys = configuration.ServerKeys(self.replicas)
+        self.keys = configuration.ServersTopicReader(self.replicas)
 
     def test_entry_is_translated(self):
-        self.keys.take("i-1", json.dumps(ENTRY).encode())
+        self.keys.apply("i-1", json.dumps(ENTRY).encode())
         (replica,) = self.replicas.of_service("x")
         self.assertEqual(replica.versions, {"m": 3})
         self.assertEqual((replica.identity, replica.room), ("i-1", 12))
 
-    def test_leaving_replica_gets_nothing(self):
-        self.keys.take("i-1", json.dumps({**ENTRY, "State": "draining"}).encode())
+    def test_draining_replica_is_not_selectable(self):
+        self.keys.apply("i-1", json.dumps({**ENTRY, "State": "draining"}).encode())
         self.assertEqual(self.replicas.of_service("x"), [])
 
     def test_heartbeat_alone_changes_nothing(self):
@@ -168,13 +168,13 @@
         self.replicas.on_change(lambda: changes.append(None))
         for number, state in ((1, "ready"), (2, "ready"), (3, "draining"), (4, "x")):
             entry = {**ENTRY, "State": state, "Sequence": number}
-            self.keys.take("i-1", json.dumps(entry).encode())
+            self.keys.apply("i-1", json.dumps(entry).encode())
         self.assertEqual(len(changes), 3)
-        self.keys.take("i-1", b"")
-        self.keys.take("i-1", json.dumps({**ENTRY, "Sequence": 5}).encode())
+        self.keys.apply("i-1", b"")
+        self.keys.apply("i-1", json.dumps({**ENTRY, "Sequence": 5}).encode())
         self.assertEqual(len(self.replicas.of_service("x")), 1)
 
-    def test_malformed_entry_names_no_replica_and_the_others_hold(self):
+    def test_malformed_entry_removes_only_its_replica(self):
         """Symptom: requests go to an address where no replica listens.
 
         Sequence: another writer leaves an entry under a replica's key: a field is
@@ -182,22 +182,22 @@
         understood of it was used.
         """
         other = json.dumps({**ENTRY, "Address": "10.0.0.2:80"}).encode()
-        self.keys.take("i-2", other)
+        self.keys.apply("i-2", other)
         for bad in bad_entries():
             with self.subTest(bad):
-                self.keys.take("i-1", json.dumps(ENTRY).encode())
+                self.keys.apply("i-1", json.dumps(ENTRY).encode())
                 self.assertEqual(len(self.replicas.of_service("x")), 2)
-                self.keys.take("i-1", bad)
+                self.keys.apply("i-1", bad)
                 found = [one.identity for one in self.replicas.of_service("x")]
                 self.assertEqual(found, ["i-2"])
 
     def test_entry_is_used_again_after_a_malformed_one(self):
         good = json.dumps(ENTRY).encode()
         for value in (good, b"{", good):
-            self.keys.take("i-1", value)
+            self.keys.apply("i-1", value)
         self.assertEqual(len(self.replicas.of_service("x")), 1)
 
-    def test_restarted_replica_holds_what_its_entry_says(self):
+    def test_restarted_replica_uses_its_new_entry(self):
         """Symptom: a restarted replica's first entries are dropped as old ones.
 
         Sequence: it starts again under its identity, its numbers begin anew. Cause:
@@ -206,7 +206,7 @@
         for number, born, version in ((9, 1000, 3), (1, 2000, 1)):
             models = [{"Name": "m", "Version": version}]
             entry = {**ENTRY, "Sequence": number, "born": born, "Models": models}
-            self.keys.take("i-1", json.dumps(entry).encode())
+            self.keys.apply("i-1", json.dumps(entry).encode())
         self.assertEqual(self.replicas.get("i-1").versions, {"m": 1})
 
 
@@ -244,7 +244,7 @@
             for at, reward in enumerate(rewards)
         ]
         body = json.dumps({"Model": "m", "Items": rows})
-        return steps.spec_from("s", "h", "/p", body)
+        return steps.parse_step_spec("s", "h", "/p", body)
 
     def test_reward_call_is_translated(self):
         found = self.spec(self.REWARD, None)
@@ -279,7 +279,7 @@
         wanted = [f"Items.1.Scorer.{name}" for name in ("Id", "Host", "Path")]
         self.assertEqual(places, ["Items.0.Scorer", *wanted])
 
-    def test_step_that_no_reader_of_the_log_understands_is_refused(self):
+    def test_step_unreadable_from_the_log_is_rejected(self):
         """Guards against a step that is accepted and known to nobody for good."""
         cases = [
             ("Id", 5),
@@ -293,14 +293,14 @@
         bad += [{"Model": at, "Items": [good]} for at in (None, 5)]
         for step in bad:
             with self.subTest(step):
-                found = steps.spec_from("s", "h", "/", json.dumps(step).encode())
+                found = steps.parse_step_spec("s", "h", "/", json.dumps(step).encode())
                 self.assertIsInstance(found, Rejected)
-        found = steps.spec_from(
+        found = steps.parse_step_spec(
             "s", "h", "/", json.dumps({"Model": "m", "Items": [good]}).encode()
         )
         self.assertIsInstance(found, StepSpec)
 
-    def test_score_is_shown_where_there_is_one(self):
+    def test_score_is_included_if_present(self):
         samples = [
             Sample("s", "i0", COMPLETED, "t", [1], "mark"),
             Sample("s", "i1", COMPLETED, "t", [1]),
--- a/sassafrasdoor/platform/tests/test_unread_processes.py
+++ b/sassafrasdoor/platform/tests/test_unread_processes.py
@@ -17,7 +17,7 @@
 RECORD_SECONDS = 0.2
 READS = 20
 ENTRY_POINTS = 4
-LONGEST_LAPSE = 4.0
+MAX_LAPSE_SECONDS = 4.0
 """Seconds in which the record of an instance that is gone lapses."""
 
 
@@ -36,22 +36,22 @@
         shard = shard_of(MODEL)
         await self.store.log.append(TOPIC, shard, old, deadline_in(1))
         self.assertEqual((await self.submit("s")).code, 202)
-        await self.until(lambda: self.whole("s", at=1))
+        await self.wait_until(lambda: self.all_results("s", at=1))
         slow = StoreStandin(self.store.log)
-        slow.record_seconds[TOPIC] = RECORD_SECONDS
+        slow.record_read_seconds[TOPIC] = RECORD_SECONDS
         self.addCleanup(slow.stop)
         for name in "de":
             instance = LocalInstance(folder.name, name, slow.address)
             self.addCleanup(instance.close)
             self.instances.append(instance)
-        await self.until_ready()
+        await self.wait_until_ready()
         for at in range(4):
-            await self.until(lambda at=at: self.names_all(at))
+            await self.wait_until(lambda at=at: self.lists_all_instances(at))
         # What others have read is known once their records are renewed.
         for at in (2, 3):
-            await self.until(lambda at=at: self.page("s", at=at))
+            await self.wait_until(lambda at=at: self.page("s", at=at))
 
-    async def names_all(self, at):
+    async def lists_all_instances(self, at):
         named = await self.fetch(self.instances[at].directory, "/-/resolve?Zone=z")
         fronts = {one.front for one in self.instances}
         return set(json.loads(named.body)["Addresses"]) == fronts
@@ -67,10 +67,10 @@
         self.assertEqual(results.count(None), 0)
 
 
-class FirstGoneTest(ProcessCase):
+class FirstReaderGoneTest(ProcessCase):
     """All instances end; the one that comes first for the steps stays away."""
 
-    async def test_steps_are_read_while_the_list_names_one_that_is_gone(self):
+    async def test_steps_are_read_while_the_list_names_a_dead_instance(self):
         """Guards against instances that all wait for one without power."""
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
@@ -78,10 +78,10 @@
             instance = LocalInstance(folder.name, name, self.store.address)
             self.addCleanup(instance.close)
             self.instances.append(instance)
-        await self.until_ready()
+        await self.wait_until_ready()
         self.assertEqual((await self.submit("s")).code, 202)
-        await self.until(lambda: self.whole("s", at=1))
-        await self.until(lambda: self.knows_peers(1, ENTRY_POINTS))
+        await self.wait_until(lambda: self.all_results("s", at=1))
+        await self.wait_until(lambda: self.lists_instances(1, ENTRY_POINTS))
         named = await self.fetch(self.instances[1].directory, "/-/resolve?Zone=z")
         points = json.loads(named.body)["Addresses"]
         first = next(iter(ranked(dict.fromkeys(points, 1.0), READERS_KEY)))
@@ -90,13 +90,13 @@
         self.instances = [one for one in self.instances if one.front != first]
         for instance in self.instances:
             instance.start()
-        await self.until_ready()
-        began, all_refuse_until = now(), 0.0
-        while now() < began + LONGEST_LAPSE:
+        await self.wait_until_ready()
+        began, last_refused_by_all = now(), 0.0
+        while now() < began + MAX_LAPSE_SECONDS:
             pages = await asyncio.gather(
                 *(self.page("s", at=at) for at in range(len(self.instances)))
             )
             if not any(pages):
-                all_refuse_until = now() - began
+                last_refused_by_all = now() - began
             await asyncio.sleep(0.1)
-        self.assertLess(all_refuse_until, LONGEST_LAPSE / 2)
+        self.assertLess(last_refused_by_all, MAX_LAPSE_SECONDS / 2)
--- a/sassafrasdoor/platform/wire.py
+++ b/sassafrasdoor/platform/wire.py
@@ -17,12 +17,12 @@
 
 MISDIRECTED = 421
 
-_SET_ANEW = {name.lower() for name in (DEADLINE, EXPECT_INSTANCE)}
-NOT_SENT_ON = (ONE_HOP | _SET_ANEW) - {"host", "x-request-id"}
-NOT_SENT_BACK = ONE_HOP - {"x-request-id"}
+_REPLACED_PER_HOP = {name.lower() for name in (DEADLINE, EXPECT_INSTANCE)}
+DROPPED_FROM_REQUEST = (ONE_HOP | _REPLACED_PER_HOP) - {"host", "x-request-id"}
+DROPPED_FROM_ANSWER = ONE_HOP - {"x-request-id"}
 
 
-def header_pairs(headers, left_out):
+def header_pairs(headers, excluded):
     """Return the ``(name, value)`` pairs of headers but for those left out.
 
     Headers that ``Connection`` names concern that connection only.
@@ -31,5 +31,5 @@
     return [
         (name, value)
         for name, value in headers.get_all()
-        if name.lower() not in left_out and name.lower() not in named
+        if name.lower() not in excluded and name.lower() not in named
     ]
