--- a/sassafrasdoor/platform/__main__.py
+++ b/sassafrasdoor/platform/__main__.py
@@ -19,16 +19,16 @@
 
 def main(arguments=None):
     """Serve callers, trainers and the directory until SIGTERM; return the exit code."""
-    given = _parser().parse_args(arguments)
+    options = _parser().parse_args(arguments)
     path = os.environ.get(settings.PATH_VARIABLE, "")
-    found = settings.load(path)
-    if not found:
-        for finding in found.findings:
+    loaded = settings.load(path)
+    if not loaded:
+        for finding in loaded.findings:
             print(finding, file=sys.stderr)
         return INVALID_SETTINGS
-    if not given.check:
-        decisions.start(found.name)
-        asyncio.run(Process(found, path, given.metrics_port).run())
+    if not options.check:
+        decisions.start(loaded.name)
+        asyncio.run(Process(loaded, path, options.metrics_port).run())
     return 0
 
 
--- a/sassafrasdoor/platform/configuration.py
+++ b/sassafrasdoor/platform/configuration.py
@@ -38,14 +38,16 @@
 def parse_configuration(document):
     """Return the ``Configuration``; raises ``KeyError``, ``TypeError``, ``ValueError``."""
     models = {
-        one["Name"]: [model["Name"] for model in one["Engine"].get("Models", ())]
-        for one in document["Services"]
-        if one.get("Engine")
+        service["Name"]: [
+            model["Name"] for model in service["Engine"].get("Models", ())
+        ]
+        for service in document["Services"]
+        if service.get("Engine")
     }
     limits = document.get("Limits") or {}
     return Configuration(
         int(document["Version"]),
-        [_parse_route(one) for one in document["Routes"]],
+        [_parse_route(route) for route in document["Routes"]],
         models,
         Limits(
             int(limits.get("MaxHeaderBytes", 16384)),
@@ -55,31 +57,32 @@
     )
 
 
-def _parse_route(one):
-    services = [(one["Service"], 1)] if one.get("Service") else []
+def _parse_route(document):
+    services = [(document["Service"], 1)] if document.get("Service") else []
     services += [
-        (part["Service"], part["Weight"]) for part in one.get("TrafficSplit") or ()
+        (share["Service"], share["Weight"])
+        for share in document.get("TrafficSplit") or ()
     ]
-    timeout = (one.get("TimeoutMs") or DEFAULT_TIMEOUT_MS) / 1000
+    timeout = (document.get("TimeoutMs") or DEFAULT_TIMEOUT_MS) / 1000
     return Route(
-        name=one["Name"],
-        host=one["Host"].lower(),
-        prefix=one["PathPrefix"],
-        repeat=_repeat_policy(one),
-        streams=one["Kind"] == STREAMING,
+        name=document["Name"],
+        host=document["Host"].lower(),
+        prefix=document["PathPrefix"],
+        repeat=_repeat_policy(document),
+        streams=document["Kind"] == STREAMING,
         services=services,
         timeout=timeout,
-        target=(one.get("TargetLatencyMs") or timeout * 1000) / 1000,
-        attempts=max(1, one.get("MaxAttempts") or 1),
-        keep_for=float(one.get("RetentionS") or DEFAULT_RETENTION_S),
-        one_version=bool(one.get("SingleVersion")),
+        target=(document.get("TargetLatencyMs") or timeout * 1000) / 1000,
+        attempts=max(1, document.get("MaxAttempts") or 1),
+        keep_for=float(document.get("RetentionS") or DEFAULT_RETENTION_S),
+        one_version=bool(document.get("SingleVersion")),
     )
 
 
-def _repeat_policy(one):
-    if one["Kind"] == STREAMING and one.get("Resumable"):
+def _repeat_policy(document):
+    if document["Kind"] == STREAMING and document.get("Resumable"):
         return Repeat.RESUME
-    return REPEAT_BY_KIND.get(one["Kind"], Repeat.ONCE)
+    return REPEAT_BY_KIND.get(document["Kind"], Repeat.ONCE)
 
 
 def parse_listing(document):
@@ -102,8 +105,8 @@
         slots,
         _IS_DRAINING[_typed_field(document, "State", str)],
         {
-            _typed_field(one, "Name", str): _typed_field(one, "Version", int)
-            for one in _typed_field(document, "Models", list, [])
+            _typed_field(model, "Name", str): _typed_field(model, "Version", int)
+            for model in _typed_field(document, "Models", list, [])
         },
         _typed_field(document, "born", int, 0),
     )
@@ -170,10 +173,10 @@
             return
         # Nearly every record is a heartbeat in which the number alone differs. Parsing
         # each anew would take most of an idle instance's processor time.
-        without_number = _SEQUENCE_FIELD.sub(b"", value)
-        if self._last_entries.get(identity) == without_number:
+        entry_without_sequence = _SEQUENCE_FIELD.sub(b"", value)
+        if self._last_entries.get(identity) == entry_without_sequence:
             return
-        self._last_entries[identity] = without_number
+        self._last_entries[identity] = entry_without_sequence
         try:
             listing = parse_listing(json.loads(value))
         except PARSE_ERRORS as error:
--- a/sassafrasdoor/platform/front.py
+++ b/sassafrasdoor/platform/front.py
@@ -62,10 +62,10 @@
 
     async def _serve(self):
         path = self.request.path
-        for pattern, method, call in _STEP_CALLS:
-            found = pattern.match(path)
-            if found and self.request.method == method:
-                await call(self, found.group(1))
+        for pattern, method, handler in _STEP_CALLS:
+            match = pattern.match(path)
+            if match and self.request.method == method:
+                await handler(self, match.group(1))
                 return
         await self._route(path)
 
@@ -119,8 +119,8 @@
 
     async def _stream(self, request):
         caller = _WireCaller(self)
-        passing = self._parts.streams.answer(request, caller)
-        result = await self._while_connected(passing)
+        stream = self._parts.streams.answer(request, caller)
+        result = await self._while_connected(stream)
         if result is True:
             self.finish()
         elif result is not None and self._headers_written:
@@ -136,10 +136,10 @@
             note(
                 "step.invalid",
                 request=self._request_id,
-                findings=[str(one) for one in spec.findings[:5]],
+                findings=[str(finding) for finding in spec.findings[:5]],
             )
             self._reply_json(
-                400, {"findings": [one.as_dict() for one in spec.findings]}
+                400, {"findings": [finding.as_dict() for finding in spec.findings]}
             )
             return
         submission = self._parts.steps.submit(spec, self._deadline(), self._forwarder)
@@ -151,11 +151,11 @@
 
     async def _read_step(self, step_id):
         query = parse_qs_bytes(self.request.query.encode())
-        first = max(0, _parse_int(query.get("After", [b"0"])[0], 0))
+        first_position = max(0, _parse_int(query.get("After", [b"0"])[0], 0))
         wait = _parse_int(self.request.headers.get(wire.WAIT), 0) / 1000
-        until = deadline_in(min(wait, MAX_POLL_WAIT))
+        wait_deadline = deadline_in(min(wait, MAX_POLL_WAIT))
         page = await self._while_connected(
-            self._parts.steps.read(step_id, first, until)
+            self._parts.steps.read(step_id, first_position, wait_deadline)
         )
         if isinstance(page, Page):
             self._reply_json(200, documents.page_document(page))
@@ -260,9 +260,9 @@
         return reply
 
     def _deadline(self):
-        stated = _parse_int(self.request.headers.get(wire.DEADLINE), 0)
+        timeout_ms = _parse_int(self.request.headers.get(wire.DEADLINE), 0)
         return self._started_at + (
-            stated / 1000 if stated > 0 else DEFAULT_CALL_TIMEOUT
+            timeout_ms / 1000 if timeout_ms > 0 else DEFAULT_CALL_TIMEOUT
         )
 
 
@@ -313,12 +313,12 @@
 
 def control_application(parts):
     """Return the application of the address where other instances ask."""
-    known = {"parts": parts}
+    arguments = {"parts": parts}
     return _application(
         [
-            (NEWEST_PATH, PeerHandler, known),
-            (READ_PATH, RelayHandler, known),
-            (APPEND_PATH, RelayHandler, known),
+            (NEWEST_PATH, PeerHandler, arguments),
+            (READ_PATH, RelayHandler, arguments),
+            (APPEND_PATH, RelayHandler, arguments),
         ]
     )
 
--- a/sassafrasdoor/platform/measure.py
+++ b/sassafrasdoor/platform/measure.py
@@ -95,25 +95,25 @@
             body = json.dumps(_step(name)).encode()
             front = self._instance.front
             assert await self._status("POST", "/s/", front, body, name) == 202
-            listed = 0
-            while listed < ITEMS:
-                path = f"/-/lots/{name}?After={listed}"
+            position = 0
+            while position < ITEMS:
+                path = f"/-/lots/{name}?After={position}"
                 reply = await self._send("GET", path, front)
-                listed = json.loads(reply.body)["NextToken"]
+                position = json.loads(reply.body)["NextToken"]
                 await asyncio.sleep(0.1)
 
 
 def _step(name):
     rows = [
         {
-            "Id": f"{name}-{at}",
-            "Path": f"/s/{at}",
+            "Id": f"{name}-{index}",
+            "Path": f"/s/{index}",
             "Headers": {},
             "Body": base64.b64encode(b"b" * 600).decode(),
             "Tokens": 300,
-            "Group": f"g{at // 4}",
+            "Group": f"g{index // 4}",
         }
-        for at in range(ITEMS)
+        for index in range(ITEMS)
     ]
     return {"Step": 1, "Model": MODEL, "MinVersion": 1, "Desired": 9, "Items": rows}
 
@@ -128,16 +128,16 @@
             await asyncio.sleep(5)
             idle = (bench.processor_seconds() - before) / 5
             print(f"idle: {100 * idle:.2f} % of a core")
-            for what, count, work in (
+            for label, count, work in (
                 ("plain call", calls, bench.calls(calls)),
                 (f"item of {EVENTS} events", steps * ITEMS, bench.steps(steps)),
             ):
                 started = asyncio.get_running_loop().time()
                 before = bench.processor_seconds()
                 await work
-                took = asyncio.get_running_loop().time() - started
-                spent = bench.processor_seconds() - before - idle * took
-                print(f"{what}: {1000 * spent / count:.2f} ms of processor time")
+                elapsed = asyncio.get_running_loop().time() - started
+                used = bench.processor_seconds() - before - idle * elapsed
+                print(f"{label}: {1000 * used / count:.2f} ms of processor time")
         finally:
             bench.close()
 
--- a/sassafrasdoor/platform/peers.py
+++ b/sassafrasdoor/platform/peers.py
@@ -51,22 +51,22 @@
         addresses = addresses or self._addresses
         for address in addresses:
             if address not in self._relay_clients:
-                relay = Store(address, newest_query={FROM_STORE_PARAMETER: 1})
-                self._relay_clients[address] = relay
+                client = Store(address, newest_query={FROM_STORE_PARAMETER: 1})
+                self._relay_clients[address] = client
         return [self._relay_clients[address] for address in addresses]
 
     async def newest(self, topic):
         """Return the ``NewestKeys`` of a topic as a peer knows them, or None."""
-        for store in random.sample(self._peer_clients, len(self._peer_clients)):
-            found = await store.newest(topic)
-            if not isinstance(found, Unavailable):
-                return found
+        for client in random.sample(self._peer_clients, len(self._peer_clients)):
+            newest_keys = await client.newest(topic)
+            if not isinstance(newest_keys, Unavailable):
+                return newest_keys
         return None
 
     def close(self):
         """Close all connections."""
-        for store in [*self._peer_clients, *self._relay_clients.values()]:
-            store.close()
+        for client in [*self._peer_clients, *self._relay_clients.values()]:
+            client.close()
 
 
 class PeerHandler(WireHandler):
@@ -113,9 +113,9 @@
         )
         offset = int(self.get_query_argument("From"))
         store = self._parts.store
-        most = int(self.get_query_argument("MaxKb", "0")) * 1024 or None
+        max_bytes = int(self.get_query_argument("MaxKb", "0")) * 1024 or None
         result = await self._while_connected(
-            store.read(*self._partition(), offset, wait, RELAY_TIMEOUT, most)
+            store.read(*self._partition(), offset, wait, RELAY_TIMEOUT, max_bytes)
         )
         if isinstance(result, Expired):
             self._reply_json(GONE, {"First": result.first})
--- a/sassafrasdoor/platform/process.py
+++ b/sassafrasdoor/platform/process.py
@@ -128,8 +128,8 @@
         )
         self._steps = Steps()
         # The shard after those of the steps is no step's: its holder orders the loads.
-        shards = min(SHARD_COUNT, settings.partitions - 1)
-        self._weights_shard = shards
+        shard_count = min(SHARD_COUNT, settings.partitions - 1)
+        self._weights_shard = shard_count
         member = f"{settings.front}/{uuid.uuid4().hex[:8]}"
         self._instances = Instances(
             settings,
@@ -152,10 +152,10 @@
                 self._following,
                 self._way,
             )
-            for shard in range(shards + 1)
+            for shard in range(shard_count + 1)
         ]
         self._outboxes = [
-            Outbox(self._log, TOPIC, shard) for shard in range(shards + 1)
+            Outbox(self._log, TOPIC, shard) for shard in range(shard_count + 1)
         ]
         self._runner = Runner(
             self._client,
@@ -177,19 +177,21 @@
             self._instances,
         )
         self._build_weights()
-        keys = configuration.OperatorTopicReader(self._routes, self._weights.named)
+        operator_topic = configuration.OperatorTopicReader(
+            self._routes, self._weights.named
+        )
         self._operator_tail = KeyedTail(
             self._log,
             configuration.OPERATOR_TOPIC,
-            keys.apply,
+            operator_topic.apply,
             elsewhere=self._peers.newest,
             way=self._way,
         )
-        listed = configuration.ServersTopicReader(self._replicas)
+        servers_topic = configuration.ServersTopicReader(self._replicas)
         self._replica_list_tail = KeyedTail(
             self._log,
             configuration.SERVERS_TOPIC,
-            listed.apply,
+            servers_topic.apply,
             REPLICA_LIST_READ_INTERVAL,
             self._peers.newest,
             self._way,
@@ -342,11 +344,11 @@
                 self._following.set()
             else:
                 self._following.clear()
-            steps = self._tails[: self._weights_shard]
-            self._instances.has_read = self._following.is_set() and all_read(steps)
-            waits = not (self._read_slot.has_come or self._instances.in_reserve)
+            step_tails = self._tails[: self._weights_shard]
+            self._instances.has_read = self._following.is_set() and all_read(step_tails)
+            waiting = not (self._read_slot.has_come or self._instances.in_reserve)
             await asyncio.sleep(
-                READ_SLOT_CHECK_INTERVAL if waits else FOLLOW_CHECK_INTERVAL
+                READ_SLOT_CHECK_INTERVAL if waiting else FOLLOW_CHECK_INTERVAL
             )
 
     def _should_follow_steps(self):
@@ -477,31 +479,33 @@
         restart, and until then serves on as it is.
         """
         self._settings_signature = platform_settings.file_signature(self._path)
-        found = platform_settings.load(self._path)
-        if not found:
-            findings = [str(one) for one in found.findings[:MAX_LOGGED_FINDINGS]]
+        loaded = platform_settings.load(self._path)
+        if not loaded:
+            findings = [str(item) for item in loaded.findings[:MAX_LOGGED_FINDINGS]]
             note("process.reloaded", valid=False, findings=findings)
             return
-        taken, waiting = self._settings.take_over(found)
-        note("process.reloaded", valid=True, taken=taken, at_next_start=waiting)
+        applied, deferred = self._settings.take_over(loaded)
+        note("process.reloaded", valid=True, taken=applied, at_next_start=deferred)
 
     async def _shut_down(self):
         """Send callers elsewhere, hand the duties over, and serve on meanwhile."""
-        limit = deadline_in(self._settings.stop_within * DRAIN_SHARE)
-        note("process.stopping", seconds=round(remaining(limit), 2))
+        drain_deadline = deadline_in(self._settings.stop_within * DRAIN_SHARE)
+        note("process.stopping", seconds=round(remaining(drain_deadline), 2))
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout_at(limit):
+            async with asyncio.timeout_at(drain_deadline):
                 await asyncio.gather(
                     self._instances.leave(),
                     self._release_shards(),
                 )
-        await asyncio.sleep(max(0.0, remaining(limit) - 1.0))
+        await asyncio.sleep(max(0.0, remaining(drain_deadline) - 1.0))
         self.closing = True
-        await asyncio.sleep(remaining(limit))
+        await asyncio.sleep(remaining(drain_deadline))
         for server in self._servers:
             server.stop()
-        end = limit + self._settings.stop_within * FINISH_IN_FLIGHT_SHARE
-        while self.in_flight and not passed(end):  # noqa: ASYNC110
+        finish_deadline = (
+            drain_deadline + self._settings.stop_within * FINISH_IN_FLIGHT_SHARE
+        )
+        while self.in_flight and not passed(finish_deadline):  # noqa: ASYNC110
             await asyncio.sleep(IN_FLIGHT_CHECK_INTERVAL)
 
     async def _release_shards(self):
--- a/sassafrasdoor/platform/servers.py
+++ b/sassafrasdoor/platform/servers.py
@@ -55,25 +55,29 @@
 
     async def stream(self, replica, call, passing):
         """Pass events on; return True when whole, or as ``call`` does."""
-        blocks = _EventSplitter()
-        own = _response_check(call.request_id)
+        splitter = _EventSplitter()
+        check = _response_check(call.request_id)
 
-        def accept(status, answered):
-            refused = own(status, answered)
-            if not refused and status == 200:
-                if wire.STAMP not in answered:
+        def accept(status, response_headers):
+            mismatch = check(status, response_headers)
+            if not mismatch and status == 200:
+                if wire.STAMP not in response_headers:
                     return MISSING_STAMP
-                passing.head(wire.header_pairs(answered, wire.DROPPED_FROM_ANSWER))
-            return refused
+                passing.head(
+                    wire.header_pairs(response_headers, wire.DROPPED_FROM_ANSWER)
+                )
+            return mismatch
 
-        async def take(data):
-            for block in blocks.feed(data):
+        async def forward_events(data):
+            for block in splitter.feed(data):
                 await passing.event(_event_number(block), block + EVENT_END)
 
-        reply = await self._send(replica, _build_request(replica, call), accept, take)
+        reply = await self._send(
+            replica, _build_request(replica, call), accept, forward_events
+        )
         if isinstance(reply, Broken) or reply.status != 200:
             return _answer_from(reply)
-        return blocks.end_result
+        return splitter.end_result
 
     async def generate(self, replica, order, on_event):
         """Hand on events; return True, ``SampleFailed``, ``NotRun`` or ``Broken``."""
@@ -85,22 +89,22 @@
             headers[wire.LAST_EVENT] = str(order.after)
         request = Outgoing("POST", order.path, headers, order.body, order.deadline)
         events = _EventReader(on_event)
-        own = _response_check(order.item_id)
+        check = _response_check(order.item_id)
 
-        def accept(status, answered):
-            refused = own(status, answered)
-            if not refused and status == 200:
-                events.version = _parse_int(answered.get(wire.VERSIONS))
-            return refused
+        def accept(status, response_headers):
+            mismatch = check(status, response_headers)
+            if not mismatch and status == 200:
+                events.version = _parse_int(response_headers.get(wire.VERSIONS))
+            return mismatch
 
         reply = await self._send(replica, request, accept, events.feed)
         if isinstance(reply, Broken):
             return reply
         if reply.status == 200:
             return events.end_result
-        refused = _refusal(reply)
-        if refused is not None:
-            return refused
+        refusal = _refusal(reply)
+        if refusal is not None:
+            return refusal
         return SampleFailed(f"status {reply.status}", reply.status == UNPROCESSABLE)
 
     async def order(self, replica, order):
@@ -159,10 +163,10 @@
 
     def feed(self, data):
         """Take bytes of the stream; return the events that they complete."""
-        *end_result, self._incomplete_event = (self._incomplete_event + data).split(
+        *complete, self._incomplete_event = (self._incomplete_event + data).split(
             EVENT_END
         )
-        return [block for block in end_result if block.strip()]
+        return [block for block in complete if block.strip()]
 
 
 class _EventReader:
@@ -222,9 +226,9 @@
     """Return the ``Answer`` in a reply, ``NotRun``, ``WrongReplica`` or ``Broken``."""
     if isinstance(reply, Broken):
         return reply
-    refused = _refusal(reply)
-    if refused is not None:
-        return refused
+    refusal = _refusal(reply)
+    if refusal is not None:
+        return refusal
     if wire.STAMP not in reply.headers:
         # A head cut short still reads as one. Passed on, the caller would take
         # half an answer for its own; only the stamp shows whose answer it is.
@@ -251,11 +255,11 @@
     """
 
     def check(status, headers):
-        echoed = headers.get(wire.REQUEST_ID)
-        if echoed == request_id:
+        echoed_id = headers.get(wire.REQUEST_ID)
+        if echoed_id == request_id:
             return ""
-        refusal = status == wire.MISDIRECTED or wire.NOT_RUN in headers
-        return "" if echoed is None and refusal else "answer to another request"
+        is_refusal = status == wire.MISDIRECTED or wire.NOT_RUN in headers
+        return "" if echoed_id is None and is_refusal else "answer to another request"
 
     return check
 
@@ -270,9 +274,9 @@
 
 
 def _record_load(replica, headers):
-    parts = headers.get(wire.LOAD, "").split(",")
-    if len(parts) == 3 and all(part.strip().isdigit() for part in parts):
-        replica.told_load(int(parts[0]), int(parts[1]))
+    figures = headers.get(wire.LOAD, "").split(",")
+    if len(figures) == 3 and all(figure.strip().isdigit() for figure in figures):
+        replica.told_load(int(figures[0]), int(figures[1]))
 
 
 def _parse_int(text, default=0):
--- a/sassafrasdoor/platform/settings.py
+++ b/sassafrasdoor/platform/settings.py
@@ -103,19 +103,19 @@
             for name in self.__slots__
             if name != "instance" and getattr(self, name) != getattr(other, name)
         ]
-        taken = [name for name in changed if name in RELOADABLE]
-        for name in taken:
+        applied = [name for name in changed if name in RELOADABLE]
+        for name in applied:
             setattr(self, name, getattr(other, name))
-        return taken, [name for name in changed if name not in RELOADABLE]
+        return applied, [name for name in changed if name not in RELOADABLE]
 
 
 def file_signature(path):
     """Return what changes when the file at ``path`` is written; None without a file."""
     try:
-        found = os.stat(path)
+        status = os.stat(path)
     except OSError:
         return None
-    return found.st_mtime_ns, found.st_size, found.st_ino
+    return status.st_mtime_ns, status.st_size, status.st_ino
 
 
 def parse_lines(text):
@@ -155,30 +155,30 @@
 
 
 def _build_settings(fields, numbers):
-    found = PlatformSettings()
-    found.name = fields["NodeName"]
-    found.front = fields["Listen.Front"]
-    found.ready = fields["Listen.Ready"]
-    found.directory = fields.get("Listen.Directory", "")
-    found.control = fields.get("Listen.Control", "")
-    seeds = [one for one in fields.get("Seeds", "").split(",") if one]
-    found.peers = [one for one in seeds if one != found.control]
-    found.store = fields["Platform.Address"]
-    found.config_apply = numbers["Bounds.ConfigApplyMs"] / 1000
-    found.stop_within = numbers["Bounds.GraceS"]
-    found.lease = numbers["Bounds.LeaseMs"] / 1000
-    found.fenced = fields.get("Bounds.RequireFencing", "").lower() == "true"
-    found.heartbeat = numbers["HeartbeatMs"] / 1000
-    found.results_kept = numbers["Bounds.StatusS"]
-    found.record_bytes = int(numbers["Platform.RecordBytes"])
-    found.reads_per_second = max(1.0, numbers["Platform.ReadsPerS"])
-    found.read_bytes_per_second = max(1.0, numbers["Platform.ReadMbS"]) * 1e6
-    found.cores = numbers["Limits.CpuShare"] * numbers["Limits.Cores"]
-    found.partitions = int(numbers["Platform.parts"])
-    found.instance = InstancePlace(
-        name=found.name,
+    settings = PlatformSettings()
+    settings.name = fields["NodeName"]
+    settings.front = fields["Listen.Front"]
+    settings.ready = fields["Listen.Ready"]
+    settings.directory = fields.get("Listen.Directory", "")
+    settings.control = fields.get("Listen.Control", "")
+    seeds = [address for address in fields.get("Seeds", "").split(",") if address]
+    settings.peers = [address for address in seeds if address != settings.control]
+    settings.store = fields["Platform.Address"]
+    settings.config_apply = numbers["Bounds.ConfigApplyMs"] / 1000
+    settings.stop_within = numbers["Bounds.GraceS"]
+    settings.lease = numbers["Bounds.LeaseMs"] / 1000
+    settings.fenced = fields.get("Bounds.RequireFencing", "").lower() == "true"
+    settings.heartbeat = numbers["HeartbeatMs"] / 1000
+    settings.results_kept = numbers["Bounds.StatusS"]
+    settings.record_bytes = int(numbers["Platform.RecordBytes"])
+    settings.reads_per_second = max(1.0, numbers["Platform.ReadsPerS"])
+    settings.read_bytes_per_second = max(1.0, numbers["Platform.ReadMbS"]) * 1e6
+    settings.cores = numbers["Limits.CpuShare"] * numbers["Limits.Cores"]
+    settings.partitions = int(numbers["Platform.parts"])
+    settings.instance = InstancePlace(
+        name=settings.name,
         host=fields["Ip"],
         availability_zone=fields["Zone"],
         region=fields["Region"],
     )
-    return found
+    return settings
--- a/sassafrasdoor/platform/standin.py
+++ b/sassafrasdoor/platform/standin.py
@@ -193,14 +193,14 @@
 
     def entry(self, service, models, state="ready"):
         """Return its entry of the list."""
-        found = [{"Name": name, "Version": self.version} for name in models]
+        versions = [{"Name": name, "Version": self.version} for name in models]
         return {
             "Service": service,
             "Address": self.address,
             "Zone": "z",
             "Slots": self.slots,
             "State": state,
-            "Models": found,
+            "Models": versions,
             "born": self.born,
         }
 
@@ -303,12 +303,12 @@
         replica = self._replica
         self.set_header(wire.VERSIONS, str(replica.version))
         first = 0 if self._run.after is None else self._run.after + 1
-        broken = replica.break_after.pop(0) if replica.break_after else None
+        break_at = replica.break_after.pop(0) if replica.break_after else None
         try:
             for number in range(first, replica.events):
                 await asyncio.sleep(replica.pause)
-                ended = self._connection_closed or self._incarnation != replica.born
-                if ended or number - first == broken:
+                is_over = self._connection_closed or self._incarnation != replica.born
+                if is_over or number - first == break_at:
                     self._end()
                     self.request.connection.stream.close()
                     return
--- a/sassafrasdoor/platform/steps.py
+++ b/sassafrasdoor/platform/steps.py
@@ -16,10 +16,14 @@
         document = json.loads(body)
         model = document.get("Model", "")
         rows = document["Items"]
-        items = [_parse_item(row, model, f"Items.{at}") for at, row in enumerate(rows)]
-        faults = [one for found in items if isinstance(found, list) for one in found]
-        if faults:
-            return Rejected("step invalid", faults)
+        items = [
+            _parse_item(row, model, f"Items.{index}") for index, row in enumerate(rows)
+        ]
+        findings = [
+            finding for item in items if isinstance(item, list) for finding in item
+        ]
+        if findings:
+            return Rejected("step invalid", findings)
         spec = StepSpec(
             step_id=step_id,
             host=host,
@@ -31,8 +35,12 @@
             items=items,
         )
         # Kept, it would be skipped by every reader of the log: accepted and unknown.
-        fault = records.validation_error(spec)
-        return Rejected("step invalid", [Finding("(root)", fault)]) if fault else spec
+        error_text = records.validation_error(spec)
+        return (
+            Rejected("step invalid", [Finding("(root)", error_text)])
+            if error_text
+            else spec
+        )
     except (ValueError, KeyError, TypeError, AttributeError) as error:
         return Rejected("step invalid", [Finding("(root)", repr(error))])
 
@@ -65,20 +73,20 @@
         return None
     if not isinstance(document, dict):
         return [Finding(place, "must be an object")]
-    found = [
+    findings = [
         Finding(f"{place}.{name}", "must be text that is not empty")
         for name in ("Id", "Host", "Path")
         if not isinstance(document.get(name), str) or not document[name]
     ]
-    if not found and not document["Path"].startswith("/"):
-        found.append(Finding(f"{place}.Path", "must begin with a slash"))
+    if not findings and not document["Path"].startswith("/"):
+        findings.append(Finding(f"{place}.Path", "must begin with a slash"))
     body = b""
     try:
         body = base64.b64decode(document.get("Body") or "", validate=True)
     except (TypeError, ValueError, binascii.Error) as error:
-        found.append(Finding(f"{place}.Body", repr(error)))
-    if found:
-        return found
+        findings.append(Finding(f"{place}.Body", repr(error)))
+    if findings:
+        return findings
     return RewardCall(document["Id"], document["Host"], document["Path"], body)
 
 
--- a/sassafrasdoor/platform/store.py
+++ b/sassafrasdoor/platform/store.py
@@ -54,8 +54,8 @@
         query = {"Topic": topic, "part": part}
         reply = await self._call("append", "POST", "log-append", query, body, deadline)
         if isinstance(reply, Broken):
-            lost = ReplyLost if reply.began else Unavailable
-            return lost(reply.reason)
+            outcome_type = ReplyLost if reply.began else Unavailable
+            return outcome_type(reply.reason)
         document = _json_object(reply)
         if reply.status == OK and document:
             return Appended(document["Offset"], document["End"])
@@ -123,8 +123,8 @@
             else:
                 size = len(reply.body)
         finally:
-            answered = reply is not None and not isinstance(reply, Broken)
-            self._call_counter.end(purpose, answered and reply.status == OK, size)
+            is_answered = reply is not None and not isinstance(reply, Broken)
+            self._call_counter.end(purpose, is_answered and reply.status == OK, size)
         result = "broken" if isinstance(reply, Broken) else str(reply.status)
         CALLS.inc({"call": name, "result": result})
         return reply
@@ -132,19 +132,19 @@
 
 def pack_records(records):
     """Return records (bytes) one behind another, each with its length."""
-    return b"".join(RECORD_LENGTH.pack(len(one)) + one for one in records)
+    return b"".join(RECORD_LENGTH.pack(len(record)) + record for record in records)
 
 
 def unpack_records(data):
     """Return the records in such bytes, None where one of them is cut."""
-    records, at = [], 0
-    while at + RECORD_LENGTH.size <= len(data):
-        (length,) = RECORD_LENGTH.unpack_from(data, at)
-        at += RECORD_LENGTH.size
-        if at + length > len(data):
+    records, position = [], 0
+    while position + RECORD_LENGTH.size <= len(data):
+        (length,) = RECORD_LENGTH.unpack_from(data, position)
+        position += RECORD_LENGTH.size
+        if position + length > len(data):
             return None
-        records.append(data[at : at + length])
-        at += length
+        records.append(data[position : position + length])
+        position += length
     return records
 
 
--- a/sassafrasdoor/platform/tests/cases.py
+++ b/sassafrasdoor/platform/tests/cases.py
@@ -96,14 +96,14 @@
             await self.store.put(configuration.SERVERS_TOPIC, replica.identity, entry)
 
     async def wait_until(self, condition):
-        limit = deadline_in(CONDITION_TIMEOUT)
+        deadline = deadline_in(CONDITION_TIMEOUT)
         while True:
-            found = condition()
-            if asyncio.iscoroutine(found):
-                found = await found
-            if found:
-                return found
-            if passed(limit):
+            result = condition()
+            if asyncio.iscoroutine(result):
+                result = await result
+            if result:
+                return result
+            if passed(deadline):
                 self.fail(f"condition never came true\n{self.report()}")
             await asyncio.sleep(0.05)
 
@@ -113,17 +113,19 @@
         Each instance's end, if it has ended, and its last log lines; the last answers.
         """
         texts = [f"last answers: {list(self.answers)}"]
-        for one in getattr(self, "instances", ()):
-            lines = one.log_path.read_text("utf-8").splitlines()[-MAX_SHOWN_LOG_LINES:]
+        for instance in getattr(self, "instances", ()):
+            lines = instance.log_path.read_text("utf-8").splitlines()[
+                -MAX_SHOWN_LOG_LINES:
+            ]
             texts += [
-                f"{one.name} front {one.front} ended {one.process.poll()}",
+                f"{instance.name} front {instance.front} ended {instance.process.poll()}",
                 *lines,
             ]
         return "\n".join(texts)
 
     async def wait_until_ready(self):
         for instance in self.instances:
-            await self.wait_until(lambda one=instance: self.is_ready(one))
+            await self.wait_until(lambda instance=instance: self.is_ready(instance))
 
     async def is_ready(self, instance):
         return (await self.fetch(instance.ready, "/-/ready")).code == 200
@@ -188,7 +190,7 @@
         for offset, data in enumerate(records):
             steps.fold(shard, offset, data)
         front = steps.claims[shard].runner.partition("/")[0]
-        return next(one for one in self.instances if one.front == front)
+        return next(instance for instance in self.instances if instance.front == front)
 
     def all_runs(self):
         return [run for engine in self.engines for run in engine.runs]
@@ -198,8 +200,8 @@
 
     async def lists_instances(self, at, count=0):
         """Say whether an instance names so many instances, all of them without a count."""
-        named = await self.fetch(self.instances[at].directory, "/-/resolve?Zone=z")
-        addresses = json.loads(named.body)["Addresses"]
+        reply = await self.fetch(self.instances[at].directory, "/-/resolve?Zone=z")
+        addresses = json.loads(reply.body)["Addresses"]
         return len(addresses) == (count or len(self.instances))
 
     def lines(self, wanted, kind=""):
--- a/sassafrasdoor/platform/tests/test_boundary.py
+++ b/sassafrasdoor/platform/tests/test_boundary.py
@@ -41,21 +41,21 @@
         self.assertIn(PACKAGE / "requests" / "direct.py", sources())
 
     def test_nothing_outside_imports_the_folder(self):
-        found = [
+        importers = [
             str(path)
             for path in sources()
             for name in imported(path)
             if name.startswith("sassafrasdoor.platform")
         ]
-        self.assertEqual(found, [])
+        self.assertEqual(importers, [])
 
     def test_wire_names_are_confined_to_the_folder(self):
-        found = [
+        occurrences = [
             f"{path.relative_to(ROOT)}: {match.group()}"
             for path in sources()
             for match in WIRE_NAMES.finditer(path.read_text("utf-8"))
         ]
-        self.assertEqual(found, [])
+        self.assertEqual(occurrences, [])
 
     def test_program_does_not_import_unused_packages(self):
         """Symptom: after all processes have died, callers find nobody for longer.
--- a/sassafrasdoor/platform/tests/test_calls_processes.py
+++ b/sassafrasdoor/platform/tests/test_calls_processes.py
@@ -65,11 +65,11 @@
         calls = []
         # Calls on remembered addresses are promised for a part of the stop's five
         # seconds: those that a busy machine lets come later are none of them.
-        last_at = None
-        while last_at is None or not passed(last_at):
+        calls_deadline = None
+        while calls_deadline is None or not passed(calls_deadline):
             if len(calls) == 3:
                 first.signal(signal.SIGTERM)
-                last_at = deadline_in(1.7)
+                calls_deadline = deadline_in(1.7)
             headers = {wire.REQUEST_ID: f"r{len(calls)}"}
             call = self.fetch(first.front, "/plain/x", "POST", "b", **headers)
             calls.append(asyncio.ensure_future(call))
@@ -79,8 +79,8 @@
         self.assertGreater(len(calls), 4)
         self.assertFalse(await self.is_ready(first))
         self.assertEqual(await asyncio.to_thread(first.process.wait, 30), 0)
-        named = await self.fetch(self.instances[1].directory, "/-/resolve?Zone=z")
-        self.assertNotIn(first.front, json.loads(named.body)["Addresses"])
+        resolved = await self.fetch(self.instances[1].directory, "/-/resolve?Zone=z")
+        self.assertNotIn(first.front, json.loads(resolved.body)["Addresses"])
 
     async def test_changed_settings_are_reloaded(self):
         """Symptom: a stop takes longer than the platform allows, and is cut short.
@@ -113,13 +113,13 @@
         address = self.instances[1].front
         reply = await self.fetch(address, "/plain/x", "POST", "b", **headers)
         self.assertEqual(reply.code, 503)
-        shown = await self.wait_for_line("refused", "request.not_served")
-        self.assertEqual(shown["status"], 503)
+        not_served = await self.wait_for_line("refused", "request.not_served")
+        self.assertEqual(not_served["status"], 503)
         given_up = await self.wait_for_line("refused", "request.given_up")
         self.assertEqual(given_up["outcome"], "NotRun")
         self.assertEqual(given_up["replicas"], ["p0", "p1"])
         tried = self.lines("refused", "request.try_failed")
-        self.assertTrue(all("503" in one.fields["reason"] for one in tried))
+        self.assertTrue(all("503" in line.fields["reason"] for line in tried))
 
     async def test_cut_stream_can_be_traced_in_the_log(self):
         """The same for a sample whose stream was cut off."""
@@ -140,20 +140,22 @@
             engine.pause = 0.3
         self.assertEqual((await self.submit("s")).code, 202)
         await self.wait_until(
-            lambda: sum(len(one.running) for one in self.engines) == 4
+            lambda: sum(len(engine.running) for engine in self.engines) == 4
+        )
+        killed = self.runner_instance()
+        killed.kill()
+        other = next(
+            at for at, instance in enumerate(self.instances) if instance is not killed
         )
-        dead = self.runner_instance()
-        dead.kill()
-        other = next(at for at, one in enumerate(self.instances) if one is not dead)
         await self.wait_until(lambda: self.all_results("s", other))
         submitted = await self.wait_for_line("s", "step.submitted")
         gained = [
-            one
-            for one in self.lines("", "shard.gained")
-            if one.fields["shard"] == submitted["shard"]
+            line
+            for line in self.lines("", "shard.gained")
+            if line.fields["shard"] == submitted["shard"]
         ]
-        self.assertEqual([one.process for one in gained][0], dead.name)
-        self.assertNotEqual(gained[-1].process, dead.name)
+        self.assertEqual([line.process for line in gained][0], killed.name)
+        self.assertNotEqual(gained[-1].process, killed.name)
         await self.wait_until(lambda: len(self.lines("s", "item.made")) >= 4)
 
     async def test_reused_address_of_another_service_gets_no_call(self):
@@ -162,9 +164,9 @@
         Sequence: a replica ends, its address is given to another one, the list
         still names the first. Cause: the identity was not named at the send.
         """
-        stranger = ReplicaStandin("stranger")
-        self.addCleanup(stranger.stop)
-        entry = {**self.plain[0].entry(PLAIN, []), "Address": stranger.address}
+        other_replica = ReplicaStandin("stranger")
+        self.addCleanup(other_replica.stop)
+        entry = {**self.plain[0].entry(PLAIN, []), "Address": other_replica.address}
         await self.store.put(configuration.SERVERS_TOPIC, "p0", entry)
         await asyncio.sleep(0.8)
         for number in range(6):
@@ -172,13 +174,13 @@
             address = self.instances[number % 3].front
             reply = await self.fetch(address, "/plain/x", "POST", "b", **headers)
             self.assertEqual(reply.code, 200)
-        self.assertEqual(stranger.runs, [])
+        self.assertEqual(other_replica.runs, [])
 
     async def test_newest_configuration_is_applied_everywhere(self):
         await self.configure(5, ROUTES[1:])
         for instance in self.instances:
             await self.wait_until(
-                lambda one=instance: self.plain_call_returns(one, 404)
+                lambda instance=instance: self.plain_call_returns(instance, 404)
             )
         await self.configure(4)
         await asyncio.sleep(1.0)
@@ -187,7 +189,7 @@
         await self.configure(6)
         for instance in self.instances:
             await self.wait_until(
-                lambda one=instance: self.plain_call_returns(one, 200)
+                lambda instance=instance: self.plain_call_returns(instance, 200)
             )
 
     async def test_configured_limits_are_enforced(self):
--- a/sassafrasdoor/platform/tests/test_clock_processes.py
+++ b/sassafrasdoor/platform/tests/test_clock_processes.py
@@ -53,21 +53,21 @@
             engine.pause = 0.5
         self.assertEqual((await self.submit("s")).code, 202)
         await self.wait_until(
-            lambda: sum(len(one.running) for one in self.engines) == 4
+            lambda: sum(len(engine.running) for engine in self.engines) == 4
         )
-        holder = self.runner_instance()
+        runner = self.runner_instance()
         epoch = self.epoch()
-        other = next(one for one in self.instances if one is not holder)
-        self.jump(holder, JUMP_SECONDS)
+        other = next(instance for instance in self.instances if instance is not runner)
+        self.jump(runner, JUMP_SECONDS)
         self.jump(other, -JUMP_SECONDS)
         await self.plain_calls(3)
         self.check_texts(await self.wait_until(lambda: self.all_results("s", 2)))
-        self.jump(holder, 0.0)
+        self.jump(runner, 0.0)
         self.jump(other, 0.0)
         await self.plain_calls(3)
         self.assertEqual((await self.submit("t")).code, 202)
         self.check_texts(await self.wait_until(lambda: self.all_results("t", 1)))
-        self.assertIs(self.runner_instance(), holder)
+        self.assertIs(self.runner_instance(), runner)
         self.assertEqual(self.epoch(), epoch)
 
     async def test_lines_carry_both_clocks(self):
@@ -83,7 +83,7 @@
         self.assertEqual((await self.submit("t", at=1)).code, 202)
         await self.wait_for_line("t", "step.submitted")
         texts = instance.log_path.read_text("utf-8").splitlines()
-        lines = [json.loads(one) for one in texts if '"step.submitted"' in one]
+        lines = [json.loads(text) for text in texts if '"step.submitted"' in text]
         first, second = lines[-2:]
         self.assertLess(second["timestamp"], first["timestamp"])
         self.assertGreater(second["steady"], first["steady"])
--- a/sassafrasdoor/platform/tests/test_crash_processes.py
+++ b/sassafrasdoor/platform/tests/test_crash_processes.py
@@ -21,17 +21,19 @@
     async def asyncSetUp(self):
         self.sent = 0
         await super().asyncSetUp()
-        more = [ReplicaStandin(f"p{at}") for at in range(2, 4)]
-        for replica in more:
+        added = [ReplicaStandin(f"p{at}") for at in range(2, 4)]
+        for replica in added:
             self.addCleanup(replica.stop)
-        self.plain += more
+        self.plain += added
         for replica in self.plain:
             replica.pause = 0.2
             replica.crash_paths = {CRASHING}
-            replica.on_recovered = lambda former, one=replica: self.relist(former, one)
+            replica.on_recovered = lambda former, replica=replica: self.relist(
+                former, replica
+            )
         await self.list_replicas()
-        for one in more:
-            await self.wait_until(lambda name=one.identity: self.is_known(name))
+        for replica in added:
+            await self.wait_until(lambda name=replica.identity: self.is_known(name))
 
     def is_known(self, identity):
         """Say whether each instance has a replica in its list."""
@@ -51,9 +53,9 @@
 
     async def send_with_concurrent_requests(self):
         """Send the request that crashes while another runs at each replica."""
-        beside = [self.send(CONCURRENT) for _ in range(3 * len(self.plain))]
-        tasks = [asyncio.ensure_future(one) for one in beside]
-        await self.wait_until(lambda: all(one.running for one in self.plain))
+        requests = [self.send(CONCURRENT) for _ in range(3 * len(self.plain))]
+        tasks = [asyncio.ensure_future(request) for request in requests]
+        await self.wait_until(lambda: all(replica.running for replica in self.plain))
         await self.send(CRASHING)
         await asyncio.gather(*tasks)
 
@@ -62,15 +64,15 @@
         for instance in self.instances:
             if not await self.plain_call_returns(instance, 200):
                 return False
-        return all(one.running == [] for one in self.plain)
+        return all(replica.running == [] for replica in self.plain)
 
     @property
     def crashes(self):
-        return sum(one.crashes for one in self.plain)
+        return sum(replica.crashes for replica in self.plain)
 
     def runs_since(self, moment):
-        found = [run for one in self.plain for run in one.runs]
-        return [run for run in found if run.path == CRASHING and run.at >= moment]
+        runs = [run for replica in self.plain for run in replica.runs]
+        return [run for run in runs if run.path == CRASHING and run.at >= moment]
 
     async def test_request_that_crashes_replicas_reaches_few_more(self):
         """One request takes down replicas of its service again and again."""
@@ -83,7 +85,9 @@
             await self.send(CRASHING)
             await self.wait_until(self.all_serve)
         self.assertLessEqual(len(self.runs_since(counted_from)), MAX_SENDS)
-        ran = [paths for one in self.plain for paths in one.paths_running_at_crash]
+        ran = [
+            paths for replica in self.plain for paths in replica.paths_running_at_crash
+        ]
         self.assertTrue(any(CONCURRENT in paths for paths in ran))
         limit = deadline_in(1.0)
         while not passed(limit):
--- a/sassafrasdoor/platform/tests/test_foreign_records.py
+++ b/sassafrasdoor/platform/tests/test_foreign_records.py
@@ -56,7 +56,9 @@
 def nearly_records():
     """Return bytes that are, or nearly are, a record of a step."""
     made = [
-        nearly(body).map(lambda one, kind=kind: kind + json.dumps(one).encode())
+        nearly(body).map(
+            lambda document, kind=kind: kind + json.dumps(document).encode()
+        )
         for kind, body in BODIES.items()
     ]
     (step,) = records.encode_step(spec("s1"), 10_000)
@@ -72,10 +74,12 @@
         keys = configuration.ServersTopicReader(replicas)
         keys.apply("good", json.dumps(ENTRY).encode())
         keys.apply("other", json.dumps(document).encode())
-        self.assertIn("good", [one.identity for one in replicas.of_service("x")])
-        for one in replicas.of_service("x"):
-            self.assertIsInstance(one.load + one.room, int)
-            host, _, port = one.listing.address.rpartition(":")
+        self.assertIn(
+            "good", [replica.identity for replica in replicas.of_service("x")]
+        )
+        for replica in replicas.of_service("x"):
+            self.assertIsInstance(replica.load + replica.room, int)
+            host, _, port = replica.listing.address.rpartition(":")
             self.assertTrue(host and port.isdigit())
 
     @fuzzed
@@ -92,12 +96,12 @@
     @given(JSON | nearly(INSTANCE))
     def test_instances(self, document):
         place = settings.from_document({"instance": {"name": "i"}})
-        found = Instances(place, MemoryPartitionedLog(), "i:1", "i:1")
-        found._take("h:1", json.dumps(INSTANCE).encode())
-        found._take("other", json.dumps(document).encode())
-        self.assertIn("h:1", found.addresses("a"))
-        found.peers()
-        found.ranking("shards")
+        instances = Instances(place, MemoryPartitionedLog(), "i:1", "i:1")
+        instances._take("h:1", json.dumps(INSTANCE).encode())
+        instances._take("other", json.dumps(document).encode())
+        self.assertIn("h:1", instances.addresses("a"))
+        instances.peers()
+        instances.ranking("shards")
 
 
 class StepTopicTest(unittest.TestCase):
@@ -114,6 +118,8 @@
         self.assertEqual(steps.by_id["s2"].listed[0].text, "t")
         for step in steps.by_id.values():
             step.longest_partial_sample("i0")
-            for one in step.listed:
-                self.assertIsInstance(one.text, str)
-                self.assertTrue(all(type(one) is int for one in one.versions))
+            for sample in step.listed:
+                self.assertIsInstance(sample.text, str)
+                self.assertTrue(
+                    all(type(version) is int for version in sample.versions)
+                )
--- a/sassafrasdoor/platform/tests/test_front.py
+++ b/sassafrasdoor/platform/tests/test_front.py
@@ -259,10 +259,10 @@
         Sequence: the stream is lost after an event, or the handler fails. Cause: the
         connection is ended as after a whole answer.
         """
-        for loss in (Unknown("lost"), ValueError("a fault of ours")):
-            with self.subTest(loss=loss):
-                self.streams.script = [EVENTS[0], loss]
-                if isinstance(loss, ValueError):
+        for failure in (Unknown("lost"), ValueError("a fault of ours")):
+            with self.subTest(failure=failure):
+                self.streams.script = [EVENTS[0], failure]
+                if isinstance(failure, ValueError):
                     self.streams.answer = self.fail_after_one_event
                 reader, _ = await self.connect(STREAM)
                 data = await reader.read()
@@ -308,8 +308,8 @@
         for body, place in cases:
             response = await self.call(PREFIX, "POST", body)
             self.assertEqual(response.code, 400)
-            found = json.loads(response.body)["findings"][0]["place"]
-            self.assertEqual(found, place)
+            reported = json.loads(response.body)["findings"][0]["place"]
+            self.assertEqual(reported, place)
         self.assertEqual(self.service.requests, [])
 
     async def test_directory_and_readiness(self):
--- a/sassafrasdoor/platform/tests/test_health.py
+++ b/sassafrasdoor/platform/tests/test_health.py
@@ -52,8 +52,10 @@
         """Call one after the other; return how many were answered as they should."""
         answers = [await self.call() for _ in range(count)]
         return sum(
-            isinstance(one, Answer) and one.status == 200 and b"answer to" in one.body
-            for one in answers
+            isinstance(answer, Answer)
+            and answer.status == 200
+            and b"answer to" in answer.body
+            for answer in answers
         )
 
     def runs(self, at):
--- a/sassafrasdoor/platform/tests/test_process.py
+++ b/sassafrasdoor/platform/tests/test_process.py
@@ -39,7 +39,7 @@
         )
         self.assertEqual(len(lists), LISTS)
         with mock.patch.object(Instances, "alive", ALIVE):
-            reads = sum(ALIVE / one._way.pause for one in lists)
+            reads = sum(ALIVE / tail._way.pause for tail in lists)
         self.assertLessEqual(reads, READS_SHARE * READS * 1.001)
 
 
--- a/sassafrasdoor/platform/tests/test_processes.py
+++ b/sassafrasdoor/platform/tests/test_processes.py
@@ -36,13 +36,15 @@
             engine.pause = 0.2
         self.assertEqual((await self.submit("s")).code, 202)
         await self.wait_until(
-            lambda: sum(len(one.running) for one in self.engines) == 4
+            lambda: sum(len(engine.running) for engine in self.engines) == 4
         )
-        holder = self.runner_instance()
-        holder.signal(signal.SIGSTOP)
-        others = [at for at, one in enumerate(self.instances) if one is not holder]
+        runner = self.runner_instance()
+        runner.signal(signal.SIGSTOP)
+        others = [
+            at for at, instance in enumerate(self.instances) if instance is not runner
+        ]
         results = await self.wait_until(lambda: self.all_results("s", others[0]))
-        holder.signal(signal.SIGCONT)
+        runner.signal(signal.SIGCONT)
         await asyncio.sleep(1.0)
         for at in range(3):
             self.assertEqual(
@@ -60,13 +62,17 @@
         await self.list_replicas()
         await asyncio.sleep(0.8)
         self.assertEqual((await self.submit("s", items=12)).code, 202)
-        await self.wait_until(lambda: sum(len(one.runs) for one in self.engines) >= 4)
+        await self.wait_until(
+            lambda: sum(len(engine.runs) for engine in self.engines) >= 4
+        )
         reply = await self.fetch(self.instances[1].front, "/-/lots/s", "DELETE")
         self.assertEqual(reply.code, 200)
-        await self.wait_until(lambda: not any(one.running for one in self.engines))
-        runs = sum(len(one.runs) for one in self.engines)
+        await self.wait_until(
+            lambda: not any(engine.running for engine in self.engines)
+        )
+        runs = sum(len(engine.runs) for engine in self.engines)
         await asyncio.sleep(1.0)
-        self.assertEqual(sum(len(one.runs) for one in self.engines), runs)
+        self.assertEqual(sum(len(engine.runs) for engine in self.engines), runs)
         self.assertLess(runs, 12)
 
     async def test_broken_streams_are_resumed_and_labelled(self):
@@ -141,9 +147,9 @@
         self.assertEqual(body.body, b"body")
         reply = await self.fetch(front, "/-/lots/s", "DELETE")
         self.assertEqual(reply.code, 200)
-        named = await self.fetch(self.instances[0].directory, "/-/resolve?Zone=z")
-        addresses = json.loads(named.body)["Addresses"]
-        self.assertEqual(set(addresses), {one.front for one in self.instances[1:]})
+        resolved = await self.fetch(self.instances[0].directory, "/-/resolve?Zone=z")
+        addresses = json.loads(resolved.body)["Addresses"]
+        self.assertEqual(set(addresses), {peer.front for peer in self.instances[1:]})
         self.proxy.thaw()
         self.assertEqual(await self.wait_until(lambda: self.all_results("s")), results)
         await self.wait_until(lambda: self.lists_instances(0))
@@ -183,7 +189,9 @@
     async def test_named_version_is_ordered_once_by_one_holder(self):
         document = {"Model": MODEL, "Version": 2}
         await self.store.put(configuration.OPERATOR_TOPIC, f"version/{MODEL}", document)
-        await self.wait_until(lambda: all(one.version == 2 for one in self.engines))
+        await self.wait_until(
+            lambda: all(engine.version == 2 for engine in self.engines)
+        )
         orders = [order for engine in self.engines for order in engine.orders]
         self.assertEqual(len({order["Holder"] for order in orders}), 1)
         self.assertEqual(len({order["FencingToken"] for order in orders}), 1)
--- a/sassafrasdoor/platform/tests/test_reward_processes.py
+++ b/sassafrasdoor/platform/tests/test_reward_processes.py
@@ -34,14 +34,16 @@
             replica.pause = 1.5
         self.assertEqual((await self.submit("s", rewarded=True)).code, 202)
         await self.wait_until(lambda: len(self.scoring_runs()) >= 4)
-        made = len(self.all_runs())
-        holder = self.runner_instance()
-        holder.kill()
-        other = next(at for at, one in enumerate(self.instances) if one is not holder)
+        generated = len(self.all_runs())
+        runner = self.runner_instance()
+        runner.kill()
+        other = next(
+            at for at, instance in enumerate(self.instances) if instance is not runner
+        )
         results = await self.wait_until(lambda: self.all_results("s", other))
         self.check_texts(results)
         self.check_scores(results)
-        self.assertEqual(len(self.all_runs()), made)
+        self.assertEqual(len(self.all_runs()), generated)
         for run in self.scoring_runs():
             self.assertEqual(run.path, f"/plain/{run.request_id[2:-2]}")
 
@@ -55,12 +57,14 @@
             replica.pause = 0.8
         self.assertEqual((await self.submit("s", rewarded=True)).code, 202)
         await self.wait_until(lambda: len(self.scoring_runs()) >= 4)
-        holder = self.runner_instance()
-        holder.signal(signal.SIGSTOP)
-        others = [at for at, one in enumerate(self.instances) if one is not holder]
+        runner = self.runner_instance()
+        runner.signal(signal.SIGSTOP)
+        others = [
+            at for at, instance in enumerate(self.instances) if instance is not runner
+        ]
         results = await self.wait_until(lambda: self.all_results("s", others[0]))
-        holder.signal(signal.SIGCONT)
-        at = self.instances.index(holder)
+        runner.signal(signal.SIGCONT)
+        at = self.instances.index(runner)
         self.assertEqual(
             await self.wait_until(lambda: self.all_results("s", at)), results
         )
--- a/sassafrasdoor/platform/tests/test_servers.py
+++ b/sassafrasdoor/platform/tests/test_servers.py
@@ -32,9 +32,9 @@
 def with_request_id(data, head):
     """Return an answer with the id of the request whose head is given."""
     name = f"{wire.REQUEST_ID}: ".encode()
-    own = name + head.partition(name)[2].split(b"\r\n")[0]
-    first, _, rest = data.partition(b"\r\n")
-    return b"\r\n".join([first, own, rest])
+    header = name + head.partition(name)[2].split(b"\r\n")[0]
+    status_line, _, rest = data.partition(b"\r\n")
+    return b"\r\n".join([status_line, header, rest])
 
 
 class RecordedStream:
@@ -62,8 +62,8 @@
             self.heads.append(head.decode())
             length = head.lower().partition(b"content-length: ")[2].split(b"\r\n")[0]
             self.bodies.append(await reader.readexactly(int(length or 0)))
-            named = echo and wire.REQUEST_ID.encode() not in data
-            writer.write(data if not named else with_request_id(data, head))
+            add_request_id = echo and wire.REQUEST_ID.encode() not in data
+            writer.write(data if not add_request_id else with_request_id(data, head))
             await writer.drain()
             if cut:
                 writer.close()
@@ -81,13 +81,13 @@
         call = DirectCall("POST", "/p?q=1", headers, b"body", "r1", deadline_in(5))
         return await self.client.call(self.replica, call)
 
-    async def generate(self, after=None, keep=lambda event: True):
+    async def generate(self, after=None, wants_more=lambda event: True):
         self.events = []
         item = Item("i1", "/p", {"Model": "m"}, b"b", 1, 0, "g", "m")
 
         def take(event):
             self.events.append((event.number, event.data, event.version))
-            return keep(event)
+            return wants_more(event)
 
         order = SampleOrder(item, "h.example", deadline_in(5), after)
         return await self.client.generate(self.replica, order, take)
@@ -134,8 +134,8 @@
         self.assertIn(f"{wire.EXPECT_INSTANCE}: i-1\r\n", head)
         self.assertIn(f"{wire.REQUEST_ID}: r1\r\n", head)
         self.assertIn("X: 1\r\nX: 2\r\n", head)
-        left = int(head.partition(f"{wire.DEADLINE}: ")[2].split("\r\n")[0])
-        self.assertTrue(0 < left <= 5000)
+        remaining_ms = int(head.partition(f"{wire.DEADLINE}: ")[2].split("\r\n")[0])
+        self.assertTrue(0 < remaining_ms <= 5000)
         self.assertTrue(head.startswith("POST /p?q=1 HTTP/1.1\r\n"))
         self.assertEqual(self.bodies, [b"body"])
         self.assertEqual(self.replica.load, 4)
@@ -204,7 +204,7 @@
 
     async def test_events_stop_when_the_consumer_declines(self):
         await self.start(answer(200, STAMP, body=EVENTS))
-        await self.generate(keep=lambda event: False)
+        await self.generate(wants_more=lambda event: False)
         self.assertEqual(len(self.events), 1)
 
     async def test_sample_stream_outcomes(self):
--- a/sassafrasdoor/platform/tests/test_translation.py
+++ b/sassafrasdoor/platform/tests/test_translation.py
@@ -58,9 +58,9 @@
         return {**settings.parse_lines(LINES), **changes}
 
     def test_settings_are_translated(self):
-        found = settings.from_fields(self.fields())
-        self.assertEqual((found.lease, found.fenced), (3.0, True))
-        self.assertEqual(found.instance.availability_zone, "palermo")
+        loaded = settings.from_fields(self.fields())
+        self.assertEqual((loaded.lease, loaded.fenced), (3.0, True))
+        self.assertEqual(loaded.instance.availability_zone, "palermo")
 
     def test_every_finding_is_reported_with_its_place(self):
         broken = {
@@ -69,16 +69,18 @@
             "Bounds.GraceS": "soon",
             "Platform.parts": "1",
         }
-        found = settings.from_fields(self.fields(**broken))
-        self.assertIsInstance(found, Rejected)
-        places = {finding.place for finding in found.findings}
+        rejected = settings.from_fields(self.fields(**broken))
+        self.assertIsInstance(rejected, Rejected)
+        places = {finding.place for finding in rejected.findings}
         self.assertEqual(places, set(broken))
 
     def test_reload_applies_bounds_only(self):
         running = settings.from_fields(self.fields())
         changed = {"Bounds.GraceS": "5", "Listen.Front": "10.1.0.10:1", "Unknown": "1"}
-        taken, waiting = running.take_over(settings.from_fields(self.fields(**changed)))
-        self.assertEqual((taken, waiting), (["stop_within"], ["front"]))
+        applied, deferred = running.take_over(
+            settings.from_fields(self.fields(**changed))
+        )
+        self.assertEqual((applied, deferred), (["stop_within"], ["front"]))
         self.assertEqual(running.stop_within, 5.0)
         self.assertNotEqual(running.front, "10.1.0.10:1")
 
@@ -95,11 +97,11 @@
             self.routes, lambda *pair: self.named.append(pair)
         )
 
-    def take(self, document, key="config"):
+    def apply(self, document, key="config"):
         self.keys.apply(key, json.dumps(document).encode())
 
     def test_route_is_translated(self):
-        self.take(DOCUMENT)
+        self.apply(DOCUMENT)
         route = self.routes.current.match("h.example", "/a/b")
         self.assertEqual((route.repeat, route.attempts), (Repeat.SAFE, 2))
         self.assertEqual((route.timeout, route.target), (0.8, 0.191))
@@ -108,12 +110,12 @@
         self.assertEqual(self.routes.current.limits.idle_timeout, 1.5)
 
     def test_unknown_kind_runs_once_at_most(self):
-        self.take({**DOCUMENT, "Routes": [{**ROUTE, "Kind": "new"}]})
+        self.apply({**DOCUMENT, "Routes": [{**ROUTE, "Kind": "new"}]})
         self.assertIs(self.routes.current.routes[0].repeat, Repeat.ONCE)
 
     def test_longest_prefix_matches(self):
         longer = {**ROUTE, "Name": "longer", "PathPrefix": "/a/b/"}
-        self.take({**DOCUMENT, "Routes": [ROUTE, longer]})
+        self.apply({**DOCUMENT, "Routes": [ROUTE, longer]})
         current = self.routes.current
         self.assertEqual(current.match("h.example", "/a/b/c").name, "longer")
         self.assertEqual(current.match("h.example", "/a/x").name, "r")
@@ -126,12 +128,12 @@
         Sequence: a read that began before the change ends after it. Cause: what
         was read last was put in force, not what is newest.
         """
-        self.take(DOCUMENT)
-        self.take({**DOCUMENT, "Version": 6, "Routes": []})
+        self.apply(DOCUMENT)
+        self.apply({**DOCUMENT, "Version": 6, "Routes": []})
         self.assertEqual(self.routes.current.version, 7)
 
     def test_malformed_records_are_ignored(self):
-        self.take(DOCUMENT)
+        self.apply(DOCUMENT)
         for bad in (b"{", b"[]", b"null", b'{"Version": 9}', b'{"Version": "x"}'):
             self.keys.apply("config", bad)
             self.keys.apply("version/m", bad)
@@ -139,7 +141,7 @@
         self.assertEqual((self.routes.current.version, self.named), (7, []))
 
     def test_named_version_is_reported(self):
-        self.take({"Model": "m", "Version": 4}, "version/m")
+        self.apply({"Model": "m", "Version": 4}, "version/m")
         self.assertEqual(self.named, [("m", 4)])
 
 
@@ -188,8 +190,10 @@
                 self.keys.apply("i-1", json.dumps(ENTRY).encode())
                 self.assertEqual(len(self.replicas.of_service("x")), 2)
                 self.keys.apply("i-1", bad)
-                found = [one.identity for one in self.replicas.of_service("x")]
-                self.assertEqual(found, ["i-2"])
+                identities = [
+                    replica.identity for replica in self.replicas.of_service("x")
+                ]
+                self.assertEqual(identities, ["i-2"])
 
     def test_entry_is_used_again_after_a_malformed_one(self):
         good = json.dumps(ENTRY).encode()
@@ -247,13 +251,13 @@
         return steps.parse_step_spec("s", "h", "/p", body)
 
     def test_reward_call_is_translated(self):
-        found = self.spec(self.REWARD, None)
-        reward = found.items[0].reward
+        spec = self.spec(self.REWARD, None)
+        reward = spec.items[0].reward
         self.assertEqual(
             (reward.call_id, reward.host, reward.path, reward.body),
             ("r", "h", "/a/1", b"ab"),
         )
-        self.assertIsNone(found.items[1].reward)
+        self.assertIsNone(spec.items[1].reward)
 
     def test_malformed_reward_calls_are_refused_with_their_places(self):
         """Symptom: a trainer waits for samples that can never be scored.
@@ -270,12 +274,12 @@
         ]
         for name, reward in cases:
             with self.subTest(name):
-                found = self.spec(self.REWARD, reward)
-                self.assertIsInstance(found, Rejected)
-                places = [one.place for one in found.findings]
+                rejected = self.spec(self.REWARD, reward)
+                self.assertIsInstance(rejected, Rejected)
+                places = [finding.place for finding in rejected.findings]
                 self.assertEqual(places, [f"Items.1.Scorer.{name}"])
-        found = self.spec("text", {})
-        places = [one.place for one in found.findings]
+        rejected = self.spec("text", {})
+        places = [finding.place for finding in rejected.findings]
         wanted = [f"Items.1.Scorer.{name}" for name in ("Id", "Host", "Path")]
         self.assertEqual(places, ["Items.0.Scorer", *wanted])
 
@@ -289,16 +293,18 @@
             ("Group", 5),
         ]
         good = {"Id": "i", "Path": "/p", "Headers": {}, "Body": "", "Group": "g"}
-        bad = [{"Model": "m", "Items": [{**good, name: at}]} for name, at in cases]
-        bad += [{"Model": at, "Items": [good]} for at in (None, 5)]
+        bad = [
+            {"Model": "m", "Items": [{**good, name: value}]} for name, value in cases
+        ]
+        bad += [{"Model": value, "Items": [good]} for value in (None, 5)]
         for step in bad:
             with self.subTest(step):
-                found = steps.parse_step_spec("s", "h", "/", json.dumps(step).encode())
-                self.assertIsInstance(found, Rejected)
-        found = steps.parse_step_spec(
+                result = steps.parse_step_spec("s", "h", "/", json.dumps(step).encode())
+                self.assertIsInstance(result, Rejected)
+        result = steps.parse_step_spec(
             "s", "h", "/", json.dumps({"Model": "m", "Items": [good]}).encode()
         )
-        self.assertIsInstance(found, StepSpec)
+        self.assertIsInstance(result, StepSpec)
 
     def test_score_is_included_if_present(self):
         samples = [
@@ -306,5 +312,5 @@
             Sample("s", "i1", COMPLETED, "t", [1]),
         ]
         document = json.loads(steps.page_document(Page(0, samples, 2)))
-        found = [one.get("Score") for one in document["Results"]]
-        self.assertEqual(found, ["mark", None])
+        scores = [result.get("Score") for result in document["Results"]]
+        self.assertEqual(scores, ["mark", None])
--- a/sassafrasdoor/platform/tests/test_unread_processes.py
+++ b/sassafrasdoor/platform/tests/test_unread_processes.py
@@ -52,9 +52,9 @@
             await self.wait_until(lambda at=at: self.page("s", at=at))
 
     async def lists_all_instances(self, at):
-        named = await self.fetch(self.instances[at].directory, "/-/resolve?Zone=z")
-        fronts = {one.front for one in self.instances}
-        return set(json.loads(named.body)["Addresses"]) == fronts
+        reply = await self.fetch(self.instances[at].directory, "/-/resolve?Zone=z")
+        fronts = {instance.front for instance in self.instances}
+        return set(json.loads(reply.body)["Addresses"]) == fronts
 
     async def test_step_is_read_where_somebody_has_read_it(self):
         """Guards against steps handed on to instances that have not read them either."""
@@ -82,21 +82,23 @@
         self.assertEqual((await self.submit("s")).code, 202)
         await self.wait_until(lambda: self.all_results("s", at=1))
         await self.wait_until(lambda: self.lists_instances(1, ENTRY_POINTS))
-        named = await self.fetch(self.instances[1].directory, "/-/resolve?Zone=z")
-        points = json.loads(named.body)["Addresses"]
-        first = next(iter(ranked(dict.fromkeys(points, 1.0), READERS_KEY)))
+        reply = await self.fetch(self.instances[1].directory, "/-/resolve?Zone=z")
+        entry_points = json.loads(reply.body)["Addresses"]
+        first = next(iter(ranked(dict.fromkeys(entry_points, 1.0), READERS_KEY)))
         for instance in self.instances:
             instance.kill()
-        self.instances = [one for one in self.instances if one.front != first]
+        self.instances = [
+            instance for instance in self.instances if instance.front != first
+        ]
         for instance in self.instances:
             instance.start()
         await self.wait_until_ready()
-        began, last_refused_by_all = now(), 0.0
-        while now() < began + MAX_LAPSE_SECONDS:
+        started_at, last_refused_by_all = now(), 0.0
+        while now() < started_at + MAX_LAPSE_SECONDS:
             pages = await asyncio.gather(
                 *(self.page("s", at=at) for at in range(len(self.instances)))
             )
             if not any(pages):
-                last_refused_by_all = now() - began
+                last_refused_by_all = now() - started_at
             await asyncio.sleep(0.1)
         self.assertLess(last_refused_by_all, MAX_LAPSE_SECONDS / 2)
--- a/sassafrasdoor/platform/wire.py
+++ b/sassafrasdoor/platform/wire.py
@@ -27,9 +27,11 @@
 
     Headers that ``Connection`` names concern that connection only.
     """
-    named = {name.strip().lower() for name in headers.get("Connection", "").split(",")}
+    connection_headers = {
+        name.strip().lower() for name in headers.get("Connection", "").split(",")
+    }
     return [
         (name, value)
         for name, value in headers.get_all()
-        if name.lower() not in excluded and name.lower() not in named
+        if name.lower() not in excluded and name.lower() not in connection_headers
     ]
