--- a/sassafrasdoor/platform/front.py
+++ b/sassafrasdoor/platform/front.py
@@ -1,4 +1,4 @@
-"""Callers on the platform's wire: requests and steps."""
+"""HTTP handlers of the callers' address: requests and steps."""
 
 import contextlib
 import re
@@ -33,21 +33,18 @@
 from sassafrasdoor.steps.durable.service import NotFound, Page
 from sassafrasdoor.table.routes import Repeat
 
-DEFAULT_CALL_TIMEOUT = 60.0
-"""Seconds taken for a caller that states no deadline."""
-MAX_POLL_WAIT = 1.0
-"""Seconds that a reader may be kept waiting for a further sample."""
-NO_CONFIGURATION_RETRY_AFTER = 0.5
-FORWARDED_HEADER = "X-Handed-On"
-"""Header of a call that one of our instances hands to another."""
+DEFAULT_CALL_TIMEOUT = 60.0  # seconds; for callers that state no deadline
+MAX_POLL_WAIT = 1.0  # seconds that a reader may wait for another sample
+NO_CONFIGURATION_RETRY_AFTER = 0.5  # seconds
+FORWARDED_HEADER = "X-Handed-On"  # marks a call forwarded by another instance
+# Seconds for a peer to handle a forwarded call: an append takes up to 0.8 s, a read
+# waits for up to one second.
 FORWARD_TIMEOUT = 1.8
-"""Seconds for the other instance: an append, which has 0.8, or a reader's wait of one
-second."""
+# Seconds for all peers asked for one read, in addition to the wait that its caller
+# requested; the caller gives up 1.5 s after that wait.
 PEER_READ_TIMEOUT = 1.4
-"""Seconds for all that are asked for one read, beyond the time that its caller lets it
-wait: the caller leaves after 1.5."""
+# Seconds without an answer, in addition to that wait, before asking the next peer too.
 HEDGE_DELAY = 0.5
-"""Seconds without an answer, beyond that time, after which another one is asked too."""
 MAX_PEERS_ASKED = 3
 STEP_PATH = re.compile(r"^/-/lots/([^/?]+)$")
 ITEM_PATH = re.compile(r"^/-/items/([^/?]+)$")
@@ -58,7 +55,7 @@
 
 
 class FrontHandler(WireHandler):
-    """Everything that reaches the callers' address."""
+    """Handles all requests to the callers' address."""
 
     async def _serve(self):
         path = self.request.path
@@ -182,7 +179,7 @@
 
     @property
     def _forwarder(self):
-        """What hands this call to another instance; None for one handed on already."""
+        """Function that forwards this call to a peer; None if it was forwarded."""
         return (
             None if FORWARDED_HEADER in self.request.headers else self._accepted_by_peer
         )
@@ -196,7 +193,10 @@
         return {200: True, 202: True, 503: False}.get(reply.status)
 
     async def _reply_from_peer_or_fail(self, outcome):
-        """Answer as another instance does if it can, else with the own failure."""
+        """Reply with the failure ``outcome``, or with a peer's answer if there is one.
+
+        Peers are asked only if the outcome is ``NotRun``.
+        """
         if isinstance(outcome, NotRun) and self._forwarder is not None:
             reply = await self._while_connected(self._first_peer_reply(outcome.reason))
             if self._caller_left:
@@ -208,7 +208,7 @@
         self._reply_failure(outcome)
 
     async def _first_peer_reply(self, reason):
-        """Return the ``Reply`` of the first peer that has an answer, or None."""
+        """Return the first ``Reply`` of a peer with status 200, or None."""
         wait = _parse_int(self.request.headers.get(wire.WAIT), 0) / 1000
         peers = self._parts.instances.peers_to_ask(MAX_PEERS_ASKED)
         reply = await first_answer(
@@ -229,7 +229,7 @@
         return reply
 
     async def _forward_to_peer(self):
-        """Send this call to another instance; None where none is known."""
+        """Forward this call to a peer; return None if no peer is known."""
         peers = self._parts.instances.peers()
         return (
             await self._forward_to(peers[0], deadline_in(FORWARD_TIMEOUT))
@@ -267,7 +267,7 @@
 
 
 class _WireCaller(StreamCaller):
-    """Passes a stream on to the caller of a handler."""
+    """Writes a stream to the caller of a handler."""
 
     __slots__ = ("_handler",)
 
@@ -283,8 +283,9 @@
         await self._flush()
 
     async def _flush(self):
-        # A caller who has left is told to the handler, which ends the stream; the
-        # error here would look like one of the replica's connection.
+        # Tornado notifies the handler when the caller disconnects, and the handler ends
+        # the stream. Raised here, the error would look like a failed connection to the
+        # replica.
         with contextlib.suppress(StreamClosedError):
             await self._handler.flush()
 
@@ -312,7 +313,7 @@
 
 
 def control_application(parts):
-    """Return the application of the address where other instances ask."""
+    """Return the application of the control address, which other instances call."""
     arguments = {"parts": parts}
     return _application(
         [
@@ -329,8 +330,8 @@
 
 
 def _application(handlers):
-    # Tornado would write a line for each answer of 400 and above; decisions are
-    # logged where they are made, within a budget.
+    # Disables Tornado's log line for each answer of 400 and above: decisions are logged
+    # where they are made, and their number is limited.
     return Application(handlers, log_function=lambda handler: None)
 
 
--- a/sassafrasdoor/platform/process.py
+++ b/sassafrasdoor/platform/process.py
@@ -1,4 +1,4 @@
-"""One instance's process: its parts put together, its start and its planned stop."""
+"""The process of one instance: constructs its components, runs and stops them."""
 
 import asyncio
 import contextlib
@@ -37,49 +37,47 @@
 from sassafrasdoor.table.routes import RoutesInForce
 from sassafrasdoor.weights.named import WeightsController
 
+# Seconds between reads of the list of replicas: a leaving replica is noticed well
+# within two seconds, and one read returns the heartbeats of all replicas.
 REPLICA_LIST_READ_INTERVAL = 0.35
-"""Seconds between reads of the replicas' list: a leaving replica is known well
-within its two seconds, and heartbeats of all replicas come in one answer."""
+# Seconds between reads of the crash list: all instances see a crash within a second.
 CRASH_LIST_READ_INTERVAL = 0.5
-"""Seconds between reads of the crashes: all instances know of one within a second."""
+# Shares of the planned stop's duration: first open connections and callers that cached
+# the address are still served, then only requests in progress may finish.
 DRAIN_SHARE = 0.86
-"""Part of the planned stop for which open and remembered connections are served."""
 FINISH_IN_FLIGHT_SHARE = 0.1
-"""Part of the planned stop in which requests in progress may still end."""
-IN_FLIGHT_CHECK_INTERVAL = 0.02
+IN_FLIGHT_CHECK_INTERVAL = 0.02  # seconds
+# Up to this number of replicas one process runs all shards; with more it would lack CPU
+# time and keep too many connections.
 MAX_REPLICAS_FOR_ONE_RUNNER = 60
-"""Replicas before which one process runs all shards: before more it lacks the processor
-and keeps too many connections."""
+# Added to the shard ranks of all other instances while the holder of the weights lease
+# is alive. After a start the holder first reads megabytes. If the next in rank finished
+# slightly earlier and ran the steps, loads and items would be assigned by different
+# processes, and replicas that are loading weights refuse items.
 NON_CONTROLLER_RANK_OFFSET = 3
-"""Places by which all others step back for a shard while whoever orders the loads lives:
-it reads megabytes after a start, and where the next in rank is done a moment sooner,
-loads and items stay apart, and replicas that load refuse items."""
-FENCED_HANDOVER_DELAY = 0.3
-"""Seconds that an order of a lapsed holder may be on its way, at most."""
+FENCED_HANDOVER_DELAY = 0.3  # seconds; longest delivery of a former holder's order
+# Seconds between checks whether to read the steps; shorter while waiting for a slot.
 FOLLOW_CHECK_INTERVAL, READ_SLOT_CHECK_INTERVAL = 0.2, 0.05
-"""Seconds between looks at whether this instance should read the steps, and before its
-turn to read them has come."""
+# Seconds between reads of a shard that another process runs.
 UNOWNED_SHARD_MIN_READ_INTERVAL = 0.4
-"""Seconds between reads of a shard that this process neither runs nor answers for."""
+# Seconds; used until the operator's limit has been loaded.
 INITIAL_IDLE_TIMEOUT = 60.0
-"""Seconds that a connection may idle before the operator's limit is known."""
-CLEANUP_INTERVAL = 10.0
-ROUTES_CHECK_INTERVAL = 0.5
-"""Seconds between looks at how old the routes are."""
-CALL_REPORT_INTERVAL = 5.0
-"""Seconds between lines of what was asked of the log."""
-SETTINGS_CHECK_INTERVAL = 1.0
-"""Seconds between looks at the settings file; a look is one call to the kernel."""
+CLEANUP_INTERVAL = 10.0  # seconds
+ROUTES_CHECK_INTERVAL = 0.5  # seconds between checks of the age of the routes
+CALL_REPORT_INTERVAL = 5.0  # seconds between log lines with the calls to the log
+SETTINGS_CHECK_INTERVAL = 1.0  # seconds; a check is a single stat() of the file
 MAX_LOGGED_FINDINGS = 5
+# Seconds for which finished steps stay readable beyond the promised retention.
 RESULT_RETENTION_MARGIN = 60.0
-"""Seconds beyond the promised time that finished steps stay readable."""
 LISTEN_BACKLOG = 512
 
 
 class Process:
-    """All parts of one instance; ``ready`` and ``closing`` say where it is.
+    """The components of one instance.
 
-    ``in_flight`` are the handlers of requests that were read and not yet answered.
+    ``ready`` says whether callers should be sent here, ``closing`` whether connections
+    are being closed. ``in_flight`` is the set of handlers of requests that have been
+    read and not yet answered.
     """
 
     def __init__(self, settings, path, metrics_port=0):
@@ -123,11 +121,12 @@
             self._crashes.take,
             CRASH_LIST_READ_INTERVAL,
             self._peers.newest,
-            # Apart from the others: while it is late the steps are read all the same.
+            # Not shared with the others: a slow crash list must not delay the steps.
             Way(self._backlog_share, self._retry_pause),
         )
         self._steps = Steps()
-        # The shard after those of the steps is no step's: its holder orders the loads.
+        # The shard after those of the steps holds no steps: its lease decides which
+        # instance orders loads of weights.
         shard_count = min(SHARD_COUNT, settings.partitions - 1)
         self._weights_shard = shard_count
         member = f"{settings.front}/{uuid.uuid4().hex[:8]}"
@@ -220,10 +219,10 @@
 
     @property
     def _handover_delay(self):
-        """Seconds between a former holder's last order and our first.
+        """Seconds to wait after gaining the weights lease before the first order.
 
-        Replicas that check fencing numbers refuse a lapsed holder's orders by
-        themselves; others take any, so there its time must have run out for sure.
+        Replicas that check fencing tokens reject a former holder's orders themselves.
+        Others accept any order, so there the former holder's lease must have expired.
         """
         return (
             FENCED_HANDOVER_DELAY
@@ -241,7 +240,7 @@
         )
 
     async def run(self):
-        """Serve until SIGTERM, then until callers have gone elsewhere."""
+        """Serve until SIGTERM, then drain and return."""
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGTERM, self._stop.set)
         loop.add_signal_handler(signal.SIGHUP, self._reload_settings)
@@ -328,9 +327,10 @@
             self._servers.append(server)
 
     def _apply_limits(self, configuration):
-        """Bound what callers send, and how long they idle, as the operator says.
+        """Apply the operator's limits on request sizes and idle connections.
 
-        A connection closed sooner than callers expect would meet their next request.
+        A caller whose idle connection is closed earlier than it expects may send its
+        next request on the closing connection.
         """
         limits = configuration.limits
         for server in self._servers:
@@ -352,11 +352,11 @@
             )
 
     def _should_follow_steps(self):
-        """Say whether this instance reads the steps' records itself.
+        """Return whether this instance reads the records of the steps itself.
 
-        A process that runs a shard does so also when callers are sent elsewhere: it
-        must learn of ended steps. The others wait for their turn, after a start and
-        when callers are to be sent here from now on.
+        A process that runs a shard always does, even if it is no entry point: it must
+        learn which steps have ended. Other entry points first wait for a slot to read,
+        after a start and when they become entry points.
         """
         if not self._instances.tail.loaded:
             return False
@@ -382,18 +382,18 @@
 
     @property
     def _unread_instances_ahead(self):
-        """How many read the steps before this instance; none if it is to run some."""
+        """How many instances read the steps first; 0 if this one may run a shard."""
         keys = set(map(self._ranking_key, range(self._weights_shard + 1)))
         if any(self._instances.unread_before(key) == 0 for key in keys):
             return 0
         return self._instances.unread_before(READERS_KEY)
 
     def _shard_rank(self, shard):
-        """Return this instance's place among those that could run a shard.
+        """Return this instance's rank among those that could run a shard, from 0.
 
-        Whoever orders the loads comes first for the steps too: it loads a replica once
-        the items that wait have begun, and sends none to one that it loads. Apart, much
-        of what is sent to engines is refused.
+        The holder of the weights lease ranks first for the steps too: it orders a load
+        only once the queued items have started, and sends no items to a replica that is
+        loading. If another process ran the steps, replicas would refuse many items.
         """
         rank = self._instances.ranking(self._ranking_key(shard))
         if (
@@ -410,8 +410,8 @@
     def _ranking_key(self, shard):
         """Return the key by which instances are ranked for a shard.
 
-        One process that runs all steps knows what every replica does, and its kept
-        connections serve all of them. Before many replicas it lacks the processor.
+        Up to ``MAX_REPLICAS_FOR_ONE_RUNNER`` all shards have the same key: a single
+        runner knows the load of every replica and reuses its connections to them.
         """
         return (
             f"shard-{shard}"
@@ -420,7 +420,7 @@
         )
 
     def _make_pause(self, shard):
-        """Return the pause between reads of a shard, as a function of no arguments."""
+        """Return a function that returns the seconds between reads of a shard."""
 
         def pause():
             shared = shared_pause(
@@ -435,7 +435,7 @@
         return pause
 
     def _backlog_share(self):
-        # Any of them may begin to follow the steps, and others may not see it yet.
+        # Any instance may start to follow the steps before the others notice.
         return backlog_share(
             self._instances.alive,
             self._settings.read_bytes_per_second,
@@ -466,17 +466,17 @@
             self._call_counter.report()
 
     async def _watch_settings(self):
-        """Reload a settings file that was changed without a signal."""
+        """Reload the settings when the file has changed."""
         while True:
             await asyncio.sleep(SETTINGS_CHECK_INTERVAL)
             if platform_settings.file_signature(self._path) != self._settings_signature:
                 self._reload_settings()
 
     def _reload_settings(self):
-        """Take over what may change while the process runs; say what may not.
+        """Apply the settings that may change at run time; log those that may not.
 
-        A file that is invalid changes nothing: the process would end with the next
-        restart, and until then serves on as it is.
+        An invalid file is logged and ignored, so that the process keeps serving; it
+        would prevent the next start.
         """
         self._settings_signature = platform_settings.file_signature(self._path)
         loaded = platform_settings.load(self._path)
@@ -488,7 +488,7 @@
         note("process.reloaded", valid=True, taken=applied, at_next_start=deferred)
 
     async def _shut_down(self):
-        """Send callers elsewhere, hand the duties over, and serve on meanwhile."""
+        """Deregister and release the shards; serve until the drain deadline."""
         drain_deadline = deadline_in(self._settings.stop_within * DRAIN_SHARE)
         note("process.stopping", seconds=round(remaining(drain_deadline), 2))
         with contextlib.suppress(TimeoutError):
@@ -509,7 +509,7 @@
             await asyncio.sleep(IN_FLIGHT_CHECK_INTERVAL)
 
     async def _release_shards(self):
-        """Give all shards up, with what was received of their items before."""
+        """Release all shards, after writing what was received of their items."""
         for shard, release in self._shards.leave().items():
             self._runner.stop_shard(shard)
             self._outboxes[shard].put(release)
--- a/sassafrasdoor/platform/servers.py
+++ b/sassafrasdoor/platform/servers.py
@@ -1,4 +1,4 @@
-"""Replicas on the platform's wire: calls, samples' streams and orders."""
+"""HTTP client for replicas: calls, streams, samples and orders to load weights."""
 
 import json
 
@@ -27,7 +27,7 @@
 
 
 class WireReplicas(ReplicaClient):
-    """Speaks to replicas; each send names the replica that is meant."""
+    """Sends requests to replicas; each request names the intended replica."""
 
     __slots__ = ("_connections",)
 
@@ -39,22 +39,22 @@
         self._connections.close()
 
     def forget(self, replica):
-        """Close the kept connections of an incarnation that is gone."""
+        """Close the idle connections to an incarnation that has ended."""
         self._connections.forget(replica.listing.address)
 
     async def call(self, replica, call):
-        """Return the ``Answer``, ``NotRun``, ``WrongReplica`` or ``Broken``."""
+        """Return an ``Answer``, ``NotRun``, ``WrongReplica`` or ``Broken``."""
         reply = await self._send(
             replica, _build_request(replica, call), _response_check(call.request_id)
         )
         return _answer_from(reply)
 
     async def reach(self, replica):
-        """Return True if it can be connected to, else ``Refused`` or ``Broken``."""
+        """Return True if a connection opens, else ``Refused`` or ``Broken``."""
         return await self._connections.reach(replica.listing.address)
 
     async def stream(self, replica, call, passing):
-        """Pass events on; return True when whole, or as ``call`` does."""
+        """Forward events; return True at the end of the stream, else as ``call``."""
         splitter = _EventSplitter()
         check = _response_check(call.request_id)
 
@@ -80,7 +80,11 @@
         return splitter.end_result
 
     async def generate(self, replica, order, on_event):
-        """Hand on events; return True, ``SampleFailed``, ``NotRun`` or ``Broken``."""
+        """Call ``on_event`` for each event of a sample.
+
+        Returns True at the end of the sample, else ``SampleFailed``, ``NotRun``,
+        ``WrongReplica`` or ``Broken``.
+        """
         headers = dict(order.headers)
         headers["Host"] = order.host
         headers[wire.REQUEST_ID] = order.item_id
@@ -145,7 +149,7 @@
 
 
 class _EventSplitter:
-    """Cuts a stream's bytes into events; a half one is kept until its rest comes."""
+    """Splits a stream of bytes into events; buffers an incomplete last event."""
 
     __slots__ = ("_incomplete_event",)
 
@@ -154,7 +158,7 @@
 
     @property
     def end_result(self):
-        """True if the last event is whole, else ``Broken``."""
+        """True if the stream ended after a complete event, else ``Broken``."""
         return (
             Broken("stream ended inside an event")
             if self._incomplete_event.strip()
@@ -162,7 +166,7 @@
         )
 
     def feed(self, data):
-        """Take bytes of the stream; return the events that they complete."""
+        """Append bytes of the stream; return the events that are now complete."""
         *complete, self._incomplete_event = (self._incomplete_event + data).split(
             EVENT_END
         )
@@ -170,7 +174,10 @@
 
 
 class _EventReader:
-    """Hands on the events of a sample's stream with their versions."""
+    """Parses the events of a sample and passes them on with their weight version.
+
+    Stops passing events on once ``on_event`` has returned a false value.
+    """
 
     __slots__ = ("_blocks", "_on_event", "_stopped", "version")
 
@@ -182,11 +189,11 @@
 
     @property
     def end_result(self):
-        """True if the last event is whole, else ``Broken``."""
+        """True if the stream ended after a complete event, else ``Broken``."""
         return self._blocks.end_result
 
     def feed(self, data):
-        """Take bytes of the stream."""
+        """Append bytes of the stream."""
         for block in self._blocks.feed(data):
             if not self._stopped:
                 self._dispatch_event(block)
@@ -223,22 +230,22 @@
 
 
 def _answer_from(reply):
-    """Return the ``Answer`` in a reply, ``NotRun``, ``WrongReplica`` or ``Broken``."""
+    """Convert a reply to ``Answer``, ``NotRun``, ``WrongReplica`` or ``Broken``."""
     if isinstance(reply, Broken):
         return reply
     refusal = _refusal(reply)
     if refusal is not None:
         return refusal
     if wire.STAMP not in reply.headers:
-        # A head cut short still reads as one. Passed on, the caller would take
-        # half an answer for its own; only the stamp shows whose answer it is.
+        # A truncated header block still parses as a complete one. Only the stamp shows
+        # which replica answered; without it the caller could get an incomplete answer.
         return Broken(MISSING_STAMP, began=True)
     pairs = wire.header_pairs(reply.headers, wire.DROPPED_FROM_ANSWER)
     return Answer(reply.status, pairs, reply.body, reply.headers[wire.STAMP])
 
 
 def _event_number(block):
-    """Return the number of an event, None if it names none."""
+    """Return the id of an event as a number, or None if it has none."""
     for line in block.decode("utf-8", "replace").split("\n"):
         name, _, value = line.partition(":")
         if name == "id":
@@ -247,11 +254,12 @@
 
 
 def _response_check(request_id):
-    """Return the check that an answer belongs to the request of that id.
+    """Return a function that checks whether an answer belongs to this request.
 
-    An extra answer that comes late may name no request at all. On a kept connection it
-    would be taken for the answer to the next one, and a caller read another's answer.
-    Only a refusal may come without: it carries nothing that is anybody's.
+    The function returns a reason to reject the answer, or an empty string. A late
+    duplicate answer may have no request id. On a reused connection it would be taken
+    for the answer to the next request, and a caller would get the answer to another
+    caller's request. Only a refusal may lack the id: it contains no caller's data.
     """
 
     def check(status, headers):
@@ -265,7 +273,7 @@
 
 
 def _refusal(reply):
-    """Return ``WrongReplica`` or ``NotRun`` if the reply promises that, else None."""
+    """Return ``WrongReplica`` or ``NotRun`` if the request was not run, else None."""
     if reply.status == wire.MISDIRECTED:
         return WrongReplica("another replica has the address", RETRY_AFTER)
     if wire.NOT_RUN in reply.headers:
--- a/sassafrasdoor/platform/tests/test_front.py
+++ b/sassafrasdoor/platform/tests/test_front.py
@@ -1,4 +1,4 @@
-"""Callers on the wire: what they are answered, and what they never are."""
+"""Tests of the answers that callers get over HTTP."""
 
 import asyncio
 import json
@@ -42,7 +42,7 @@
 
 
 class ScriptedService:
-    """Answers by a script: outcomes, or ``HANG``."""
+    """Returns ``result``, or never returns if that is ``HANG``."""
 
     HANG = object()
 
@@ -62,7 +62,7 @@
 
 
 class ScriptedStreams:
-    """Passes events on by a script: blocks, then ``HANG`` or a result."""
+    """Forwards the blocks in ``script``, then hangs or returns the result in it."""
 
     def __init__(self):
         self.script = []
@@ -143,7 +143,7 @@
         return await self.call(PREFIX, "POST", json.dumps(SUBMISSION))
 
     async def test_outcomes_map_to_statuses(self):
-        """Each outcome says on the wire exactly what it promises."""
+        """Each outcome is answered with exactly the status that it stands for."""
         answer = Answer(201, [("X", "y")], b"body")
         cases = [
             (answer, 201),
@@ -164,10 +164,10 @@
         self.assertEqual(response.headers["Retry-After"], "0.25")
 
     async def test_missing_configuration_returns_503_not_404(self):
-        """Symptom: callers are told 404 for what is allowed, right after a start.
+        """Guards against a 404 for existing routes right after a start.
 
-        Sequence: an instance starts while the store is away. Cause: no known route
-        was taken for no route.
+        An instance that starts while the store is unavailable has no configuration; its
+        lack of routes was treated as a missing route.
         """
         self.parts.routes = RoutesInForce()
         self.assertEqual((await self.call(PLAIN)).code, 503)
@@ -175,7 +175,7 @@
         self.assertEqual((await self.call("/unknown/")).code, 404)
 
     async def test_unknown_route_in_stale_routes_returns_503(self):
-        """Guards against a 404 by an old table for a route that was added since."""
+        """Guards against a 404 from stale routes for a route added since."""
         confirmed_at = now()
         old = RoutesInForce(lambda: confirmed_at, lambda: 2.0)
         old.take(self.routes.current)
@@ -189,11 +189,10 @@
         self.assertEqual((await self.call(PLAIN)).code, 200)
 
     async def test_request_cancelled_by_stop_is_not_answered(self):
-        """Symptom: a step counts as accepted that no instance has; a call gets an
-        empty answer of 200.
+        """Guards against lost steps that were reported as accepted, and empty answers.
 
-        Sequence: a process ends with a submission in progress; its tasks are
-        cancelled. Cause: the handler returned, and Tornado finished it with 200.
+        When a process ends, the tasks of requests in progress are cancelled. If a
+        handler then returns, Tornado finishes the request with status 200.
         """
         self.service.result = ScriptedService.HANG
         for request in (self.submit(), self.call(PLAIN)):
@@ -230,10 +229,9 @@
             await cancelled.wait()
 
     async def test_stream_is_forwarded_without_buffering(self):
-        """Symptom: a reader waits for the first word until the last is written.
+        """Guards against streams that are collected before they are forwarded.
 
-        Sequence: a stream that pauses after its first event. Cause: an answer that
-        is collected before it is passed on.
+        The first event must arrive while the stream pauses after it.
         """
         self.streams.script = [EVENTS[0], ScriptedService.HANG]
         reader, writer = await self.connect(STREAM)
@@ -254,12 +252,12 @@
         self.assertEqual((await self.call(STREAM, "POST", "")).code, 500)
 
     async def test_truncated_stream_is_not_ended_normally(self):
-        """Symptom: a sign shows half a sentence, and nobody notices.
+        """Guards against truncated streams that callers take for complete ones.
 
-        Sequence: the stream is lost after an event, or the handler fails. Cause: the
-        connection is ended as after a whole answer.
+        The stream is lost after an event, or the handler fails; the response was then
+        ended like a complete one.
         """
-        for failure in (Unknown("lost"), ValueError("a fault of ours")):
+        for failure in (Unknown("lost"), ValueError("internal error")):
             with self.subTest(failure=failure):
                 self.streams.script = [EVENTS[0], failure]
                 if isinstance(failure, ValueError):
@@ -270,13 +268,13 @@
                 self.assertNotIn(b"\r\n0\r\n", data)
 
     async def fail_after_one_event(self, request, caller):
-        """Fail after one event."""
+        """Raise an error after one event."""
         await caller.begin([])
         await caller.pass_on(EVENTS[0])
-        raise ValueError("a fault of ours")
+        raise ValueError("internal error")
 
     async def connect(self, path):
-        """Send a request on a connection of its own; return reader and writer."""
+        """Send a request on a new connection; return the reader and the writer."""
         host, _, port = self.address.removeprefix("http://").partition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         self.addCleanup(writer.close)
--- a/sassafrasdoor/platform/tests/test_process.py
+++ b/sassafrasdoor/platform/tests/test_process.py
@@ -1,4 +1,4 @@
-"""How the parts of one instance's process are put together."""
+"""Tests of how the components of one instance's process are connected."""
 
 import pathlib
 import tempfile
@@ -29,7 +29,7 @@
         self.process = Process(settings.load(path), path)
 
     async def test_list_retries_stay_within_the_read_share(self):
-        """Guards against a list whose repeats alone take all reads of the log."""
+        """Guards against retries of refused lists using up the log's read rate."""
         process = self.process
         lists = (
             process._operator_tail,
--- a/sassafrasdoor/platform/tests/test_servers.py
+++ b/sassafrasdoor/platform/tests/test_servers.py
@@ -1,4 +1,4 @@
-"""Replicas on the wire: answers, streams and orders, fault by fault."""
+"""Tests of ``WireReplicas``: answers, streams and orders, with one fault each."""
 
 import asyncio
 import json
@@ -30,7 +30,7 @@
 
 
 def with_request_id(data, head):
-    """Return an answer with the id of the request whose head is given."""
+    """Return an answer with the id of the request that ``head`` belongs to."""
     name = f"{wire.REQUEST_ID}: ".encode()
     header = name + head.partition(name)[2].split(b"\r\n")[0]
     status_line, _, rest = data.partition(b"\r\n")
@@ -38,7 +38,7 @@
 
 
 class RecordedStream:
-    """Records what a stream passes on."""
+    """Records the forwarded headers and events of a stream."""
 
     def __init__(self):
         self.headers = []
@@ -53,7 +53,10 @@
 
 class ServersTest(unittest.IsolatedAsyncioTestCase):
     async def start(self, data, cut=False, echo=True):
-        """Serve ``data`` to each request, naming it unless ``data`` names another."""
+        """Answer each request with ``data``.
+
+        Adds the request's id unless ``echo`` is false or ``data`` contains an id.
+        """
         self.heads = []
         self.bodies = []
 
@@ -107,11 +110,11 @@
                 self.assertIsInstance(await self.call(), outcome)
 
     async def test_answer_without_request_id_is_rejected(self):
-        """Symptom: a member reads another member's answer.
+        """Guards against a caller getting the answer to another caller's request.
 
-        Sequence: a replica sends a second, late answer that names no request; it comes
-        on a kept connection just after the next request was sent. Cause: only an answer
-        that names another request was refused.
+        A replica sends a late duplicate answer without a request id; it arrives on a
+        reused connection just after the next request was sent. Only answers with the id
+        of another request used to be rejected.
         """
         cases = [
             (answer(200, STAMP, body=b"x"), Broken),
@@ -146,7 +149,7 @@
         self.assertEqual(self.events, [(0, "a", 3), (1, "b", 4)])
 
     async def stream(self, after=None):
-        """Pass a stream on; return the outcome, the head and the events."""
+        """Forward a stream, recording its headers and events; return the outcome."""
         call = DirectCall("POST", "/p", [], b"", "r1", deadline_in(5))
         call.after = after
         self.passed = RecordedStream()
@@ -177,21 +180,21 @@
                 self.assertEqual(len(self.passed.events), events)
 
     async def test_incomplete_event_is_dropped(self):
-        """Symptom: a text ends in the middle of a piece, or holds one twice.
+        """Guards against texts with an event that is incomplete or occurs twice.
 
-        Sequence: a replica stops inside an event; the item is resumed. Cause: the
-        half event was taken, and the whole one came again.
+        A replica stops in the middle of an event and the item is resumed: the
+        incomplete event was used, and the complete one followed.
         """
         await self.start(answer(200, STAMP, body=EVENTS + b"id: 2\ndata: c"))
         self.assertIsInstance(await self.generate(), Broken)
         self.assertEqual([number for number, _, _ in self.events], [0, 1])
 
     async def test_events_of_another_request_are_dropped(self):
-        """Symptom: a text holds pieces of another sample.
+        """Guards against texts with parts of another sample.
 
-        Sequence: on a kept connection the late answer of an earlier request comes
-        first, and all of it was read at once. Cause: the answer is refused by its
-        head, but what was read of its body is still handed on.
+        On a reused connection the late answer to an earlier request arrives first and
+        is read in one piece. It is rejected by its headers, but the part of its body
+        that had already been read was still passed on.
         """
         await self.start(answer(200, STAMP, f"{wire.REQUEST_ID}: i0", body=EVENTS))
         self.assertIsInstance(await self.generate(), Broken)
