--- a/sassafrasdoor/platform/configuration.py
+++ b/sassafrasdoor/platform/configuration.py
@@ -1,4 +1,4 @@
-"""What operators, trainers and replicas write to the store, as product types."""
+"""Parses the records that operators, trainers and replicas write to the store."""
 
 import json
 import re
@@ -15,9 +15,10 @@
 DEFAULT_TIMEOUT_MS = 10_000
 DEFAULT_RETENTION_S = 40.0
 _SEQUENCE_FIELD = re.compile(rb'"Sequence":\s*\d+')
+# Requests of other kinds are run at most once, except for resumable streams.
 REPEAT_BY_KIND = {"safe": Repeat.SAFE, "rollout": Repeat.STEP}
-"""Every other kind of route may run once at most, but streams that can be resumed."""
 STREAMING = "streaming"
+# Raised for malformed records, which other programs may have written.
 PARSE_ERRORS = (
     KeyError,
     TypeError,
@@ -26,9 +27,7 @@
     OverflowError,
     RecursionError,
 )
-"""What reading a record raises that another writer may have written."""
-MAX_LOGGED_REASON_LENGTH = 200
-"""Characters of a reason in a log line."""
+MAX_LOGGED_REASON_LENGTH = 200  # characters
 
 UNREADABLE_RECORDS = counter(
     "platform_records_unreadable_total", "Keyed records that cannot be used, by topic."
@@ -36,7 +35,10 @@
 
 
 def parse_configuration(document):
-    """Return the ``Configuration``; raises ``KeyError``, ``TypeError``, ``ValueError``."""
+    """Return the ``Configuration`` of a document.
+
+    Raises ``KeyError``, ``TypeError`` or ``ValueError`` if it is malformed.
+    """
     models = {
         service["Name"]: [
             model["Name"] for model in service["Engine"].get("Models", ())
@@ -86,10 +88,11 @@
 
 
 def parse_listing(document):
-    """Return the ``Listing`` in a replica's entry; raises as above.
+    """Return the ``Listing`` of a replica's entry.
 
-    An entry may be another writer's. Taken for what it resembles, it would send
-    requests to an address where nobody waits for them.
+    Raises ``KeyError``, ``TypeError`` or ``ValueError`` if it is malformed. Other
+    programs may write entries; one that is only partly understood would direct requests
+    to an address at which no replica listens.
     """
     address = _typed_field(document, "Address", str)
     host, _, port = address.rpartition(":")
@@ -112,13 +115,16 @@
     )
 
 
+# By state, whether a replica gets no new work.
 _IS_DRAINING = {"ready": False, "draining": True}
-"""Whether a replica in a state gets no new work."""
 _REQUIRED = object()
 
 
 def _typed_field(document, name, kind, default=_REQUIRED):
-    """Return a field of exactly one type; raises ``KeyError`` or ``TypeError``."""
+    """Return a field whose type is exactly ``kind``.
+
+    Raises ``KeyError`` if it is missing and has no default, or ``TypeError``.
+    """
     value = document[name] if default is _REQUIRED else document.get(name, default)
     if type(value) is not kind:
         raise TypeError(f"{name} is {type(value).__name__}")
@@ -126,7 +132,7 @@
 
 
 class OperatorTopicReader:
-    """Hands configurations and named versions on to the product."""
+    """Applies the configurations and named versions in the operator topic."""
 
     __slots__ = ("_on_named_version", "_routes")
 
@@ -135,7 +141,7 @@
         self._on_named_version = named
 
     def apply(self, key, value):
-        """Take the newest value of a key; bad ones are noted and change nothing."""
+        """Apply the newest value of a key; malformed ones are logged and ignored."""
         key = key.removeprefix("op/")
         if not value:
             return
@@ -156,7 +162,7 @@
 
 
 class ServersTopicReader:
-    """Hands the list of replicas on to the product."""
+    """Applies the list of replicas in the servers topic."""
 
     __slots__ = ("_replicas", "_last_entries")
 
@@ -165,14 +171,17 @@
         self._last_entries = {}
 
     def apply(self, key, value):
-        """Take the newest entry of a replica."""
+        """Apply the newest entry of a replica; an empty one removes the replica.
+
+        A malformed entry is logged, and the replica gets no requests.
+        """
         identity = key.removeprefix("servers/")
         if not value:
             self._last_entries.pop(identity, None)
             self._replicas.unlisted(identity)
             return
-        # Nearly every record is a heartbeat in which the number alone differs. Parsing
-        # each anew would take most of an idle instance's processor time.
+        # Nearly every record is a heartbeat in which only the sequence number differs.
+        # Parsing all of them would take most of an idle instance's CPU time.
         entry_without_sequence = _SEQUENCE_FIELD.sub(b"", value)
         if self._last_entries.get(identity) == entry_without_sequence:
             return
--- a/sassafrasdoor/platform/handlers.py
+++ b/sassafrasdoor/platform/handlers.py
@@ -1,4 +1,4 @@
-"""What all handlers of the wire have in common, readiness and the directory."""
+"""Base class of the HTTP handlers, and the readiness and directory handlers."""
 
 import asyncio
 import json
@@ -16,12 +16,11 @@
 from sassafrasdoor.requests.crash_watch import Quarantined
 from sassafrasdoor.steps.durable.service import NotFound
 
+# Seconds. Some callers cache an answer of the directory for three times as long; a
+# stopping instance still serves them within the 8 s of its planned stop.
 DIRECTORY_TTL = 2
-"""Seconds that a directory answer holds. Some callers keep it three times as long,
-and a stopping instance serves on for that time within its eight seconds."""
 MAX_LOGGED_FRAMES = 2
-MAX_LOGGED_PATH = 120
-"""Characters of a caller's path in a log line."""
+MAX_LOGGED_PATH = 120  # characters
 
 ANSWERS = counter("front_answers_total", "Answers to callers, by kind and status.")
 ANSWER_SECONDS = histogram(
@@ -32,9 +31,11 @@
 
 
 class Parts:
-    """What the handlers use: services, routes, instances and the process's state.
+    """The objects that the handlers use.
 
-    ``store`` is the platform's store as this instance itself reaches it. ``lists`` maps keyed topics to the tails that follow them.
+    ``process`` has the state of this process. ``store`` is the platform's store, called
+    directly and never through another instance. ``lists`` maps each keyed topic to the
+    tail that follows it.
     """
 
     __slots__ = (
@@ -62,7 +63,7 @@
 
 
 class WireHandler(RequestHandler):
-    """Adds nothing to an answer, and ends its work when the caller leaves."""
+    """Adds no default headers, and cancels a request whose caller disconnects."""
 
     SUPPORTED_METHODS = ("GET", "HEAD", "POST", "PUT", "DELETE", "PATCH", "OPTIONS")
 
@@ -93,11 +94,11 @@
             self._task.cancel()
 
     async def _while_connected(self, coroutine):
-        """Return the coroutine's result; None if the caller has left meanwhile.
+        """Return the coroutine's result, or None if the caller disconnected.
 
-        A request that is cancelled because the process ends must raise: Tornado
-        finishes a handler that returns with an empty answer of 200, and a caller
-        would take that for a step accepted or a call answered.
+        If the process ends, the cancellation must propagate: Tornado finishes a handler
+        that returns with an empty answer of status 200, which a caller would take for
+        an accepted step or an answered call.
         """
         self._task = asyncio.ensure_future(coroutine)
         try:
@@ -127,12 +128,12 @@
         ANSWER_SECONDS.observe({"kind": type(self).__name__}, now() - self._started_at)
 
     def _abort_connection(self):
-        """Close the connection in the middle of an answer, without its end."""
+        """Close the connection without ending the answer."""
         self._auto_finish = False
         self.request.connection.stream.close()
 
     def send_error(self, status_code=500, **kwargs):
-        # Tornado would end a begun answer as if it were whole.
+        # Tornado would end a partially sent answer like a complete one.
         if self._headers_written:
             self._abort_connection()
         else:
@@ -167,7 +168,7 @@
 
 
 class ReadyHandler(WireHandler):
-    """Whether this instance serves, and its metrics."""
+    """Answers whether this instance serves, and returns its metrics."""
 
     def get(self):
         if self.request.path == "/metrics":
@@ -178,7 +179,7 @@
 
 
 class DirectoryHandler(WireHandler):
-    """Which addresses a caller should use."""
+    """Returns the addresses that a caller should use."""
 
     def get(self):
         zone = self.get_query_argument("Zone", "")
@@ -191,8 +192,8 @@
 
 @singledispatch
 def failure(outcome):
-    """Return ``(status, headers)`` that say to a caller what became of it."""
-    raise TypeError(f"no answer for {type(outcome).__name__}")
+    """Return the ``(status, headers)`` for an unsuccessful outcome."""
+    raise TypeError(f"no HTTP status for an outcome {type(outcome).__name__}")
 
 
 @failure.register
--- a/sassafrasdoor/platform/steps.py
+++ b/sassafrasdoor/platform/steps.py
@@ -1,4 +1,4 @@
-"""Trainers' documents on the platform's wire, as the product's steps."""
+"""Parses the steps that trainers submit, and encodes the pages of samples."""
 
 import base64
 import binascii
@@ -11,7 +11,7 @@
 
 
 def parse_step_spec(step_id, host, path, body):
-    """Return the ``StepSpec`` in a submission, or ``Rejected`` with its findings."""
+    """Return the ``StepSpec`` of a submission, or ``Rejected`` with its findings."""
     try:
         document = json.loads(body)
         model = document.get("Model", "")
@@ -34,7 +34,8 @@
             wanted=int(document.get("Desired", 0)),
             items=items,
         )
-        # Kept, it would be skipped by every reader of the log: accepted and unknown.
+        # Every reader of the log skips invalid records: the step would be accepted and
+        # never run.
         error_text = records.validation_error(spec)
         return (
             Rejected("step invalid", [Finding("(root)", error_text)])
@@ -46,7 +47,7 @@
 
 
 def _parse_item(row, model, place):
-    """Return the ``Item`` in a row, or the list of its ``Finding``s."""
+    """Return the ``Item`` of a row, or a list of its ``Finding``s."""
     try:
         reward = _parse_reward(row.get("Scorer"), f"{place}.Scorer")
         if isinstance(reward, list):
@@ -68,7 +69,7 @@
 
 
 def _parse_reward(document, place):
-    """Return the ``RewardCall``, None where there is none, or its ``Finding``s."""
+    """Return the ``RewardCall``, None if there is none, or a list of ``Finding``s."""
     if document is None:
         return None
     if not isinstance(document, dict):
@@ -91,7 +92,7 @@
 
 
 def page_document(page):
-    """Return the JSON bytes of a ``Page``."""
+    """Encode a ``Page`` as JSON bytes."""
     results = [_result_document(sample) for sample in page.samples]
     document = {
         "Total": page.total,
--- a/sassafrasdoor/platform/store.py
+++ b/sassafrasdoor/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's store: its log over HTTP, as the product's log interfaces."""
+"""HTTP client for the platform's store, implementing the partitioned log."""
 
 import base64
 import json
@@ -18,9 +18,9 @@
 from sassafrasdoor.metrics import counter
 from sassafrasdoor.outcomes import Expired, ReplyLost, Unavailable
 
+# Seconds for a call that the store answers at once; covers calls that take 60 times the
+# usual 4 ms.
 CALL_TIMEOUT = 2.0
-"""Seconds for a call that the store need not hold open: 60 times slower than usual
-(4 ms) is still within it."""
 RECORD_LENGTH = struct.Struct(">I")
 READ_OFFSETS = struct.Struct(">QQ")
 OK, GONE, UNAVAILABLE, TOO_MANY, FULL = 200, 410, 503, 429, 507
@@ -31,9 +31,10 @@
 
 
 class Store(PartitionedLog):
-    """Calls to the store at one address; ``demand`` counts them by purpose.
+    """Client of the store at one address.
 
-    ``newest_query`` goes with loads of the newest values.
+    ``demand`` counts the calls by purpose. ``newest_query`` has additional query
+    parameters for loads of the newest values.
     """
 
     __slots__ = ("_address", "_connections", "_call_counter", "_newest_query")
@@ -49,7 +50,11 @@
         self._connections.close()
 
     async def append(self, topic, part, records, deadline):
-        """Append all records or none: ``Appended``, ``Unavailable``, ``ReplyLost``."""
+        """Append all records or none.
+
+        Returns ``Appended``, ``Unavailable`` if nothing was appended, or ``ReplyLost``
+        if that is unknown.
+        """
         body = pack_records(records)
         query = {"Topic": topic, "part": part}
         reply = await self._call("append", "POST", "log-append", query, body, deadline)
@@ -99,8 +104,8 @@
             document = _json_object(reply)
             if reply.status != OK or document is None:
                 return Unavailable(f"store answered {reply.status}")
-            # Pages are no snapshot: reading on from the first page's end meets
-            # again whatever changed while the later pages were read.
+            # The pages are no snapshot. Reading continues at the end offset of the
+            # first page, so that changes made during later pages are seen again.
             end = document["End"] if end is None else end
             for item in document["Items"]:
                 after = item["Key"]
@@ -131,12 +136,12 @@
 
 
 def pack_records(records):
-    """Return records (bytes) one behind another, each with its length."""
+    """Return the records (bytes) concatenated, each preceded by its length."""
     return b"".join(RECORD_LENGTH.pack(len(record)) + record for record in records)
 
 
 def unpack_records(data):
-    """Return the records in such bytes, None where one of them is cut."""
+    """Return the records in packed bytes, or None if the last one is truncated."""
     records, position = [], 0
     while position + RECORD_LENGTH.size <= len(data):
         (length,) = RECORD_LENGTH.unpack_from(data, position)
@@ -149,12 +154,12 @@
 
 
 def batch_document(batch, first_kept=0):
-    """Return the answer that ``Store.read`` reads, of a ``RawBatch``."""
+    """Encode a ``RawBatch`` as the answer that ``Store.read`` decodes."""
     return READ_OFFSETS.pack(batch.end, first_kept) + pack_records(batch.records)
 
 
 def newest_document(newest):
-    """Return the answer that ``Store.newest`` reads, of ``NewestKeys``."""
+    """Encode ``NewestKeys`` as the answer that ``Store.newest`` decodes."""
     items = [
         {"Key": key, "Value": base64.b64encode(value).decode(), "Offset": 0}
         for key, value in newest.values.items()
--- a/sassafrasdoor/platform/tests/test_foreign_records.py
+++ b/sassafrasdoor/platform/tests/test_foreign_records.py
@@ -1,8 +1,7 @@
-"""Records of another writer, in every topic that is followed: none ends its reader.
+"""Tests that malformed records do not stop the reader of any topic.
 
-Symptom: an instance that read one record follows its topic no more, also after each
-start. Sequence: another writer, or a broken one, leaves any bytes at all. Cause: an
-exception that the reader does not expect.
+Another or a faulty writer may append arbitrary bytes. A reader that raised an
+unexpected exception stopped following its topic, again after each restart.
 """
 
 import json
@@ -54,7 +53,7 @@
 
 
 def nearly_records():
-    """Return bytes that are, or nearly are, a record of a step."""
+    """Return a strategy for bytes that are, or nearly are, a record of a step."""
     made = [
         nearly(body).map(
             lambda document, kind=kind: kind + json.dumps(document).encode()
--- a/sassafrasdoor/platform/tests/test_health.py
+++ b/sassafrasdoor/platform/tests/test_health.py
@@ -1,4 +1,7 @@
-"""Replicas that are unhealthy in ways that only calls show: grey, flapping, dropping."""
+"""Tests with replicas whose failures only calls detect.
+
+They answer with errors, go down repeatedly or drop idle connections.
+"""
 
 import asyncio
 import unittest
@@ -49,7 +52,7 @@
         return await self.service.answer(request)
 
     async def count_served(self, count=CALLS):
-        """Call one after the other; return how many were answered as they should."""
+        """Make calls in sequence; return how many were answered correctly."""
         answers = [await self.call() for _ in range(count)]
         return sum(
             isinstance(answer, Answer)
@@ -62,11 +65,11 @@
         return len(self.standins[at].runs)
 
     async def test_failing_replica_gets_few_calls_and_is_probed_again(self):
-        """Symptom: part of the calls fails although the list says all is well.
+        """Guards against preferring a replica that fails, or excluding it forever.
 
-        Sequence: one replica answers 500 at once, so it always looks idle; later it is
-        well again. Cause: the least loaded choice sends it everything, or it is left
-        out for good.
+        It answers 500 immediately, so it always looks idle, and the choice of the least
+        loaded replica would send it everything. The list shows it as healthy. Later it
+        recovers.
         """
         self.standins[0].failures = [500] * CALLS
         self.assertEqual(await self.count_served(), CALLS)
@@ -75,36 +78,35 @@
         before = self.runs(0)
         limit = deadline_in(60)
         while self.runs(0) == before:
-            self.assertFalse(passed(limit), "never tried again")
+            self.assertFalse(
+                passed(limit), "recovered replica was not tried within 60 s"
+            )
             self.assertEqual(await self.count_served(1), 1)
             await asyncio.sleep(0.02)
 
     async def test_all_failing_replicas_are_still_tried(self):
-        """Symptom: nobody is served because nobody is trusted.
-
-        Sequence: every replica fails once. Cause: suspicion without a bound.
-        """
+        """Guards against refusing all calls because every replica has failed once."""
         for standin in self.standins:
             standin.failures = [500]
         await self.count_served(3)
         self.assertEqual(await self.count_served(), CALLS)
 
     async def test_flapping_replica_costs_no_call(self):
-        """Symptom: calls are lost each time that a replica goes down.
+        """Guards against losing calls each time a replica goes down.
 
-        Sequence: it refuses connections and cuts open ones, comes back, and so on.
-        Cause: a lost connection is taken for the last word on a call.
+        It repeatedly refuses connections, cuts open ones and recovers; a lost
+        connection was taken for the final outcome of a call.
         """
         for down in (True, False, True, False, True):
             self.proxies[0].set({"refuse": down, "cut": down})
             self.assertEqual(await self.count_served(CALLS // 5), CALLS // 5)
 
     async def test_idle_connection_closed_while_a_call_is_sent(self):
-        """Symptom: a call that may run once is lost, or runs twice.
+        """Guards against losing a call that may run only once, or running it twice.
 
-        Sequence: the replica closes an idle connection just when a call is sent on it.
-        Cause: whether the call was read is open then. One that may be repeated goes to
-        another replica; one that may not never uses a kept connection.
+        The replica closes an idle connection just as a call is sent on it, so it is
+        unknown whether the call was read. A repeatable call is sent to another replica;
+        any other call never uses an idle connection.
         """
         self.assertEqual(await self.count_served(9), 9)
         opened = sum(proxy.accepted for proxy in self.proxies)
@@ -117,10 +119,10 @@
         self.assertEqual(self.run_count("r13"), 1)
         for proxy in self.proxies:
             proxy.set({"clear": True})
-        # A replica that broke a connection is connected to without a request.
+        # A replica that broke a connection is probed by connecting without a request.
         limit = deadline_in(60)
         while self.crashes.looking:
-            self.assertFalse(passed(limit), "looked after for ever")
+            self.assertFalse(passed(limit), "replica was still being probed after 60 s")
             await asyncio.sleep(0.02)
         before = sum(proxy.accepted for proxy in self.proxies)
         self.assertGreater(before, opened)
@@ -128,7 +130,7 @@
         self.assertEqual(sum(proxy.accepted for proxy in self.proxies), before + 1)
 
     def run_count(self, request_id):
-        """Return how often a request ran."""
+        """Return how many times a request ran."""
         runs = [run for standin in self.standins for run in standin.runs]
         return sum(run.request_id == request_id for run in runs)
 
--- a/sassafrasdoor/platform/tests/test_translation.py
+++ b/sassafrasdoor/platform/tests/test_translation.py
@@ -1,4 +1,4 @@
-"""Settings, configurations and entries: what is read of them, and what is refused."""
+"""Tests of parsing settings, configurations, entries of replicas and submissions."""
 
 import json
 import pathlib
@@ -123,10 +123,10 @@
         self.assertIsNone(current.match("h.example", "/x"))
 
     def test_older_configuration_is_ignored(self):
-        """Symptom: a dropped route is served again.
+        """Guards against removed routes being served again.
 
-        Sequence: a read that began before the change ends after it. Cause: what
-        was read last was put in force, not what is newest.
+        A read that started before a change may return after it; the configuration read
+        last was applied instead of the newest.
         """
         self.apply(DOCUMENT)
         self.apply({**DOCUMENT, "Version": 6, "Routes": []})
@@ -161,10 +161,10 @@
         self.assertEqual(self.replicas.of_service("x"), [])
 
     def test_heartbeat_alone_changes_nothing(self):
-        """Symptom: 300 instances spend a tenth of their processors on the list.
+        """Guards against parsing every heartbeat, which took a tenth of the CPU time
+        of 300 instances.
 
-        Sequence: each replica writes its entry again each second, with a number that
-        grows. Cause: every instance reads and compares every entry anew.
+        Each replica writes its entry every second with a higher sequence number.
         """
         changes = []
         self.replicas.on_change(lambda: changes.append(None))
@@ -177,11 +177,10 @@
         self.assertEqual(len(self.replicas.of_service("x")), 1)
 
     def test_malformed_entry_removes_only_its_replica(self):
-        """Symptom: requests go to an address where no replica listens.
+        """Guards against requests to an address at which no replica listens.
 
-        Sequence: another writer leaves an entry under a replica's key: a field is
-        missing, of another type, or names a state that there is not. Cause: what was
-        understood of it was used.
+        Another writer leaves an entry under a replica's key in which a field is
+        missing, has another type or an unknown state; the understood fields were used.
         """
         other = json.dumps({**ENTRY, "Address": "10.0.0.2:80"}).encode()
         self.keys.apply("i-2", other)
@@ -202,10 +201,10 @@
         self.assertEqual(len(self.replicas.of_service("x")), 1)
 
     def test_restarted_replica_uses_its_new_entry(self):
-        """Symptom: a restarted replica's first entries are dropped as old ones.
+        """Guards against ignoring the first entries of a restarted replica.
 
-        Sequence: it starts again under its identity, its numbers begin anew. Cause:
-        the lower number was taken for an older report.
+        It keeps its identity, but its sequence numbers start again; the lower number
+        was taken for that of an older entry.
         """
         for number, born, version in ((9, 1000, 3), (1, 2000, 1)):
             models = [{"Name": "m", "Version": version}]
@@ -215,7 +214,7 @@
 
 
 def bad_entries():
-    """Return entries of another writer, as bytes."""
+    """Yield malformed entries, as bytes."""
     yield from (b"{", b"[]", b"{}", b"null", b"7", b'"text"', b"\xff\xfe", b"[" * 9999)
     others = {str: 7, int: "7", list: {}}
     for name, value in ENTRY.items():
@@ -260,10 +259,10 @@
         self.assertIsNone(spec.items[1].reward)
 
     def test_malformed_reward_calls_are_refused_with_their_places(self):
-        """Symptom: a trainer waits for samples that can never be scored.
+        """Guards against accepting samples that can never be scored.
 
-        Sequence: a step with a reward call without a path is accepted. Cause: only
-        the items themselves were checked.
+        A reward call without a path was accepted, since only the items themselves were
+        validated; the trainer then waited for the samples.
         """
         cases = [
             ("Id", {**self.REWARD, "Id": ""}),
@@ -284,7 +283,7 @@
         self.assertEqual(places, ["Items.0.Scorer", *wanted])
 
     def test_step_unreadable_from_the_log_is_rejected(self):
-        """Guards against a step that is accepted and known to nobody for good."""
+        """Guards against accepted steps whose records every reader skips."""
         cases = [
             ("Id", 5),
             ("Id", None),
