--- a/sassafrasdoor/platform/peers.py
+++ b/sassafrasdoor/platform/peers.py
@@ -1,9 +1,9 @@
-"""What instances do for each other while the store is away, for all or for one.
+"""Help between instances while the store is unavailable to all or one of them.
 
-An instance that starts then knows no configuration, no replicas and no other instance.
-Its settings name some control addresses; whoever answers there has followed the lists
-for longer. One that alone is cut off appends and reads through another. Both answer as
-the store does, so that one client serves all.
+An instance that starts during an outage has no configuration and no list of replicas or
+instances. It loads them from the control addresses in its settings: instances there may
+have loaded them earlier. An instance that alone is cut off from the store appends and
+reads through another one. Both use the store's protocol, so the same client serves all.
 """
 
 import random
@@ -26,18 +26,17 @@
     "/-/log-read",
     "/-/log-append",
 )
+# Query parameter: load the list from the store, not from the memory of the instance.
 FROM_STORE_PARAMETER = "Store"
-"""Asks for a list as the store has it now, not as the other instance knows it."""
-MAX_RELAYED_READ_WAIT = 1.0
-"""Seconds that a read is held for another instance; its own reads wait as long."""
+MAX_RELAYED_READ_WAIT = 1.0  # seconds; an instance's own reads wait as long
+# Seconds for the store's answer after that wait; as for the instance's own appends.
 RELAY_TIMEOUT = 0.8
-"""Seconds for the store's answer beyond that; as long as an append of our own."""
+# Reports an append that may have landed; ``Store`` treats any such status that way.
 UNKNOWN_OUTCOME_STATUS = 504
-"""An append whose fate is not known; the store's client takes any such status so."""
 
 
 class Peers:
-    """Asks the control addresses of other instances."""
+    """Clients of the control addresses of other instances."""
 
     __slots__ = ("_addresses", "_relay_clients", "_peer_clients")
 
@@ -47,7 +46,7 @@
         self._relay_clients = {}
 
     def relays(self, addresses):
-        """Return the clients of control addresses, or of those the settings name."""
+        """Return clients of the control addresses, by default those in the settings."""
         addresses = addresses or self._addresses
         for address in addresses:
             if address not in self._relay_clients:
@@ -56,7 +55,7 @@
         return [self._relay_clients[address] for address in addresses]
 
     async def newest(self, topic):
-        """Return the ``NewestKeys`` of a topic as a peer knows them, or None."""
+        """Return the ``NewestKeys`` of a topic that a peer has, or None."""
         for client in random.sample(self._peer_clients, len(self._peer_clients)):
             newest_keys = await client.newest(topic)
             if not isinstance(newest_keys, Unavailable):
@@ -70,7 +69,7 @@
 
 
 class PeerHandler(WireHandler):
-    """Tells another instance the newest values of a keyed topic."""
+    """Returns the newest values of a keyed topic to another instance."""
 
     async def get(self):
         tail = self._parts.lists.get(self.get_query_argument("Topic", ""))
@@ -93,17 +92,17 @@
 
 
 class RelayHandler(WireHandler):
-    """Appends and reads for an instance that is cut off from the store."""
+    """Relays appends and reads of an instance that is cut off from the store."""
 
     def prepare(self):
         super().prepare()
-        # Where the store is away for all, asking it once more for each other would
-        # hold every call for twice its time.
+        # While the store is unavailable to all, relaying would only make every call
+        # wait for a second timeout.
         if any(tail.failing_since is not None for tail in self._parts.lists.values()):
             self._reply(UNAVAILABLE)
 
     async def get(self):
-        """Read on; answers only what the store itself has said."""
+        """Read from the store; never answers from this instance's memory."""
         with asked_for(RELAY):
             await self._read()
 
@@ -125,7 +124,7 @@
             self._reply(200, [], batch_document(result))
 
     async def post(self):
-        """Append; an append of unknown fate is not answered as one without effect."""
+        """Append; ``ReplyLost`` is never reported as an append without effect."""
         records = unpack_records(self.request.body)
         if not records:
             self._reply(400)
--- a/sassafrasdoor/platform/settings.py
+++ b/sassafrasdoor/platform/settings.py
@@ -1,7 +1,7 @@
-"""The platform's settings file, checked and in the product's own names.
+"""Loads and validates the platform's settings file.
 
-The product's own settings are JSON, checked by pydantic. Importing that takes much of
-a start and of the memory here, so this module does without.
+The product's other settings are JSON validated by pydantic. Importing pydantic would
+take much of this program's start-up time and memory, so this module does not use it.
 """
 
 import os
@@ -26,6 +26,7 @@
     "Listen.Directory",
     "Platform.Address",
 )
+# Values of the settings that a platform leaves out, from its documentation.
 NUMBER_DEFAULTS = {
     "Bounds.ConfigApplyMs": 2000.0,
     "Bounds.GraceS": 8.0,
@@ -39,9 +40,10 @@
     "Limits.CpuShare": 1.0,
     "Limits.Cores": 1.0,
 }
-"""Defaults where a platform leaves a figure out: those of its pages."""
 
 
+# Settings that a running process applies when the file changes: bounds that are read at
+# each use. Addresses, the location and the number of partitions change only at a start.
 RELOADABLE = (
     "config_apply",
     "fenced",
@@ -51,27 +53,24 @@
     "results_kept",
     "stop_within",
 )
-"""What a running process takes over from a changed file: bounds that are read when they
-are needed. Addresses, places and partitions hold until the next start."""
-MIN_PARTITIONS = 2
-"""One for the steps, one for the duty of ordering loads."""
+MIN_PARTITIONS = 2  # one for the steps, one for the weights lease
 
 
 class PlatformSettings:
-    """Where to listen, the platform's store and its bounds (seconds, bytes).
-
-    ``control`` is where other instances ask, empty if nowhere; ``peers`` are such
-    addresses of others.
-
-    ``config_apply`` is within which time a configuration must be in force.
-    ``stop_within`` is how long a planned stop may take, ``lease`` the time that two
-    holders of a duty must lie apart where replicas do not check fencing numbers,
-    ``reads_per_second`` how many reads the store gives all instances together,
-    ``read_bytes_per_second`` how much it sends them,
-    ``heartbeat`` the time between two heartbeats of a replica,
-    ``fenced`` whether they do, ``results_kept`` how long a step's samples are read
-    after its submission, ``cores`` how much processor the instance has, ``instance``
-    its ``InstancePlace``.
+    """Addresses to listen on, the platform's store and its bounds (seconds, bytes).
+
+    ``control``: address that other instances call, empty if none; ``peers``: control
+    addresses of other instances. ``instance``: its ``InstancePlace``.
+
+    ``config_apply``: time within which a new configuration must be in force.
+    ``stop_within``: longest duration of a planned stop.
+    ``fenced``: whether replicas check fencing tokens; if not, ``lease`` is the time
+    that must pass between two holders of a lease.
+    ``heartbeat``: time between two heartbeats of a replica.
+    ``reads_per_second``, ``read_bytes_per_second``: the store's limits for all
+    instances together.
+    ``results_kept``: time after a step's submission for which its samples are readable.
+    ``cores``: processor cores of the instance, which may be a fraction.
     """
 
     __slots__ = (
@@ -97,7 +96,7 @@
     )
 
     def take_over(self, other):
-        """Take what may change from ``other``; return the names taken and left."""
+        """Apply the reloadable values; return the names applied and those deferred."""
         changed = [
             name
             for name in self.__slots__
@@ -110,7 +109,7 @@
 
 
 def file_signature(path):
-    """Return what changes when the file at ``path`` is written; None without a file."""
+    """Return a value that changes when the file is written, or None without a file."""
     try:
         status = os.stat(path)
     except OSError:
@@ -119,7 +118,7 @@
 
 
 def parse_lines(text):
-    """Return the mapping in lines ``a.b=value``; other lines are left out."""
+    """Return the mapping in lines ``a.b=value``; other lines are ignored."""
     pairs = (line.partition("=") for line in text.splitlines())
     return {key.strip(): value.strip() for key, sep, value in pairs if sep}
 
--- a/sassafrasdoor/platform/wire.py
+++ b/sassafrasdoor/platform/wire.py
@@ -1,4 +1,4 @@
-"""Header names of the platform's wire, and what is never passed on."""
+"""Header names of the platform's protocol, and the headers that are not forwarded."""
 
 from sassafrasdoor.headers import ONE_HOP
 
@@ -23,9 +23,9 @@
 
 
 def header_pairs(headers, excluded):
-    """Return the ``(name, value)`` pairs of headers but for those left out.
+    """Return the ``(name, value)`` pairs of headers without the ``excluded`` names.
 
-    Headers that ``Connection`` names concern that connection only.
+    Headers listed in ``Connection`` apply to a single connection and are left out too.
     """
     connection_headers = {
         name.strip().lower() for name in headers.get("Connection", "").split(",")
