--- a/sassafrasdoor/platform/__init__.py
+++ b/sassafrasdoor/platform/__init__.py
@@ -1,4 +1,4 @@
-"""The users' platform: its wire, translated into the product's own types.
+"""Adapter for the users' platform: translates its protocol into the product's types.
 
-Nothing outside this folder imports it, and no name of that wire stands outside.
+Nothing outside this folder imports it or contains names of that protocol.
 """
--- a/sassafrasdoor/platform/__main__.py
+++ b/sassafrasdoor/platform/__main__.py
@@ -1,10 +1,10 @@
-"""The program on each instance of the users' platform.
+"""The program that runs on each instance of the users' platform.
 
-Everything runs in one process: a second one would cost its memory again.
+Everything runs in one process; a second one would need as much memory again.
 """
 
-# The other programs use typer. To run one command it imports pydantic, a quarter of a
-# start here: callers found nobody for that much longer after all processes had died.
+# The other programs use typer, which imports pydantic to run a command. That takes a
+# quarter of the start-up time, for which callers find no instance after all have died.
 import argparse
 import asyncio
 import os
--- a/sassafrasdoor/platform/local.py
+++ b/sassafrasdoor/platform/local.py
@@ -1,4 +1,4 @@
-"""Processes of ours on this machine, before the stand-ins: for tests and the soak."""
+"""Starts instances as local processes that use the stand-ins, for tests and the soak."""
 
 import contextlib
 import os
@@ -31,9 +31,9 @@
 
 
 def free_ports():
-    """Yield ports that nobody uses, below those that the system hands out.
+    """Yield unused ports below the system's ephemeral range.
 
-    A process keeps its addresses over a restart, so it cannot pick them itself.
+    An instance keeps its addresses across restarts, so it cannot use ephemeral ports.
     """
     first = FIRST_PORT + os.getpid() % PORT_BLOCKS * PORTS_PER_BLOCK
     for port in range(first, LAST_PORT):
@@ -46,7 +46,7 @@
 
 
 class LocalInstance:
-    """One process of ours with addresses that it keeps over restarts."""
+    """One instance in a local process; it keeps its addresses across restarts."""
 
     def __init__(self, folder, name, store, seeds=()):
         self.name = name
@@ -64,7 +64,7 @@
         self.start()
 
     def start(self, module=PROGRAM):
-        """Start the process; ``module`` may arrange something before the program."""
+        """Start the process; another ``module`` may do set-up and run the program."""
         self.process = subprocess.Popen(
             [sys.executable, "-m", module],
             cwd=ROOT,
@@ -79,12 +79,12 @@
         return self.process.poll() is None
 
     def signal(self, number):
-        """Send a signal; a process that has ended is no error."""
+        """Send a signal unless the process has ended."""
         if self.running:
             self.process.send_signal(number)
 
     def kill(self):
-        """End the process at once, also a stopped one."""
+        """Kill the process, even if it is stopped by SIGSTOP."""
         self.signal(signal.SIGCONT)
         self.signal(signal.SIGKILL)
         self.process.wait()
--- a/sassafrasdoor/platform/measure.py
+++ b/sassafrasdoor/platform/measure.py
@@ -1,7 +1,7 @@
-"""Processor time of the program on the users' platform: a plain call, a step's item.
+"""Measures the CPU time that an instance uses per plain call and per item of a step.
 
-One process of ours before stand-ins of the store and of replicas in this process; its
-own processor time is read from the kernel before and after.
+One instance runs as a separate process; the stand-ins of the store and the replicas run
+in this one. The instance's CPU time is read from the kernel before and after.
 
     python3 -m sassafrasdoor.platform.measure --calls 2000 --steps 20
 """
@@ -37,7 +37,7 @@
 
 
 class Benchmark:
-    """One process of ours and its stand-ins."""
+    """One instance in a separate process, and its stand-ins."""
 
     def __init__(self, folder):
         self._store = StoreStandin()
@@ -47,7 +47,7 @@
         self._connections = Connections()
 
     async def start(self):
-        """List the replicas, configure, and wait until the process serves."""
+        """Write the list and the configuration; wait until the instance is ready."""
         topic = configuration.SERVERS_TOPIC
         await self._store.put(topic, "p0", self._plain.entry("p", []))
         await self._store.put(topic, "e0", self._engine.entry("e", [MODEL]))
@@ -56,7 +56,7 @@
             await asyncio.sleep(0.05)
 
     def close(self):
-        """End everything."""
+        """Stop the instance and close the connections."""
         self._instance.close()
         self._connections.close()
 
@@ -70,13 +70,13 @@
         return getattr(reply, "status", None)
 
     def processor_seconds(self):
-        """Return the process's processor seconds so far."""
+        """Return the CPU seconds that the instance has used so far."""
         text = pathlib.Path(f"/proc/{self._instance.process.pid}/stat").read_text()
         fields = text.rpartition(")")[2].split()
         return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_SECOND
 
     async def calls(self, count):
-        """Call on kept connections, some at a time."""
+        """Send ``count`` calls on reused connections, ``IN_FLIGHT`` at a time."""
 
         async def caller(first):
             for number in range(first, count, IN_FLIGHT):
@@ -89,7 +89,7 @@
         await asyncio.gather(*(caller(first) for first in range(IN_FLIGHT)))
 
     async def steps(self, count):
-        """Submit steps one after the other and read each to its end."""
+        """Submit ``count`` steps in sequence and read each to its end."""
         for number in range(count):
             name = f"s{number}"
             body = json.dumps(_step(name)).encode()
@@ -137,7 +137,7 @@
                 await work
                 elapsed = asyncio.get_running_loop().time() - started
                 used = bench.processor_seconds() - before - idle * elapsed
-                print(f"{label}: {1000 * used / count:.2f} ms of processor time")
+                print(f"{label}: {1000 * used / count:.2f} ms of CPU time")
         finally:
             bench.close()
 
@@ -146,7 +146,7 @@
     calls: int = typer.Option(2000, help="Plain calls."),
     steps: int = typer.Option(20, help=f"Steps of {ITEMS} items."),
 ):
-    """Measure the processor time of calls and items."""
+    """Measure the CPU time of calls and items."""
     asyncio.run(_measure(calls, steps))
 
 
--- a/sassafrasdoor/platform/standin.py
+++ b/sassafrasdoor/platform/standin.py
@@ -1,7 +1,7 @@
-"""Small stand-ins for the users' store and replicas, with faults by attribute.
+"""Simple stand-ins for the platform's store and replicas; attributes inject faults.
 
-They speak the platform's wire over the product's own in-memory log. For tests and the
-fault soak only: they check nothing but what those need.
+They implement the platform's protocol on the product's in-memory log, for tests and the
+fault soak only, and validate only what those need.
 """
 
 import asyncio
@@ -25,12 +25,12 @@
 READ_SLACK = 1.0
 
 
+# Value of SO_LINGER with a time of 0: closing a socket resets its connection.
 LINGER_RESET = struct.pack("ii", 1, 0)
-"""Lingering for no time: a connection is reset instead of closed."""
 
 
 def serve(application, port=0):
-    """Serve on a port, by default one of its own; return ``(server, "host:port")``."""
+    """Serve on a port, by default a free one; return ``(server, "host:port")``."""
     server = HTTPServer(application)
     sockets = bind_sockets(port, LOOPBACK)
     server.add_sockets(sockets)
@@ -38,10 +38,11 @@
 
 
 class StoreStandin:
-    """The store; ``log`` has the faults, nothing is answered without ``answering``.
+    """The store; faults are set on ``log``, and no call is answered while ``answering``
+    is cleared.
 
-    ``record_seconds`` maps topics to how long a read of one record takes; such a read
-    returns one at a time.
+    ``record_read_seconds`` maps topics to the seconds that reading one record takes; a
+    read of such a topic returns a single record.
     """
 
     def __init__(self, log=None):
@@ -59,7 +60,7 @@
         )
 
     async def put(self, topic, key, document):
-        """Write one key of a keyed topic; None drops it."""
+        """Write one key of a keyed topic; a document of None deletes it."""
         value = b"" if document is None else json.dumps(document).encode()
         record = keyed_record(key, value)
         await self.log.append(topic, 0, [record], deadline_in(1))
@@ -75,7 +76,7 @@
 
 
 def _log_nothing(handler):
-    """Write no line for an answer."""
+    """Replace Tornado's log line for each answer by none."""
 
 
 class _StoreHandler(RequestHandler):
@@ -137,7 +138,7 @@
 
 
 class Run:
-    """One request that a replica began to work on; ``ended`` is None while it does."""
+    """A request that a replica has started; ``ended`` is None until it has ended."""
 
     def __init__(self, request_id, path, body, after):
         self.request_id = request_id
@@ -150,14 +151,14 @@
 
 
 class ReplicaStandin:
-    """One replica: ``events`` a sample, ``pause`` seconds between them.
-
-    ``break_after`` closes a stream after so many events (once for each entry of the
-    list), ``failures`` are statuses to answer with, ``full`` refuses everything.
-    A request of a path in ``crash_paths`` ends the replica ``crash_after`` seconds after
-    it has begun to run; ``away`` seconds later it serves again under a new identity, and
-    ``on_back(former identity)`` is awaited; ``crashed_with`` are the paths that ran at
-    each crash.
+    """One replica: each sample has ``events`` events, ``pause`` seconds apart.
+
+    Each entry of ``break_after`` closes one stream after that many events. ``failures``
+    are statuses for the next answers; if ``full``, every request is refused.
+    A request with a path in ``crash_paths`` crashes the replica ``crash_after`` seconds
+    after it has started. ``away`` seconds later the replica serves again under a new
+    identity, and ``on_recovered(former identity)`` is awaited.
+    ``paths_running_at_crash`` has a list of the running requests' paths for each crash.
     """
 
     def __init__(self, identity, slots=8, events=4, pause=0.02):
@@ -188,11 +189,11 @@
 
     @property
     def running(self):
-        """Runs at work now."""
+        """The runs that have not ended."""
         return [run for run in self.runs if run.ended is None]
 
     def entry(self, service, models, state="ready"):
-        """Return its entry of the list."""
+        """Return the replica's entry in the list of replicas."""
         versions = [{"Name": name, "Version": self.version} for name in models]
         return {
             "Service": service,
@@ -205,13 +206,13 @@
         }
 
     def restart(self):
-        """Start again under the same identity: runs end, connections close."""
+        """Restart under the same identity: running streams are closed."""
         self.born += 1
         self.orders = []
         self.break_after = []
 
     async def crash(self):
-        """End at once; come back at the same address under a new identity."""
+        """Stop at once, then serve again at the same address under a new identity."""
         self.crashes += 1
         self._server.stop()
         self.paths_running_at_crash.append([run.path for run in self.running])
@@ -237,7 +238,7 @@
 
 
 async def _ignore_recovery(former):
-    """Tell nobody that a replica is back."""
+    """Do nothing; default of ``on_recovered``."""
 
 
 class _ReplicaHandler(RequestHandler):
@@ -252,7 +253,7 @@
         self._connection_closed = True
 
     def _begin(self):
-        """Begin a run; return whether the request is one for this replica."""
+        """Start a run; return False if the request is misdirected or refused."""
         headers = self.request.headers
         replica = self._replica
         self.set_header(wire.REQUEST_ID, headers.get(wire.REQUEST_ID, ""))
