--- a/sassafrasdoor/platform/tests/cases.py
+++ b/sassafrasdoor/platform/tests/cases.py
@@ -1,4 +1,4 @@
-"""A cluster of real processes on the platform's wire, for the tests of this folder."""
+"""Test case with a cluster of real processes on the platform's protocol."""
 
 import asyncio
 import base64
@@ -20,9 +20,9 @@
 from sassafrasdoor.timeline.lines import select
 
 HOST, MODEL, ENGINES, PLAIN = "h.example", "m", "engines", "plain"
-CONDITION_TIMEOUT = 60.0
+CONDITION_TIMEOUT = 60.0  # seconds
+# What a failure shows: the last answers, bytes of each, and log lines of an instance.
 MAX_SHOWN_ANSWERS, MAX_SHOWN_BODY_BYTES, MAX_SHOWN_LOG_LINES = 5, 200, 40
-"""How many of the last answers, bytes of each, and log lines a failure shows."""
 ROUTE = {
     "Host": HOST,
     "TimeoutMs": 8000,
@@ -73,7 +73,7 @@
         await self.configure(1)
         await self.list_replicas()
         self.instances = []
-        # The first instance reaches the store through a proxy with faults.
+        # The first instance reaches the store through a proxy that can inject faults.
         self.proxy = await Proxy(self.store.address).open()
         self.addAsyncCleanup(self.proxy.close)
         stores = [self.proxy.address, self.store.address, self.store.address]
@@ -104,13 +104,13 @@
             if result:
                 return result
             if passed(deadline):
-                self.fail(f"condition never came true\n{self.report()}")
+                self.fail(f"condition not met in time\n{self.report()}")
             await asyncio.sleep(0.05)
 
     def report(self):
-        """Return what a condition that never came true is traced from.
+        """Return a description of the cluster for a failure message.
 
-        Each instance's end, if it has ended, and its last log lines; the last answers.
+        It has the last answers, and each instance's exit code and last log lines.
         """
         texts = [f"last answers: {list(self.answers)}"]
         for instance in getattr(self, "instances", ()):
@@ -183,8 +183,8 @@
             self.assertEqual(result["Versions"], [1])
 
     def runner_instance(self):
-        """Return the instance whose process runs the steps."""
-        # Two may claim at once; which claim counts is the fold's to say.
+        """Return the instance whose process runs the steps of the model."""
+        # Two instances may claim at the same time; folding decides which claim counts.
         shard, steps = shard_of(MODEL), Steps()
         records = self.store.log.partition(TOPIC, shard).records
         for offset, data in enumerate(records):
@@ -199,20 +199,20 @@
         return (await self.submit(step_id)).code == 202
 
     async def lists_instances(self, at, count=0):
-        """Say whether an instance names so many instances, all of them without a count."""
+        """Return whether a directory lists ``count`` instances, by default all."""
         reply = await self.fetch(self.instances[at].directory, "/-/resolve?Zone=z")
         addresses = json.loads(reply.body)["Addresses"]
         return len(addresses) == (count or len(self.instances))
 
     def lines(self, wanted, kind=""):
-        """Return the log lines of all instances that name an id, in order."""
+        """Return the log lines of all instances that contain an id, in order."""
         texts = []
         for instance in self.instances:
             texts += instance.log_path.read_text("utf-8").splitlines()
         return select(texts, wanted, kind)
 
     async def wait_for_line(self, wanted, kind):
-        """Wait for a line and return its fields."""
+        """Wait for a log line and return the fields of the last one."""
         await self.wait_until(lambda: self.lines(wanted, kind))
         return self.lines(wanted, kind)[-1].fields
 
--- a/sassafrasdoor/platform/tests/stepped_clock.py
+++ b/sassafrasdoor/platform/tests/stepped_clock.py
@@ -1,8 +1,8 @@
-"""Starts the program with a time of day that a file steps forward or back.
+"""Runs the program with a wall clock that a file steps forward or back.
 
-The file stands beside the settings, its name ends in ``STEP_SUFFIX`` and it holds the
-seconds of the step; without it the time of day is the machine's. The monotonic clock
-goes on as it does. Run as a module, in place of the program.
+The file is next to the settings file, with ``STEP_SUFFIX`` added to its name, and
+contains the step in seconds; without it the wall clock is the machine's. The monotonic
+clock is unchanged. Run as a module, in place of the program.
 """
 
 import os
@@ -14,7 +14,7 @@
 
 
 def stepped_time():
-    """Return the time of day in seconds, stepped as the file says."""
+    """Return the wall-clock time in seconds, with the step from the file."""
     try:
         with open(os.environ["SASSAFRASDOOR_BOOT"] + STEP_SUFFIX) as file:
             return _machine_time() + float(file.read() or 0)
@@ -23,6 +23,6 @@
 
 
 if __name__ == "__main__":
-    # Before anything of the program is imported: some modules keep the function.
+    # Must precede all imports of the program, since some modules store the function.
     time.time = stepped_time
     runpy.run_module("sassafrasdoor.platform", run_name="__main__")
--- a/sassafrasdoor/platform/tests/test_boundary.py
+++ b/sassafrasdoor/platform/tests/test_boundary.py
@@ -1,4 +1,4 @@
-"""The platform's folder is the only place that knows the platform's wire."""
+"""Tests that only the platform's folder contains names of the platform's protocol."""
 
 import ast
 import pathlib
@@ -58,10 +58,10 @@
         self.assertEqual(occurrences, [])
 
     def test_program_does_not_import_unused_packages(self):
-        """Symptom: after all processes have died, callers find nobody for longer.
+        """Guards against slow starts, during which callers find no instance.
 
-        Sequence: every instance starts again at once. Cause: a third of the start goes
-        into importing the checks of settings that this program does not read.
+        All instances restart at once after all have died. Importing the validation of
+        settings that this program does not read took a third of the start.
         """
         script = (
             "import sys; from sassafrasdoor.platform.__main__ import main; "
--- a/sassafrasdoor/platform/tests/test_calls_processes.py
+++ b/sassafrasdoor/platform/tests/test_calls_processes.py
@@ -1,4 +1,4 @@
-"""Calls and operation in real processes on the platform's wire."""
+"""Tests of calls and operation with real processes."""
 
 import asyncio
 import json
@@ -34,10 +34,10 @@
             self.assertEqual(same, results)
 
     async def test_broken_stream_is_resumed_or_cut(self):
-        """Symptom: a text stops in the middle, or is read twice.
+        """Guards against truncated texts and texts that are received twice.
 
-        Sequence: engines break their streams off, some callers leave. Cause: a stream
-        that may be resumed was not, or one that may not was.
+        Engines break off their streams: a resumable stream must be resumed at a
+        replica, any other must be cut.
         """
         front = self.instances[0].front
         for engine in self.engines:
@@ -54,17 +54,17 @@
         self.assertEqual([run.request_id for run in self.all_runs()].count("o1"), 1)
 
     async def test_planned_stop_breaks_no_call(self):
-        """Symptom: callers see broken connections during a rolling restart.
+        """Guards against broken connections during a rolling restart.
 
-        Sequence: calls are under way and new ones come on remembered addresses
-        while an instance stops. Cause: it closed before its callers had left.
+        While an instance stops, calls are in progress and callers with a cached address
+        send new ones. It closed its connections before its callers had switched.
         """
         for replica in self.plain:
             replica.pause = 0.2
         first = self.instances[0]
         calls = []
-        # Calls on remembered addresses are promised for a part of the stop's five
-        # seconds: those that a busy machine lets come later are none of them.
+        # Calls to cached addresses are served for part of the 5 s of a planned stop.
+        # Calls that a busy machine would send later are outside this guarantee.
         calls_deadline = None
         while calls_deadline is None or not passed(calls_deadline):
             if len(calls) == 3:
@@ -83,10 +83,10 @@
         self.assertNotIn(first.front, json.loads(resolved.body)["Addresses"])
 
     async def test_changed_settings_are_reloaded(self):
-        """Symptom: a stop takes longer than the platform allows, and is cut short.
+        """Guards against applying settings only at the start.
 
-        Sequence: the settings file changes without a signal, is invalid for a while,
-        and is changed again with one. Cause: it is read at the start only.
+        A stop then took longer than the platform allows and was cut short. The file
+        changes without a signal, is invalid for a while, and changes again with SIGHUP.
         """
         instance = self.instances[0]
         path = instance.settings_path
@@ -101,12 +101,12 @@
         await self.wait_until(lambda: self.reloads(instance).count("stop_within") >= 2)
 
     def reloads(self, instance):
-        """Return the lines that the process wrote on its settings."""
+        """Return the process's log lines about reloaded settings."""
         lines = instance.log_path.read_text("utf-8").splitlines()
         return "".join(line for line in lines if "process.reloaded" in line)
 
     async def test_refused_call_can_be_traced_in_the_log(self):
-        """From the id to the cause, as the operations page goes: a refused call."""
+        """From the request id to the cause, as the operations page describes."""
         for replica in self.plain:
             replica.full = True
         headers = {wire.REQUEST_ID: "refused"}
@@ -122,7 +122,7 @@
         self.assertTrue(all("503" in line.fields["reason"] for line in tried))
 
     async def test_cut_stream_can_be_traced_in_the_log(self):
-        """The same for a sample whose stream was cut off."""
+        """The same for a sample whose stream broke off."""
         for engine in self.engines:
             engine.break_after = [2] * 4
         self.assertEqual((await self.submit("s", items=1)).code, 202)
@@ -159,10 +159,10 @@
         await self.wait_until(lambda: len(self.lines("s", "item.made")) >= 4)
 
     async def test_reused_address_of_another_service_gets_no_call(self):
-        """Symptom: a replica of another service runs a request.
+        """Guards against requests to a replica of another service.
 
-        Sequence: a replica ends, its address is given to another one, the list
-        still names the first. Cause: the identity was not named at the send.
+        A replica ends and its address is reused while the list still has the first
+        replica; requests were sent without the identity of the intended one.
         """
         other_replica = ReplicaStandin("stranger")
         self.addCleanup(other_replica.stop)
--- a/sassafrasdoor/platform/tests/test_clock_processes.py
+++ b/sassafrasdoor/platform/tests/test_clock_processes.py
@@ -1,4 +1,4 @@
-"""A time of day that jumps while real processes hold leases and run steps."""
+"""Tests of wall-clock jumps while real processes hold leases and run steps."""
 
 import json
 import pathlib
@@ -10,8 +10,7 @@
 from sassafrasdoor.steps.durable.service import TOPIC, shard_of
 from sassafrasdoor.steps.durable.state import Steps
 
-JUMP_SECONDS = 5.0
-"""Seconds; a lease lasts 1.7, the list of instances 3.2."""
+JUMP_SECONDS = 5.0  # above the 1.7 s of a lease and the 3.2 s of an instance's record
 PROGRAM_MODULE = "sassafrasdoor.platform.tests.stepped_clock"
 
 
@@ -28,7 +27,7 @@
         path.write_text(str(seconds), "utf-8")
 
     def epoch(self):
-        """Return the offset of the first claim of the runner that has the shard."""
+        """Return the offset of the first claim of the shard's current runner."""
         shard, steps = shard_of(MODEL), Steps()
         for offset, data in enumerate(self.store.log.partition(TOPIC, shard).records):
             steps.fold(shard, offset, data)
@@ -43,11 +42,11 @@
                 self.assertEqual(reply.code, 200)
 
     async def test_clock_jumps_change_no_lease_and_no_answer(self):
-        """Symptom: steps change hands and calls are refused when a clock is set.
+        """Guards against lost leases and refused calls when a wall clock is set.
 
-        Sequence: the runner's time of day jumps forward by five seconds and another
-        instance's back, while items run; then both jump back. Cause: a lease, a
-        deadline or a list's age was counted on the time of day.
+        The runner's clock jumps forward by five seconds and another instance's back
+        while items run; then both return. A lease, a deadline or the age of a list was
+        measured with the wall clock.
         """
         for engine in self.engines:
             engine.pause = 0.5
@@ -71,10 +70,10 @@
         self.assertEqual(self.epoch(), epoch)
 
     async def test_lines_carry_both_clocks(self):
-        """Symptom: lines of one process cannot be ordered after a jump.
+        """Guards against log lines of a process that a jump puts out of order.
 
-        Sequence: a call, a jump forward, a call. Cause: lines bore the time of day
-        only.
+        A step is submitted before and after a jump back; lines had only the wall-clock
+        time.
         """
         instance = self.instances[1]
         self.assertEqual((await self.submit("s", at=1)).code, 202)
--- a/sassafrasdoor/platform/tests/test_crash_processes.py
+++ b/sassafrasdoor/platform/tests/test_crash_processes.py
@@ -1,4 +1,4 @@
-"""A request that crashes each replica that runs it, in real processes."""
+"""Tests of a request that crashes each replica that runs it, with real processes."""
 
 import asyncio
 import unittest
@@ -9,10 +9,9 @@
 from sassafrasdoor.platform.tests.cases import PLAIN, ProcessCase
 
 CRASHING, CONCURRENT = "/plain/crash", "/plain/beside"
-CRASHES_TO_QUARANTINE = 3
-"""Replicas after whose crashes the request counts as the cause."""
+CRASHES_TO_QUARANTINE = 3  # after which the request counts as their cause
+# Time after the third crash for all instances to learn of it; later runs are counted.
 QUARANTINE_PROPAGATION_SECONDS = 3.0
-"""Seconds after the third crash from which on sends are counted."""
 MAX_SENDS = 3
 REPEAT_BY_KIND = 12
 
@@ -36,7 +35,7 @@
             await self.wait_until(lambda name=replica.identity: self.is_known(name))
 
     def is_known(self, identity):
-        """Say whether each instance has a replica in its list."""
+        """Return whether each instance has logged that a replica is listed."""
         return len(self.lines(identity, "replica.listed")) == len(self.instances)
 
     async def relist(self, former, replica):
@@ -45,14 +44,14 @@
         await self.store.put(configuration.SERVERS_TOPIC, replica.identity, entry)
 
     async def send(self, path):
-        """Send a request at the next instance, under an id of its own."""
+        """Send a request with a new id to the next instance."""
         self.sent += 1
         front = self.instances[self.sent % len(self.instances)].front
         headers = {wire.REQUEST_ID: f"r{self.sent}"}
         return await self.fetch(front, path, "POST", "b", **headers)
 
     async def send_with_concurrent_requests(self):
-        """Send the request that crashes while another runs at each replica."""
+        """Send the crashing request while each replica runs another one."""
         requests = [self.send(CONCURRENT) for _ in range(3 * len(self.plain))]
         tasks = [asyncio.ensure_future(request) for request in requests]
         await self.wait_until(lambda: all(replica.running for replica in self.plain))
@@ -60,7 +59,7 @@
         await asyncio.gather(*tasks)
 
     async def all_serve(self):
-        """Say whether each instance knows all replicas that are back."""
+        """Return whether all instances answer calls and all replicas are idle."""
         for instance in self.instances:
             if not await self.plain_call_returns(instance, 200):
                 return False
@@ -75,7 +74,7 @@
         return [run for run in runs if run.path == CRASHING and run.at >= moment]
 
     async def test_request_that_crashes_replicas_reaches_few_more(self):
-        """One request takes down replicas of its service again and again."""
+        """Guards against one request crashing replicas of its service repeatedly."""
         while self.crashes < CRASHES_TO_QUARANTINE:
             await self.send_with_concurrent_requests()
             await self.wait_until(self.all_serve)
--- a/sassafrasdoor/platform/tests/test_leaving_processes.py
+++ b/sassafrasdoor/platform/tests/test_leaving_processes.py
@@ -1,4 +1,4 @@
-"""A server that leaves just after the list of servers was out of reach."""
+"""Tests of a backend server that leaves just after an outage of the list of servers."""
 
 import asyncio
 import unittest
@@ -7,38 +7,34 @@
 from sassafrasdoor.platform import configuration
 from sassafrasdoor.platform.tests.cases import ProcessCase
 
-CUT_SECONDS = 4.0
-"""Long enough for entries to lapse: three heartbeats."""
-BACK_SECONDS = 1.0
-"""From the list's return to the end of the entry."""
-DRAIN_SECONDS = 2.0
-"""Within which a server that has left gets nothing any more."""
+CUT_SECONDS = 4.0  # long enough for entries to lapse, which takes three heartbeats
+BACK_SECONDS = 1.0  # from the end of the outage to the removal of the entry
+DRAIN_SECONDS = 2.0  # within which a server that has left stops getting calls
 WATCHED_SECONDS = 1.0
 
 
 class LeavingTest(ProcessCase):
     async def test_server_leaving_after_a_list_outage_gets_no_calls(self):
-        """A request reached a server 2,336 ms after it had left; the bound is 2,000.
+        """Guards against calls to a server more than 2,000 ms after it has left.
 
-        An instance was cut off from the platform's store and came back to it; 2 s
-        later a server's entry ended, without a word before, and the instance sent it a
-        request 2.3 s after that. The end of the entry was read at once and not
-        believed: within 2.6 s of the list's return it was taken for one that had
-        lapsed meanwhile, and its server was used for 2.6 s more, counted from the
-        entry's end instead of from the return.
+        A call reached a server 2,336 ms after its entry had been removed without having
+        been marked as draining. The instance had regained the platform's store 2 s
+        before the removal and read the removal at once. Within 2.6 s of the end of an
+        outage a missing entry is taken for one that lapsed in the outage, and its
+        server is used for a grace period of 2.6 s. That period was counted from the
+        removal of the entry instead of from the end of the outage.
 
-        Another day of that kind showed it, with all instances cut off for four seconds:
+        Log lines after all instances were cut off for four seconds; the removal was
+        acknowledged at 10.009 s, and calls reached the server from 12.028 s on:
 
              8.483 log.regained topic=keyed.servers away_seconds=2.922
             10.198 replica.absent
             12.828 replica.gone
 
-        The server's leaving was acknowledged at 10.009 s; calls reached it from 12.028 s
-        on. With the grace counted from the return the same day has
+        With the period counted from the end of the outage the last call was answered at
+        10.756 s:
 
             10.199 replica.absent tried_seconds=0.584 list_back_seconds=1.716
-
-        and the last call that the server answered was answered at 10.756 s.
         """
         first, *others = self.instances
         for instance in others:
--- a/sassafrasdoor/platform/tests/test_processes.py
+++ b/sassafrasdoor/platform/tests/test_processes.py
@@ -1,4 +1,4 @@
-"""Steps in real processes on the platform's wire, killed, paused and cut off."""
+"""Tests of steps in real processes that are killed, paused or cut off."""
 
 import asyncio
 import json
@@ -11,10 +11,10 @@
 
 class ProcessesTest(ProcessCase):
     async def test_step_survives_the_end_of_every_process(self):
-        """Symptom: an accepted step is gone after a power failure.
+        """Guards against losing an accepted step in a power failure.
 
-        Sequence: the 202 is given, and in the same moment all processes end. Cause:
-        the step was kept by processes only.
+        All processes end just after the answer 202; the step was held only in their
+        memory.
         """
         for engine in self.engines:
             engine.pause = 0.3
@@ -27,10 +27,10 @@
         self.check_texts(await self.wait_until(lambda: self.all_results("s", 2)))
 
     async def test_resumed_runner_changes_no_result_already_read(self):
-        """Symptom: a position holds another sample after a process woke up.
+        """Guards against samples that change after they have been read.
 
-        Sequence: the process that runs a step is stopped, another runs it, the
-        first goes on with what it had. Cause: both believed to own the step.
+        The process that runs a step is paused and another one takes over; when the
+        first resumes, both consider themselves the step's owner.
         """
         for engine in self.engines:
             engine.pause = 0.2
@@ -53,9 +53,9 @@
         self.check_texts(results)
 
     async def test_ended_step_runs_nothing_more(self):
-        """Symptom: engines work for a step that its trainer has ended.
+        """Guards against engines running items of a step that its trainer has ended.
 
-        Sequence: items run and wait, the end is acknowledged at another instance.
+        Items are running and queued while another instance acknowledges the end.
         """
         for engine in self.engines:
             engine.slots, engine.pause = 2, 0.5
@@ -83,7 +83,7 @@
         self.assertTrue(any(run.after is not None for run in self.all_runs()))
 
     async def test_store_outage_and_recovery(self):
-        """The last configuration and replicas serve; steps are refused truly."""
+        """In an outage calls use the last configuration and replicas; steps get 503."""
         self.store.log.down = True
         headers = {wire.REQUEST_ID: "r1"}
         address = self.instances[0].front
@@ -97,11 +97,10 @@
         self.check_texts(await self.wait_until(lambda: self.all_results("s", 1)))
 
     async def test_start_without_the_store_uses_a_peer(self):
-        """Symptom: an instance restarted in an outage refuses all until it is over.
+        """Guards against an instance that refuses everything if started in an outage.
 
-        Sequence: it ends, the store is away for it, it starts; callers that remember
-        its address call at once. Cause: it knows no configuration, no replicas and
-        nobody whom it could ask.
+        It cannot reach the store, and callers with its cached address call at once. It
+        had no configuration, no replicas and no instance that it could ask.
         """
         first, second, _ = self.instances
         self.assertEqual((await self.submit("s", at=1)).code, 202)
@@ -126,16 +125,16 @@
         await self.wait_until(lambda: self.is_dropped(first, "/plain/x"))
 
     async def is_dropped(self, instance, path):
-        """Say whether an instance knows that a route is no more."""
+        """Return whether an instance has removed a route."""
         headers = {wire.REQUEST_ID: "r2"}
         reply = await self.fetch(instance.front, path, "POST", "b", **headers)
         return reply.code == 404
 
     async def test_instance_cut_off_from_the_store_uses_a_peer(self):
-        """Symptom: a trainer is seconds late, whenever it meets one instance.
+        """Guards against delays of seconds for a trainer that uses a cut-off instance.
 
-        Sequence: the path of one instance to the store falls silent; steps are
-        submitted, read and ended there. Cause: each call waited for the store.
+        The path from one instance to the store stops answering; steps are submitted,
+        read and ended there. Each call waited for the store.
         """
         await self.wait_until(lambda: self.lists_instances(0))
         self.proxy.freeze()
@@ -155,16 +154,16 @@
         await self.wait_until(lambda: self.lists_instances(0))
 
     async def test_runner_cut_off_from_the_store_continues(self):
-        """Guards against a step begun anew since its runner is cut off from the store."""
+        """Guards against restarting a step whose runner is cut off from the store."""
         first, *others = self.instances
         for instance in others:
             instance.kill()
-        # Else their old records could lapse between the last look at the list and the cut.
+        # Otherwise their old records could lapse between the last read and the cut.
         await self.wait_until(lambda: self.lists_instances(0, 1))
         for engine in self.engines:
             engine.events, engine.pause = 20, 0.3
         await self.wait_until(lambda: self.is_accepted("s"))
-        # The others' claims lapse first: they may have held the orders of loads.
+        # Claims of the others must lapse first: one may have held the weights lease.
         await self.wait_until(lambda: len(self.all_runs()) == 4)
         for instance in others:
             instance.start()
--- a/sassafrasdoor/platform/tests/test_reward_processes.py
+++ b/sassafrasdoor/platform/tests/test_reward_processes.py
@@ -1,4 +1,4 @@
-"""Reward calls in real processes: a runner that dies between a text and its score."""
+"""Tests of reward calls with real processes."""
 
 import signal
 import unittest
@@ -25,10 +25,10 @@
         self.check_scores(results)
 
     async def test_runner_that_dies_between_text_and_score(self):
-        """Symptom: texts are made twice, or bear the score of another text.
+        """Guards against generating texts twice and against scores of other texts.
 
-        Sequence: all texts of a step are whole, their calls run; the runner is
-        killed. Cause: that a text was whole was known to its runner only.
+        All texts of a step are complete and their reward calls are running when the
+        runner is killed. Only the runner had the information that a text was complete.
         """
         for replica in self.plain:
             replica.pause = 1.5
@@ -48,10 +48,10 @@
             self.assertEqual(run.path, f"/plain/{run.request_id[2:-2]}")
 
     async def test_resumed_runner_changes_no_score_already_read(self):
-        """Symptom: a position shows another score after a process woke up.
+        """Guards against scores that change after they have been read.
 
-        Sequence: the runner is stopped while its calls run, another one scores the
-        texts, the first goes on. Cause: the later score was taken too.
+        The runner is paused while its reward calls run, another one scores the texts,
+        and the first resumes; the later score was accepted too.
         """
         for replica in self.plain:
             replica.pause = 0.8
--- a/sassafrasdoor/platform/tests/test_unread_processes.py
+++ b/sassafrasdoor/platform/tests/test_unread_processes.py
@@ -1,4 +1,4 @@
-"""Accepted steps at real processes that have not read the log to its end."""
+"""Tests of steps at real processes that have not read the log to its end."""
 
 import asyncio
 import json
@@ -17,12 +17,11 @@
 RECORD_SECONDS = 0.2
 READS = 20
 ENTRY_POINTS = 4
-MAX_LAPSE_SECONDS = 4.0
-"""Seconds in which the record of an instance that is gone lapses."""
+MAX_LAPSE_SECONDS = 4.0  # until the record of a dead instance has lapsed
 
 
 class UnreadTest(ProcessCase):
-    """Two of four instances read 400 records at five a second, the others have read."""
+    """Two of four instances read 400 records at five a second; the others are done."""
 
     async def asyncSetUp(self):
         await super().asyncSetUp()
@@ -47,7 +46,7 @@
         await self.wait_until_ready()
         for at in range(4):
             await self.wait_until(lambda at=at: self.lists_all_instances(at))
-        # What others have read is known once their records are renewed.
+        # Instances learn which others have read when these renew their records.
         for at in (2, 3):
             await self.wait_until(lambda at=at: self.page("s", at=at))
 
@@ -57,7 +56,7 @@
         return set(json.loads(reply.body)["Addresses"]) == fronts
 
     async def test_step_is_read_where_somebody_has_read_it(self):
-        """Guards against steps handed on to instances that have not read them either."""
+        """Guards against forwarding reads to instances that have not read the steps."""
         self.instances[0].kill()
         results = []
         for at in (2, 3):
@@ -68,10 +67,10 @@
 
 
 class FirstReaderGoneTest(ProcessCase):
-    """All instances end; the one that comes first for the steps stays away."""
+    """All instances end; the first-ranked reader of the steps does not come back."""
 
     async def test_steps_are_read_while_the_list_names_a_dead_instance(self):
-        """Guards against instances that all wait for one without power."""
+        """Guards against all instances waiting for one that is dead."""
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         for name in "def":
