--- a/sassafrasdoor/platform/process.py
+++ b/sassafrasdoor/platform/process.py
@@ -58,7 +58,7 @@
 FENCED_HANDOVER_DELAY = 0.3  # seconds; longest delivery of a former holder's order
 # Seconds between checks whether to read the steps; shorter while waiting for a slot.
 FOLLOW_CHECK_INTERVAL, READ_SLOT_CHECK_INTERVAL = 0.2, 0.05
-# Seconds between reads of a shard that another process runs.
+# Minimum seconds between reads of a shard that this process does not run.
 UNOWNED_SHARD_MIN_READ_INTERVAL = 0.4
 # Seconds; used until the operator's limit has been loaded.
 INITIAL_IDLE_TIMEOUT = 60.0
@@ -382,7 +382,7 @@
 
     @property
     def _unread_instances_ahead(self):
-        """How many instances read the steps first; 0 if this one may run a shard."""
+        """How many instances read the steps first; 0 if this is first for a shard."""
         keys = set(map(self._ranking_key, range(self._weights_shard + 1)))
         if any(self._instances.unread_before(key) == 0 for key in keys):
             return 0
--- a/sassafrasdoor/platform/settings.py
+++ b/sassafrasdoor/platform/settings.py
@@ -60,7 +60,7 @@
     """Addresses to listen on, the platform's store and its bounds (seconds, bytes).
 
     ``control``: address that other instances call, empty if none; ``peers``: control
-    addresses of other instances. ``instance``: its ``InstancePlace``.
+    addresses of other instances. ``instance``: name and location of this one.
 
     ``config_apply``: time within which a new configuration must be in force.
     ``stop_within``: longest duration of a planned stop.
