--- a/sassafrasdoor/platform/__main__.py
+++ b/sassafrasdoor/platform/__main__.py
@@ -1,10 +1,10 @@
-"""The program on each instance of the users' platform.
+"""The program that runs on each instance of the users' platform.
 
-Everything runs in one process: a second one would cost its memory again.
+Everything runs in one process; a second one would need as much memory again.
 """
 
-# The other programs use typer. To run one command it imports pydantic, a quarter of a
-# start here: callers found nobody for that much longer after all processes had died.
+# The other programs use typer, which imports pydantic to run a command. That takes a
+# quarter of the start-up time, for which callers find no instance after all have died.
 import argparse
 import asyncio
 import os
@@ -19,16 +19,16 @@
 
 def main(arguments=None):
     """Serve callers, trainers and the directory until SIGTERM; return the exit code."""
-    given = _parser().parse_args(arguments)
+    options = _parser().parse_args(arguments)
     path = os.environ.get(settings.PATH_VARIABLE, "")
-    found = settings.load(path)
-    if not found:
-        for finding in found.findings:
+    loaded = settings.load(path)
+    if not loaded:
+        for finding in loaded.findings:
             print(finding, file=sys.stderr)
         return INVALID_SETTINGS
-    if not given.check:
-        decisions.start(found.name)
-        asyncio.run(Process(found, path, given.metrics_port).run())
+    if not options.check:
+        decisions.start(loaded.name)
+        asyncio.run(Process(loaded, path, options.metrics_port).run())
     return 0
 
 
--- a/sassafrasdoor/platform/front.py
+++ b/sassafrasdoor/platform/front.py
@@ -1,4 +1,4 @@
-"""Callers on the platform's wire: requests and steps."""
+"""HTTP handlers of the callers' address: requests and steps."""
 
 import contextlib
 import re
@@ -15,7 +15,7 @@
 from sassafrasdoor.outcomes import NotRun, Rejected
 from sassafrasdoor.platform import steps as documents, wire
 from sassafrasdoor.platform.handlers import (
-    LOGGED_PATH,
+    MAX_LOGGED_PATH,
     DirectoryHandler,
     ReadyHandler,
     WireHandler,
@@ -33,39 +33,36 @@
 from sassafrasdoor.steps.durable.service import NotFound, Page
 from sassafrasdoor.table.routes import Repeat
 
-LONGEST_WAIT = 60.0
-"""Seconds taken for a caller that states no deadline."""
-LONGEST_POLL = 1.0
-"""Seconds that a reader may be kept waiting for a further sample."""
-NO_CONFIGURATION_RETRY_AFTER = 0.5
-HANDED_ON = "X-Handed-On"
-"""Header of a call that one of our instances hands to another."""
-PEER_TIMEOUT = 1.8
-"""Seconds for the other instance: an append, which has 0.8, or a reader's wait of one
-second."""
-PEERS_TIMEOUT = 1.4
-"""Seconds for all that are asked for one read, beyond the time that its caller lets it
-wait: the caller leaves after 1.5."""
-HEDGE_AFTER = 0.5
-"""Seconds without an answer, beyond that time, after which another one is asked too."""
-MOST_PEERS = 3
-LOT = re.compile(r"^/-/lots/([^/?]+)$")
-ITEM = re.compile(r"^/-/items/([^/?]+)$")
-
-HANDED = counter(
+DEFAULT_CALL_TIMEOUT = 60.0  # seconds; for callers that state no deadline
+MAX_POLL_WAIT = 1.0  # seconds that a reader may wait for another sample
+NO_CONFIGURATION_RETRY_AFTER = 0.5  # seconds
+FORWARDED_HEADER = "X-Handed-On"  # marks a call forwarded by another instance
+# Seconds for a peer to handle a forwarded call: an append takes up to 0.8 s, a read
+# waits for up to one second.
+FORWARD_TIMEOUT = 1.8
+# Seconds for all peers asked for one read, in addition to the wait that its caller
+# requested; the caller gives up 1.5 s after that wait.
+PEER_READ_TIMEOUT = 1.4
+# Seconds without an answer, in addition to that wait, before asking the next peer too.
+HEDGE_DELAY = 0.5
+MAX_PEERS_ASKED = 3
+STEP_PATH = re.compile(r"^/-/lots/([^/?]+)$")
+ITEM_PATH = re.compile(r"^/-/items/([^/?]+)$")
+
+FORWARDED_CALLS = counter(
     "front_handed_on_total", "Calls handed to another instance, by result."
 )
 
 
 class FrontHandler(WireHandler):
-    """Everything that reaches the callers' address."""
+    """Handles all requests to the callers' address."""
 
     async def _serve(self):
         path = self.request.path
-        for pattern, method, call in _STEP_CALLS:
-            found = pattern.match(path)
-            if found and self.request.method == method:
-                await call(self, found.group(1))
+        for pattern, method, handler in _STEP_CALLS:
+            match = pattern.match(path)
+            if match and self.request.method == method:
+                await handler(self, match.group(1))
                 return
         await self._route(path)
 
@@ -75,7 +72,7 @@
         configuration = self._parts.routes.current
         if configuration is None:
             refused = NotRun("no configuration yet", NO_CONFIGURATION_RETRY_AFTER)
-            self._own_failure(refused)
+            self._reply_failure(refused)
             return
         host = self.request.headers.get("Host", "").partition(":")[0]
         route = configuration.match(host, path)
@@ -87,7 +84,7 @@
                 routes_version=configuration.version,
             )
             missing = NotFound("no such route")
-            self._own_failure(self._parts.routes.resolve_unknown(missing))
+            self._reply_failure(self._parts.routes.resolve_unknown(missing))
         elif route.repeat is Repeat.STEP:
             await self._submit(route, host, path)
         else:
@@ -98,16 +95,16 @@
             route=route,
             method=self.request.method,
             path=self.request.uri,
-            headers=wire.header_pairs(self.request.headers, wire.NOT_SENT_ON),
+            headers=wire.header_pairs(self.request.headers, wire.DROPPED_FROM_REQUEST),
             body=self.request.body,
             request_id=self._request_id,
-            deadline=min(self._deadline(), self._began + route.timeout),
+            deadline=min(self._deadline(), self._started_at + route.timeout),
             version=configuration.version,
         )
         if route.streams:
             await self._stream(request)
             return
-        answer = await self._while_present(self._parts.direct.answer(request))
+        answer = await self._while_connected(self._parts.direct.answer(request))
         if answer is not None:
             self._answer(answer)
 
@@ -115,121 +112,134 @@
         if isinstance(answer, Answer):
             self._reply(answer.status, answer.headers, answer.body)
         else:
-            self._own_failure(answer)
+            self._reply_failure(answer)
 
     async def _stream(self, request):
         caller = _WireCaller(self)
-        passing = self._parts.streams.answer(request, caller)
-        result = await self._while_present(passing)
+        stream = self._parts.streams.answer(request, caller)
+        result = await self._while_connected(stream)
         if result is True:
             self.finish()
         elif result is not None and self._headers_written:
-            self._cut()
+            self._abort_connection()
         elif result is not None:
             self._answer(result)
 
     async def _submit(self, route, host, path):
-        spec = documents.spec_from(self._request_id, host, path, self.request.body)
+        spec = documents.parse_step_spec(
+            self._request_id, host, path, self.request.body
+        )
         if isinstance(spec, Rejected):
             note(
                 "step.invalid",
                 request=self._request_id,
-                findings=[str(one) for one in spec.findings[:5]],
+                findings=[str(finding) for finding in spec.findings[:5]],
             )
             self._reply_json(
-                400, {"findings": [one.as_dict() for one in spec.findings]}
+                400, {"findings": [finding.as_dict() for finding in spec.findings]}
             )
             return
-        submission = self._parts.steps.submit(spec, self._deadline(), self._elsewhere)
-        result = await self._while_present(submission)
+        submission = self._parts.steps.submit(spec, self._deadline(), self._forwarder)
+        result = await self._while_connected(submission)
         if result is True:
             self._reply(202)
         elif result is not None:
-            self._own_failure(result)
+            self._reply_failure(result)
 
-    async def _read(self, step_id):
+    async def _read_step(self, step_id):
         query = parse_qs_bytes(self.request.query.encode())
-        first = max(0, _whole(query.get("After", [b"0"])[0], 0))
-        wait = _whole(self.request.headers.get(wire.WAIT), 0) / 1000
-        until = deadline_in(min(wait, LONGEST_POLL))
-        page = await self._while_present(self._parts.steps.read(step_id, first, until))
+        first_position = max(0, _parse_int(query.get("After", [b"0"])[0], 0))
+        wait = _parse_int(self.request.headers.get(wire.WAIT), 0) / 1000
+        wait_deadline = deadline_in(min(wait, MAX_POLL_WAIT))
+        page = await self._while_connected(
+            self._parts.steps.read(step_id, first_position, wait_deadline)
+        )
         if isinstance(page, Page):
             self._reply_json(200, documents.page_document(page))
         elif page is not None:
-            await self._from_peer_or_failure(page)
+            await self._reply_from_peer_or_fail(page)
 
-    async def _body(self, step_id):
+    async def _read_body(self, step_id):
         query = parse_qs_bytes(self.request.query.encode())
         item_id = query.get("Id", [b""])[0].decode("utf-8", "replace")
-        body = await self._while_present(self._parts.steps.body(step_id, item_id))
+        body = await self._while_connected(self._parts.steps.body(step_id, item_id))
         if isinstance(body, bytes):
             self._reply(200, [("Content-Type", "application/octet-stream")], body)
         elif body is not None:
-            await self._from_peer_or_failure(body)
+            await self._reply_from_peer_or_fail(body)
 
-    async def _end(self, step_id):
-        deadline = min(self._deadline(), deadline_in(LONGEST_WAIT))
-        ending = self._parts.steps.end(step_id, deadline, self._elsewhere)
-        result = await self._while_present(ending)
+    async def _end_step(self, step_id):
+        deadline = min(self._deadline(), deadline_in(DEFAULT_CALL_TIMEOUT))
+        ending = self._parts.steps.end(step_id, deadline, self._forwarder)
+        result = await self._while_connected(ending)
         if result is True:
             self._reply(200)
         elif result is not None:
-            await self._from_peer_or_failure(result)
+            await self._reply_from_peer_or_fail(result)
 
     @property
-    def _elsewhere(self):
-        """What hands this call to another instance; None for one handed on already."""
-        return None if HANDED_ON in self.request.headers else self._kept_by_peer
+    def _forwarder(self):
+        """Function that forwards this call to a peer; None if it was forwarded."""
+        return (
+            None if FORWARDED_HEADER in self.request.headers else self._accepted_by_peer
+        )
 
-    async def _kept_by_peer(self):
-        reply = await self._ask_peer()
+    async def _accepted_by_peer(self):
+        reply = await self._forward_to_peer()
         if reply is None:
             return False
         if isinstance(reply, Broken):
             return None if reply.began else False
         return {200: True, 202: True, 503: False}.get(reply.status)
 
-    async def _from_peer_or_failure(self, outcome):
-        """Answer as another instance does if it can, else with the own failure."""
-        if isinstance(outcome, NotRun) and self._elsewhere is not None:
-            reply = await self._while_present(self._first_answer(outcome.reason))
-            if self._left:
+    async def _reply_from_peer_or_fail(self, outcome):
+        """Reply with the failure ``outcome``, or with a peer's answer if there is one.
+
+        Peers are asked only if the outcome is ``NotRun``.
+        """
+        if isinstance(outcome, NotRun) and self._forwarder is not None:
+            reply = await self._while_connected(self._first_peer_reply(outcome.reason))
+            if self._caller_left:
                 return
             if reply is not None:
                 kind = reply.headers.get("Content-Type", wire.JSON_TYPE)
                 self._reply(200, [("Content-Type", kind)], reply.body)
                 return
-        self._own_failure(outcome)
+        self._reply_failure(outcome)
 
-    async def _first_answer(self, reason):
-        """Return the ``Reply`` of the first peer that has an answer, or None."""
-        wait = _whole(self.request.headers.get(wire.WAIT), 0) / 1000
-        peers = self._parts.instances.reader_candidates(MOST_PEERS)
+    async def _first_peer_reply(self, reason):
+        """Return the first ``Reply`` of a peer with status 200, or None."""
+        wait = _parse_int(self.request.headers.get(wire.WAIT), 0) / 1000
+        peers = self._parts.instances.reader_candidates(MAX_PEERS_ASKED)
         reply = await first_answer(
             peers,
-            self._ask,
+            self._forward_to,
             lambda reply: isinstance(reply, Reply) and reply.status == 200,
-            wait + HEDGE_AFTER,
-            self._began + wait + PEERS_TIMEOUT,
+            wait + HEDGE_DELAY,
+            self._started_at + wait + PEER_READ_TIMEOUT,
         )
         if reply is None:
             note(
                 "request.handed_on_in_vain",
                 request=self._request_id,
-                path=self.request.path[:LOGGED_PATH],
+                path=self.request.path[:MAX_LOGGED_PATH],
                 reason=reason,
                 peers=peers,
             )
         return reply
 
-    async def _ask_peer(self):
-        """Send this call to another instance; None where none is known."""
+    async def _forward_to_peer(self):
+        """Forward this call to a peer; return None if no peer is known."""
         peers = self._parts.instances.peers()
-        return await self._ask(peers[0], deadline_in(PEER_TIMEOUT)) if peers else None
+        return (
+            await self._forward_to(peers[0], deadline_in(FORWARD_TIMEOUT))
+            if peers
+            else None
+        )
 
-    async def _ask(self, peer, deadline):
-        pairs = wire.header_pairs(self.request.headers, wire.NOT_SENT_ON)
-        headers = {**dict(pairs), HANDED_ON: "1"}
+    async def _forward_to(self, peer, deadline):
+        pairs = wire.header_pairs(self.request.headers, wire.DROPPED_FROM_REQUEST)
+        headers = {**dict(pairs), FORWARDED_HEADER: "1"}
         call = OutgoingRequest(
             self.request.method,
             self.request.uri,
@@ -239,23 +249,25 @@
         )
         reply = await self._parts.connections.send(peer, call)
         outcome = "broken" if isinstance(reply, Broken) else str(reply.status)
-        HANDED.inc({"result": outcome})
+        FORWARDED_CALLS.inc({"result": outcome})
         note(
             "request.handed_on",
             request=self._request_id,
-            path=self.request.path[:LOGGED_PATH],
+            path=self.request.path[:MAX_LOGGED_PATH],
             to=peer,
             result=outcome,
         )
         return reply
 
     def _deadline(self):
-        stated = _whole(self.request.headers.get(wire.DEADLINE), 0)
-        return self._began + (stated / 1000 if stated > 0 else LONGEST_WAIT)
+        timeout_ms = _parse_int(self.request.headers.get(wire.DEADLINE), 0)
+        return self._started_at + (
+            timeout_ms / 1000 if timeout_ms > 0 else DEFAULT_CALL_TIMEOUT
+        )
 
 
 class _WireCaller(StreamCaller):
-    """Passes a stream on to the caller of a handler."""
+    """Writes a stream to the caller of a handler."""
 
     __slots__ = ("_handler",)
 
@@ -263,7 +275,7 @@
         self._handler = handler
 
     async def begin(self, headers):
-        self._handler._head(200, headers)
+        self._handler._write_head(200, headers)
         await self._flush()
 
     async def send_event(self, block):
@@ -271,16 +283,17 @@
         await self._flush()
 
     async def _flush(self):
-        # A caller who has left is told to the handler, which ends the stream; the
-        # error here would look like one of the replica's connection.
+        # Tornado notifies the handler when the caller disconnects, and the handler ends
+        # the stream. Raised here, the error would look like a failed connection to the
+        # replica.
         with contextlib.suppress(StreamClosedError):
             await self._handler.flush()
 
 
 _STEP_CALLS = (
-    (LOT, "GET", FrontHandler._read),
-    (LOT, "DELETE", FrontHandler._end),
-    (ITEM, "GET", FrontHandler._body),
+    (STEP_PATH, "GET", FrontHandler._read_step),
+    (STEP_PATH, "DELETE", FrontHandler._end_step),
+    (ITEM_PATH, "GET", FrontHandler._read_body),
 )
 
 
@@ -300,13 +313,13 @@
 
 
 def control_application(parts):
-    """Return the application of the address where other instances ask."""
-    known = {"parts": parts}
+    """Return the application of the control address, which other instances call."""
+    arguments = {"parts": parts}
     return _application(
         [
-            (NEWEST_PATH, PeerHandler, known),
-            (READ_PATH, RelayHandler, known),
-            (APPEND_PATH, RelayHandler, known),
+            (NEWEST_PATH, PeerHandler, arguments),
+            (READ_PATH, RelayHandler, arguments),
+            (APPEND_PATH, RelayHandler, arguments),
         ]
     )
 
@@ -317,12 +330,12 @@
 
 
 def _application(handlers):
-    # Tornado would write a line for each answer of 400 and above; decisions are
-    # logged where they are made, within a budget.
+    # Disables Tornado's log line for each answer of 400 and above: decisions are logged
+    # where they are made, and their number is limited.
     return Application(handlers, log_function=lambda handler: None)
 
 
-def _whole(text, default):
+def _parse_int(text, default):
     try:
         return int(text)
     except (TypeError, ValueError):
--- a/sassafrasdoor/platform/handlers.py
+++ b/sassafrasdoor/platform/handlers.py
@@ -1,4 +1,4 @@
-"""What all handlers of the wire have in common, readiness and the directory."""
+"""Base class of the HTTP handlers, and the readiness and directory handlers."""
 
 import asyncio
 import json
@@ -16,15 +16,14 @@
 from sassafrasdoor.requests.crash_watch import Quarantined
 from sassafrasdoor.steps.durable.service import NotFound
 
-DIRECTORY_VALID = 2
-"""Seconds that a directory answer holds. Some callers keep it three times as long,
-and a stopping instance serves on for that time within its eight seconds."""
-FRAMES_LOGGED = 2
-LOGGED_PATH = 120
-"""Characters of a caller's path in a log line."""
+# Seconds. Some callers cache an answer of the directory for three times as long; a
+# stopping instance still serves them within the 8 s of its planned stop.
+DIRECTORY_TTL = 2
+MAX_LOGGED_FRAMES = 2
+MAX_LOGGED_PATH = 120  # characters
 
 ANSWERS = counter("front_answers_total", "Answers to callers, by kind and status.")
-SECONDS = histogram(
+ANSWER_SECONDS = histogram(
     "front_seconds",
     "Seconds from a request's head to its answer.",
     buckets=[0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.5, 3, 6, 12],
@@ -32,9 +31,11 @@
 
 
 class Parts:
-    """What the handlers use: services, routes, instances and the process's state.
+    """The objects that the handlers use.
 
-    ``store`` is the platform's store as this instance itself reaches it. ``lists`` maps keyed topics to the tails that follow them.
+    ``process`` has the state of this process. ``store`` is the platform's store, called
+    directly and never through another instance. ``lists`` maps each keyed topic to the
+    tail that follows it.
     """
 
     __slots__ = (
@@ -62,15 +63,15 @@
 
 
 class WireHandler(RequestHandler):
-    """Adds nothing to an answer, and ends its work when the caller leaves."""
+    """Adds no default headers, and cancels a request whose caller disconnects."""
 
     SUPPORTED_METHODS = ("GET", "HEAD", "POST", "PUT", "DELETE", "PATCH", "OPTIONS")
 
     def initialize(self, parts):
         self._parts = parts
-        self._work = None
-        self._left = False
-        self._began = now()
+        self._task = None
+        self._caller_left = False
+        self._started_at = now()
 
     def prepare(self):
         self._parts.process.in_flight.add(self)
@@ -87,23 +88,23 @@
         return None
 
     def on_connection_close(self):
-        self._left = True
+        self._caller_left = True
         self._parts.process.in_flight.discard(self)
-        if self._work is not None:
-            self._work.cancel()
+        if self._task is not None:
+            self._task.cancel()
 
-    async def _while_present(self, coroutine):
-        """Return the coroutine's result; None if the caller has left meanwhile.
+    async def _while_connected(self, coroutine):
+        """Return the coroutine's result, or None if the caller disconnected.
 
-        A request that is cancelled because the process ends must raise: Tornado
-        finishes a handler that returns with an empty answer of 200, and a caller
-        would take that for a step accepted or a call answered.
+        If the process ends, the cancellation must propagate: Tornado finishes a handler
+        that returns with an empty answer of status 200, which a caller would take for
+        an accepted step or an answered call.
         """
-        self._work = asyncio.ensure_future(coroutine)
+        self._task = asyncio.ensure_future(coroutine)
         try:
-            return await self._work
+            return await self._task
         except asyncio.CancelledError:
-            if not self._left:
+            if not self._caller_left:
                 note("request.cut_by_stop", request=self._request_id)
                 raise
             note("request.caller_left", request=self._request_id)
@@ -114,27 +115,27 @@
         return self.request.headers.get(wire.REQUEST_ID, "")
 
     def _reply(self, status, headers=(), body=b""):
-        self._head(status, headers)
+        self._write_head(status, headers)
         self.finish(body)
 
-    def _head(self, status, headers=()):
+    def _write_head(self, status, headers=()):
         self.set_status(status)
         for name, value in headers:
             self.add_header(name, value)
         if self._parts.process.closing:
             self.set_header("Connection", "close")
         ANSWERS.inc({"kind": type(self).__name__, "status": str(status)})
-        SECONDS.observe({"kind": type(self).__name__}, now() - self._began)
+        ANSWER_SECONDS.observe({"kind": type(self).__name__}, now() - self._started_at)
 
-    def _cut(self):
-        """Close the connection in the middle of an answer, without its end."""
+    def _abort_connection(self):
+        """Close the connection without ending the answer."""
         self._auto_finish = False
         self.request.connection.stream.close()
 
     def send_error(self, status_code=500, **kwargs):
-        # Tornado would end a begun answer as if it were whole.
+        # Tornado would end a partially sent answer like a complete one.
         if self._headers_written:
-            self._cut()
+            self._abort_connection()
         else:
             super().send_error(status_code, **kwargs)
 
@@ -144,20 +145,20 @@
         )
         self._reply(status, [("Content-Type", wire.JSON_TYPE)], body)
 
-    def _own_failure(self, outcome):
+    def _reply_failure(self, outcome):
         status, headers = failure(outcome)
         note(
             "request.not_served",
             request=self._request_id,
-            path=self.request.path[:LOGGED_PATH],
+            path=self.request.path[:MAX_LOGGED_PATH],
             status=status,
             reason=outcome.reason,
-            seconds=round(now() - self._began, 3),
+            seconds=round(now() - self._started_at, 3),
         )
         self._reply(status, headers, (outcome.reason + "\n").encode())
 
     def log_exception(self, kind, value, trace):
-        frames = traceback.format_tb(trace)[-FRAMES_LOGGED:]
+        frames = traceback.format_tb(trace)[-MAX_LOGGED_FRAMES:]
         where = "".join(frames)
         reason = repr(value)
         note("request.failed", request=self._request_id, reason=reason, where=where)
@@ -167,7 +168,7 @@
 
 
 class ReadyHandler(WireHandler):
-    """Whether this instance serves, and its metrics."""
+    """Answers whether this instance serves, and returns its metrics."""
 
     def get(self):
         if self.request.path == "/metrics":
@@ -178,21 +179,21 @@
 
 
 class DirectoryHandler(WireHandler):
-    """Which addresses a caller should use."""
+    """Returns the addresses that a caller should use."""
 
     def get(self):
         zone = self.get_query_argument("Zone", "")
         addresses = self._parts.instances.addresses(zone)
         if not addresses:
-            self._own_failure(NotRun("no instance known", 1.0))
+            self._reply_failure(NotRun("no instance known", 1.0))
             return
-        self._reply_json(200, {"Addresses": addresses, "TtlS": DIRECTORY_VALID})
+        self._reply_json(200, {"Addresses": addresses, "TtlS": DIRECTORY_TTL})
 
 
 @singledispatch
 def failure(outcome):
-    """Return ``(status, headers)`` that say to a caller what became of it."""
-    raise TypeError(f"no answer for {type(outcome).__name__}")
+    """Return the ``(status, headers)`` for an unsuccessful outcome."""
+    raise TypeError(f"no HTTP status for an outcome {type(outcome).__name__}")
 
 
 @failure.register
--- a/sassafrasdoor/platform/local.py
+++ b/sassafrasdoor/platform/local.py
@@ -1,4 +1,4 @@
-"""Processes of ours on this machine, before the stand-ins: for tests and the soak."""
+"""Starts instances as local processes that use the stand-ins, for tests and the soak."""
 
 import contextlib
 import os
@@ -11,10 +11,10 @@
 from sassafrasdoor.platform import settings
 from sassafrasdoor.support import ROOT
 
-LOCAL = "127.0.0.1"
+LOOPBACK = "127.0.0.1"
 PROGRAM = "sassafrasdoor.platform"
-FIRST_PORT, LAST_PORT, BLOCK, PORT_BLOCKS = 15000, 32000, 100, 150
-TEXT = """
+FIRST_PORT, LAST_PORT, PORTS_PER_BLOCK, PORT_BLOCKS = 15000, 32000, 100, 150
+SETTINGS_TEMPLATE = """
 NodeName={name}
 Zone=z
 Region=r
@@ -31,14 +31,14 @@
 
 
 def free_ports():
-    """Yield ports that nobody uses, below those that the system hands out.
+    """Yield unused ports below the system's ephemeral range.
 
-    A process keeps its addresses over a restart, so it cannot pick them itself.
+    An instance keeps its addresses across restarts, so it cannot use ephemeral ports.
     """
-    first = FIRST_PORT + os.getpid() % PORT_BLOCKS * BLOCK
+    first = FIRST_PORT + os.getpid() % PORT_BLOCKS * PORTS_PER_BLOCK
     for port in range(first, LAST_PORT):
         with contextlib.closing(socket.socket()) as sock:
-            if sock.connect_ex((LOCAL, port)):
+            if sock.connect_ex((LOOPBACK, port)):
                 yield port
 
 
@@ -46,23 +46,25 @@
 
 
 class LocalInstance:
-    """One process of ours with addresses that it keeps over restarts."""
+    """One instance in a local process; it keeps its addresses across restarts."""
 
     def __init__(self, folder, name, store, seeds=()):
         self.name = name
-        ports = [f"{LOCAL}:{next(PORTS)}" for _ in range(4)]
+        ports = [f"{LOOPBACK}:{next(PORTS)}" for _ in range(4)]
         self.front, self.ready, self.directory, self.control = ports
         self.settings_path = pathlib.Path(folder) / f"{name}.conf"
         fields = {"name": name, "store": store, "front": self.front}
         fields |= {"control": self.control, "seeds": ",".join(seeds)}
-        text = TEXT.format(ready=self.ready, directory=self.directory, **fields)
+        text = SETTINGS_TEMPLATE.format(
+            ready=self.ready, directory=self.directory, **fields
+        )
         self.settings_path.write_text(text, "utf-8")
         self.log_path = pathlib.Path(folder) / f"{name}.log"
         self._log = self.log_path.open("ab")
         self.start()
 
     def start(self, module=PROGRAM):
-        """Start the process; ``module`` may arrange something before the program."""
+        """Start the process; another ``module`` may do set-up and run the program."""
         self.process = subprocess.Popen(
             [sys.executable, "-m", module],
             cwd=ROOT,
@@ -77,12 +79,12 @@
         return self.process.poll() is None
 
     def signal(self, number):
-        """Send a signal; a process that has ended is no error."""
+        """Send a signal unless the process has ended."""
         if self.running:
             self.process.send_signal(number)
 
     def kill(self):
-        """End the process at once, also a stopped one."""
+        """Kill the process, even if it is stopped by SIGSTOP."""
         self.signal(signal.SIGCONT)
         self.signal(signal.SIGKILL)
         self.process.wait()
--- a/sassafrasdoor/platform/measure.py
+++ b/sassafrasdoor/platform/measure.py
@@ -1,7 +1,7 @@
-"""Processor time of the program on the users' platform: a plain call, a step's item.
+"""Measures the CPU time that an instance uses per plain call and per item of a step.
 
-One process of ours before stand-ins of the store and of replicas in this process; its
-own processor time is read from the kernel before and after.
+One instance runs as a separate process; the stand-ins of the store and the replicas run
+in this one. The instance's CPU time is read from the kernel before and after.
 
     python3 -m sassafrasdoor.platform.measure --calls 2000 --steps 20
 """
@@ -24,7 +24,7 @@
 HOST, MODEL = "h.example", "m"
 ITEMS, EVENTS = 40, 16
 IN_FLIGHT = 8
-TICKS = os.sysconf("SC_CLK_TCK")
+CLOCK_TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
 ROUTE = {"Host": HOST, "TimeoutMs": 9000, "TargetLatencyMs": 500, "MaxAttempts": 3}
 DOCUMENT = {
     "Version": 1,
@@ -36,8 +36,8 @@
 }
 
 
-class Bench:
-    """One process of ours and its stand-ins."""
+class Benchmark:
+    """One instance in a separate process, and its stand-ins."""
 
     def __init__(self, folder):
         self._store = StoreStandin()
@@ -47,7 +47,7 @@
         self._connections = Connections()
 
     async def start(self):
-        """List the replicas, configure, and wait until the process serves."""
+        """Write the list and the configuration; wait until the instance is ready."""
         topic = configuration.SERVERS_TOPIC
         await self._store.put(topic, "p0", self._plain.entry("p", []))
         await self._store.put(topic, "e0", self._engine.entry("e", [MODEL]))
@@ -56,7 +56,7 @@
             await asyncio.sleep(0.05)
 
     def close(self):
-        """End everything."""
+        """Stop the instance and close the connections."""
         self._instance.close()
         self._connections.close()
 
@@ -69,14 +69,14 @@
         reply = await self._send(method, path, address, body, request_id)
         return getattr(reply, "status", None)
 
-    def processor(self):
-        """Return the process's processor seconds so far."""
+    def processor_seconds(self):
+        """Return the CPU seconds that the instance has used so far."""
         text = pathlib.Path(f"/proc/{self._instance.process.pid}/stat").read_text()
         fields = text.rpartition(")")[2].split()
-        return (int(fields[11]) + int(fields[12])) / TICKS
+        return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_SECOND
 
     async def calls(self, count):
-        """Call on kept connections, some at a time."""
+        """Send ``count`` calls on reused connections, ``IN_FLIGHT`` at a time."""
 
         async def caller(first):
             for number in range(first, count, IN_FLIGHT):
@@ -89,55 +89,55 @@
         await asyncio.gather(*(caller(first) for first in range(IN_FLIGHT)))
 
     async def steps(self, count):
-        """Submit steps one after the other and read each to its end."""
+        """Submit ``count`` steps in sequence and read each to its end."""
         for number in range(count):
             name = f"s{number}"
             body = json.dumps(_step(name)).encode()
             front = self._instance.front
             assert await self._status("POST", "/s/", front, body, name) == 202
-            listed = 0
-            while listed < ITEMS:
-                path = f"/-/lots/{name}?After={listed}"
+            position = 0
+            while position < ITEMS:
+                path = f"/-/lots/{name}?After={position}"
                 reply = await self._send("GET", path, front)
-                listed = json.loads(reply.body)["NextToken"]
+                position = json.loads(reply.body)["NextToken"]
                 await asyncio.sleep(0.1)
 
 
 def _step(name):
     rows = [
         {
-            "Id": f"{name}-{at}",
-            "Path": f"/s/{at}",
+            "Id": f"{name}-{index}",
+            "Path": f"/s/{index}",
             "Headers": {},
             "Body": base64.b64encode(b"b" * 600).decode(),
             "Tokens": 300,
-            "Group": f"g{at // 4}",
+            "Group": f"g{index // 4}",
         }
-        for at in range(ITEMS)
+        for index in range(ITEMS)
     ]
     return {"Step": 1, "Model": MODEL, "MinVersion": 1, "Desired": 9, "Items": rows}
 
 
 async def _measure(calls, steps):
     with tempfile.TemporaryDirectory() as folder:
-        bench = Bench(folder)
+        bench = Benchmark(folder)
         try:
             await bench.start()
             await bench.calls(200)
-            before = bench.processor()
+            before = bench.processor_seconds()
             await asyncio.sleep(5)
-            idle = (bench.processor() - before) / 5
+            idle = (bench.processor_seconds() - before) / 5
             print(f"idle: {100 * idle:.2f} % of a core")
-            for what, count, work in (
+            for label, count, work in (
                 ("plain call", calls, bench.calls(calls)),
                 (f"item of {EVENTS} events", steps * ITEMS, bench.steps(steps)),
             ):
                 started = asyncio.get_running_loop().time()
-                before = bench.processor()
+                before = bench.processor_seconds()
                 await work
-                took = asyncio.get_running_loop().time() - started
-                spent = bench.processor() - before - idle * took
-                print(f"{what}: {1000 * spent / count:.2f} ms of processor time")
+                elapsed = asyncio.get_running_loop().time() - started
+                used = bench.processor_seconds() - before - idle * elapsed
+                print(f"{label}: {1000 * used / count:.2f} ms of CPU time")
         finally:
             bench.close()
 
@@ -146,7 +146,7 @@
     calls: int = typer.Option(2000, help="Plain calls."),
     steps: int = typer.Option(20, help=f"Steps of {ITEMS} items."),
 ):
-    """Measure the processor time of calls and items."""
+    """Measure the CPU time of calls and items."""
     asyncio.run(_measure(calls, steps))
 
 
--- a/sassafrasdoor/platform/peers.py
+++ b/sassafrasdoor/platform/peers.py
@@ -1,9 +1,9 @@
-"""What instances do for each other while the store is away, for all or for one.
+"""Help between instances while the store is unavailable to all or one of them.
 
-An instance that starts then knows no configuration, no replicas and no other instance.
-Its settings name some control addresses; whoever answers there has followed the lists
-for longer. One that alone is cut off appends and reads through another. Both answer as
-the store does, so that one client serves all.
+An instance that starts during an outage has no configuration and no list of replicas or
+instances. It loads them from the control addresses in its settings: instances there may
+have loaded them earlier. An instance that alone is cut off from the store appends and
+reads through another one. Both use the store's protocol, so the same client serves all.
 """
 
 import random
@@ -18,7 +18,7 @@
     Store,
     batch_document,
     newest_document,
-    unpacked,
+    unpack_records,
 )
 
 NEWEST_PATH, READ_PATH, APPEND_PATH = (
@@ -26,58 +26,57 @@
     "/-/log-read",
     "/-/log-append",
 )
-FROM_STORE = "Store"
-"""Asks for a list as the store has it now, not as the other instance knows it."""
-LONGEST_READ = 1.0
-"""Seconds that a read is held for another instance; its own reads wait as long."""
-TIMEOUT = 0.8
-"""Seconds for the store's answer beyond that; as long as an append of our own."""
-UNKNOWN = 504
-"""An append whose fate is not known; the store's client takes any such status so."""
+# Query parameter: load the list from the store, not from the memory of the instance.
+FROM_STORE_PARAMETER = "Store"
+MAX_RELAYED_READ_WAIT = 1.0  # seconds; an instance's own reads wait as long
+# Seconds for the store's answer after that wait; as for the instance's own appends.
+RELAY_TIMEOUT = 0.8
+# Reports an append that may have landed; ``Store`` treats any such status that way.
+UNKNOWN_OUTCOME_STATUS = 504
 
 
 class Peers:
-    """Asks the control addresses of other instances."""
+    """Clients of the control addresses of other instances."""
 
-    __slots__ = ("_addresses", "_relays", "_stores")
+    __slots__ = ("_addresses", "_relay_clients", "_peer_clients")
 
     def __init__(self, addresses):
         self._addresses = list(addresses)
-        self._stores = [Store(address) for address in addresses]
-        self._relays = {}
+        self._peer_clients = [Store(address) for address in addresses]
+        self._relay_clients = {}
 
     def relays(self, addresses):
-        """Return the clients of control addresses, or of those the settings name."""
+        """Return clients of the control addresses, by default those in the settings."""
         addresses = addresses or self._addresses
         for address in addresses:
-            if address not in self._relays:
-                relay = Store(address, newest_query={FROM_STORE: 1})
-                self._relays[address] = relay
-        return [self._relays[address] for address in addresses]
+            if address not in self._relay_clients:
+                client = Store(address, newest_query={FROM_STORE_PARAMETER: 1})
+                self._relay_clients[address] = client
+        return [self._relay_clients[address] for address in addresses]
 
     async def newest(self, topic):
-        """Return the ``NewestKeys`` of a topic as a peer knows them, or None."""
-        for store in random.sample(self._stores, len(self._stores)):
-            found = await store.newest(topic)
-            if not isinstance(found, Unavailable):
-                return found
+        """Return the ``NewestKeys`` of a topic that a peer has, or None."""
+        for client in random.sample(self._peer_clients, len(self._peer_clients)):
+            newest_keys = await client.newest(topic)
+            if not isinstance(newest_keys, Unavailable):
+                return newest_keys
         return None
 
     def close(self):
         """Close all connections."""
-        for store in [*self._stores, *self._relays.values()]:
-            store.close()
+        for client in [*self._peer_clients, *self._relay_clients.values()]:
+            client.close()
 
 
 class PeerHandler(WireHandler):
-    """Tells another instance the newest values of a keyed topic."""
+    """Returns the newest values of a keyed topic to another instance."""
 
     async def get(self):
         tail = self._parts.lists.get(self.get_query_argument("Topic", ""))
         if tail is None:
             newest = None
-        elif self.get_query_argument(FROM_STORE, ""):
-            newest = await self._from_store(tail)
+        elif self.get_query_argument(FROM_STORE_PARAMETER, ""):
+            newest = await self._load_from_store(tail)
         else:
             newest = tail.newest
         if newest is None or isinstance(newest, Outcome):
@@ -85,35 +84,37 @@
         else:
             self._reply_json(200, newest_document(newest))
 
-    async def _from_store(self, tail):
+    async def _load_from_store(self, tail):
         if tail.failing_since is not None:
             return None
         with call_purpose(RELAY):
-            return await self._while_present(self._parts.store.newest(tail.topic))
+            return await self._while_connected(self._parts.store.newest(tail.topic))
 
 
 class RelayHandler(WireHandler):
-    """Appends and reads for an instance that is cut off from the store."""
+    """Relays appends and reads of an instance that is cut off from the store."""
 
     def prepare(self):
         super().prepare()
-        # Where the store is away for all, asking it once more for each other would
-        # hold every call for twice its time.
+        # While the store is unavailable to all, relaying would only make every call
+        # wait for a second timeout.
         if any(tail.failing_since is not None for tail in self._parts.lists.values()):
             self._reply(UNAVAILABLE)
 
     async def get(self):
-        """Read on; answers only what the store itself has said."""
+        """Read from the store; never answers from this instance's memory."""
         with call_purpose(RELAY):
             await self._read()
 
     async def _read(self):
-        wait = min(LONGEST_READ, int(self.get_query_argument("WaitMs", "0")) / 1000)
+        wait = min(
+            MAX_RELAYED_READ_WAIT, int(self.get_query_argument("WaitMs", "0")) / 1000
+        )
         offset = int(self.get_query_argument("From"))
         store = self._parts.store
-        most = int(self.get_query_argument("MaxKb", "0")) * 1024 or None
-        result = await self._while_present(
-            store.read(*self._partition(), offset, wait, TIMEOUT, most)
+        max_bytes = int(self.get_query_argument("MaxKb", "0")) * 1024 or None
+        result = await self._while_connected(
+            store.read(*self._partition(), offset, wait, RELAY_TIMEOUT, max_bytes)
         )
         if isinstance(result, Expired):
             self._reply_json(GONE, {"First": result.first})
@@ -123,17 +124,17 @@
             self._reply(200, [], batch_document(result))
 
     async def post(self):
-        """Append; an append of unknown fate is not answered as one without effect."""
-        records = unpacked(self.request.body)
+        """Append; ``ReplyLost`` is never reported as an append without effect."""
+        records = unpack_records(self.request.body)
         if not records:
             self._reply(400)
             return
         with call_purpose(RELAY):
             result = await self._parts.store.append(
-                *self._partition(), records, deadline_in(TIMEOUT)
+                *self._partition(), records, deadline_in(RELAY_TIMEOUT)
             )
         if isinstance(result, ReplyLost):
-            self._reply(UNKNOWN)
+            self._reply(UNKNOWN_OUTCOME_STATUS)
         elif isinstance(result, Outcome):
             self._reply(UNAVAILABLE)
         else:
--- a/sassafrasdoor/platform/process.py
+++ b/sassafrasdoor/platform/process.py
@@ -1,4 +1,4 @@
-"""One instance's process: its parts put together, its start and its planned stop."""
+"""The process of one instance: constructs its components, runs and stops them."""
 
 import asyncio
 import contextlib
@@ -42,59 +42,57 @@
 from sassafrasdoor.table.routes import RoutesInForce
 from sassafrasdoor.weights.controller import WeightsController
 
-LIST_PAUSE = 0.35
-"""Seconds between reads of the replicas' list: a leaving replica is known well
-within its two seconds, and heartbeats of all replicas come in one answer."""
-CRASHES_PAUSE = 0.5
-"""Seconds between reads of the crashes: all instances know of one within a second."""
-SERVE_ON_SHARE = 0.86
-"""Part of the planned stop for which open and remembered connections are served."""
-FINISH_SHARE = 0.1
-"""Part of the planned stop in which requests in progress may still end."""
-FINISH_TICK = 0.02
-ALONE_UP_TO = 60
-"""Replicas before which one process runs all shards: before more it lacks the processor
-and keeps too many connections."""
-AFTER_THE_FIRST = 3
-"""Places by which all others step back for a shard while whoever orders the loads lives:
-it reads megabytes after a start, and where the next in rank is done a moment sooner,
-loads and items stay apart, and replicas that load refuse items."""
-FENCED_HANDOVER = 0.3
-"""Seconds that an order of a lapsed holder may be on its way, at most."""
-FOLLOW_TICK, FIRST_TICK = 0.2, 0.05
-"""Seconds between looks at whether this instance should read the steps, and before its
-turn to read them has come."""
-UNREAD_PAUSE = 0.4
-"""Seconds between reads of a shard that this process neither runs nor answers for."""
-FIRST_IDLE_LIMIT = 60.0
-"""Seconds that a connection may idle before the operator's limit is known."""
-CLEANUP_INTERVAL = 10.0
-ROUTES_INTERVAL = 0.5
-"""Seconds between looks at how old the routes are."""
-REPORT_INTERVAL = 5.0
-"""Seconds between lines of what was asked of the log."""
-SETTINGS_INTERVAL = 1.0
-"""Seconds between looks at the settings file; a look is one call to the kernel."""
-MOST_FINDINGS = 5
-KEEP_MARGIN = 60.0
-"""Seconds beyond the promised time that finished steps stay readable."""
-BACKLOG = 512
+# Seconds between reads of the list of replicas: a leaving replica is noticed well
+# within two seconds, and one read returns the heartbeats of all replicas.
+REPLICA_LIST_READ_INTERVAL = 0.35
+# Seconds between reads of the crash list: all instances see a crash within a second.
+CRASH_LIST_READ_INTERVAL = 0.5
+# Shares of the planned stop's duration: first open connections and callers that cached
+# the address are still served, then only requests in progress may finish.
+DRAIN_SHARE = 0.86
+FINISH_IN_FLIGHT_SHARE = 0.1
+IN_FLIGHT_CHECK_INTERVAL = 0.02  # seconds
+# Up to this number of replicas one process runs all shards; with more it would lack CPU
+# time and keep too many connections.
+MAX_REPLICAS_FOR_ONE_RUNNER = 60
+# Added to the shard ranks of all other instances while the holder of the weights lease
+# is alive. After a start the holder first reads megabytes. If the next in rank finished
+# slightly earlier and ran the steps, loads and items would be assigned by different
+# processes, and replicas that are loading weights refuse items.
+NON_CONTROLLER_RANK_OFFSET = 3
+FENCED_HANDOVER_DELAY = 0.3  # seconds; longest delivery of a former holder's order
+# Seconds between checks whether to read the steps; shorter while waiting for a slot.
+FOLLOW_CHECK_INTERVAL, READ_SLOT_CHECK_INTERVAL = 0.2, 0.05
+# Minimum seconds between reads of a shard that this process does not run.
+UNOWNED_SHARD_MIN_READ_INTERVAL = 0.4
+# Seconds; used until the operator's limit has been loaded.
+INITIAL_IDLE_TIMEOUT = 60.0
+CLEANUP_INTERVAL = 10.0  # seconds
+ROUTES_CHECK_INTERVAL = 0.5  # seconds between checks of the age of the routes
+CALL_REPORT_INTERVAL = 5.0  # seconds between log lines with the calls to the log
+SETTINGS_CHECK_INTERVAL = 1.0  # seconds; a check is a single stat() of the file
+MAX_LOGGED_FINDINGS = 5
+# Seconds for which finished steps stay readable beyond the promised retention.
+RESULT_RETENTION_MARGIN = 60.0
+LISTEN_BACKLOG = 512
 
 
 class Process:
-    """All parts of one instance; ``ready`` and ``closing`` say where it is.
+    """The components of one instance.
 
-    ``in_flight`` are the handlers of requests that were read and not yet answered.
+    ``ready`` says whether callers should be sent here, ``closing`` whether connections
+    are being closed. ``in_flight`` is the set of handlers of requests that have been
+    read and not yet answered.
     """
 
     def __init__(self, settings, path, metrics_port=0):
         self._settings = settings
         self._path = path
-        self._settings_stamp = platform_settings.stamp(path)
+        self._settings_signature = platform_settings.file_signature(path)
         self._metrics_port = metrics_port
         self._stop = asyncio.Event()
-        self._turn = ReadSlot()
-        self._follows = asyncio.Event()
+        self._read_slot = ReadSlot()
+        self._following = asyncio.Event()
         self._servers = []
         self.closing = False
         self.in_flight = set()
@@ -102,14 +100,14 @@
 
     def _build(self):
         settings = self._settings
-        self._demand = CallCounter()
-        self._store = Store(settings.store, self._demand)
+        self._call_counter = CallCounter()
+        self._store = Store(settings.store, self._call_counter)
         self._peers = Peers(settings.peers)
-        self._log = RelayedLog(self._store, self._relays)
+        self._log = RelayedLog(self._store, self._relay_clients)
         self._read_coordinator = ReadCoordinator(self._backlog_share, self._retry_pause)
         self._client = WireReplicas()
         self._routes = RoutesInForce(
-            lambda: self._operator.confirmed_at, lambda: settings.config_apply
+            lambda: self._operator_tail.confirmed_at, lambda: settings.config_apply
         )
         self._replicas = Replicas(
             settings.instance.availability_zone, settings.heartbeat
@@ -122,19 +120,20 @@
             settings.name,
             lambda: self._instances.rank(CRASHES_TOPIC) == 0,
         )
-        self._crash_list = KeyedTail(
+        self._crash_list_tail = KeyedTail(
             self._log,
             CRASHES_TOPIC,
             self._crashes.apply_record,
-            CRASHES_PAUSE,
+            CRASH_LIST_READ_INTERVAL,
             self._peers.newest,
-            # Apart from the others: while it is late the steps are read all the same.
+            # Not shared with the others: a slow crash list must not delay the steps.
             ReadCoordinator(self._backlog_share, self._retry_pause),
         )
         self._steps = Steps()
-        # The shard after those of the steps is no step's: its holder orders the loads.
-        shards = min(SHARD_COUNT, settings.partitions - 1)
-        self._weights_shard = shards
+        # The shard after those of the steps holds no steps: its lease decides which
+        # instance orders loads of weights.
+        shard_count = min(SHARD_COUNT, settings.partitions - 1)
+        self._weights_shard = shard_count
         member = f"{settings.front}/{uuid.uuid4().hex[:8]}"
         self._instances = Instances(
             settings,
@@ -152,15 +151,15 @@
                 self._log,
                 TOPIC,
                 shard,
-                self._fold_of(shard),
-                self._pause_of(shard),
-                self._follows,
+                self._make_fold(shard),
+                self._make_pause(shard),
+                self._following,
                 self._read_coordinator,
             )
-            for shard in range(shards + 1)
+            for shard in range(shard_count + 1)
         ]
         self._outboxes = [
-            Outbox(self._log, TOPIC, shard) for shard in range(shards + 1)
+            Outbox(self._log, TOPIC, shard) for shard in range(shard_count + 1)
         ]
         self._runner = Runner(
             self._client,
@@ -176,39 +175,39 @@
             self._steps,
             self._tails,
             member,
-            self._rank,
-            self._gained,
+            self._shard_rank,
+            self._on_shard_gained,
             self._runner.stop_shard,
             self._instances,
         )
         self._build_weights()
-        keys = configuration.OperatorKeys(
+        operator_topic = configuration.OperatorTopicReader(
             self._routes, self._weights.set_target_version
         )
-        self._operator = KeyedTail(
+        self._operator_tail = KeyedTail(
             self._log,
             configuration.OPERATOR_TOPIC,
-            keys.take,
+            operator_topic.apply,
             newest_from_peer=self._peers.newest,
             read_coordinator=self._read_coordinator,
         )
-        listed = configuration.ServerKeys(self._replicas)
-        self._list = KeyedTail(
+        servers_topic = configuration.ServersTopicReader(self._replicas)
+        self._replica_list_tail = KeyedTail(
             self._log,
             configuration.SERVERS_TOPIC,
-            listed.take,
-            LIST_PAUSE,
+            servers_topic.apply,
+            REPLICA_LIST_READ_INTERVAL,
             self._peers.newest,
             self._read_coordinator,
         )
-        self._replicas.list_tail = self._list
+        self._replicas.list_tail = self._replica_list_tail
 
-    def _gained(self, shard):
+    def _on_shard_gained(self, shard):
         self._runner.start_shard(shard)
         if shard == self._weights_shard:
             self._weights.wake()
 
-    def _relays(self):
+    def _relay_clients(self):
         return self._peers.relays(self._instances.peer_control_addresses())
 
     def _build_weights(self):
@@ -217,35 +216,39 @@
             ShardLease(self._shards, self._weights_shard, self._settings.name),
             self._replicas,
             self._routes,
-            handover=lambda: self._handover,
+            handover=lambda: self._handover_delay,
             work=self._runner,
         )
         self._steps.mark_used(self._weights_shard)
         self._steps.on_change(self._weights.record_demand)
 
     @property
-    def _handover(self):
-        """Seconds between a former holder's last order and our first.
+    def _handover_delay(self):
+        """Seconds to wait after gaining the weights lease before the first order.
 
-        Replicas that check fencing numbers refuse a lapsed holder's orders by
-        themselves; others take any, so there its time must have run out for sure.
+        Replicas that check fencing tokens reject a former holder's orders themselves.
+        Others accept any order, so there the former holder's lease must have expired.
         """
-        return FENCED_HANDOVER if self._settings.fenced else self._settings.lease + 0.2
+        return (
+            FENCED_HANDOVER_DELAY
+            if self._settings.fenced
+            else self._settings.lease + 0.2
+        )
 
     @property
     def ready(self):
         """Whether callers should be sent here."""
         return (
             self._routes.current is not None
-            and self._list.loaded
+            and self._replica_list_tail.loaded
             and not self._stop.is_set()
         )
 
     async def run(self):
-        """Serve until SIGTERM, then until callers have gone elsewhere."""
+        """Serve until SIGTERM, then drain and return."""
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGTERM, self._stop.set)
-        loop.add_signal_handler(signal.SIGHUP, self._reload)
+        loop.add_signal_handler(signal.SIGHUP, self._reload_settings)
         note(
             "process.started",
             front=self._settings.front,
@@ -253,9 +256,9 @@
         )
         self._listen()
         self._routes.on_change(self._apply_limits)
-        tasks = start_critical_tasks(self._jobs())
+        tasks = start_critical_tasks(self._background_jobs())
         await self._stop.wait()
-        await self._leave()
+        await self._shut_down()
         for task in tasks:
             task.cancel()
         self._store.close()
@@ -263,11 +266,11 @@
         self._client.close()
         note("process.stopped")
 
-    def _jobs(self):
+    def _background_jobs(self):
         return [
-            self._operator.run(),
-            self._list.run(),
-            self._crash_list.run(),
+            self._operator_tail.run(),
+            self._replica_list_tail.run(),
+            self._crash_list_tail.run(),
             self._crashes.run(),
             self._crashes.expire(),
             self._instances.tail.run(),
@@ -275,11 +278,11 @@
             self._weights.run(),
             self._runner.run(),
             self._shards.run(),
-            self._look_who_follows(),
-            self._forget_old(),
+            self._update_following(),
+            self._discard_expired_steps(),
             self._watch_settings(),
-            self._report_demand(),
-            self._look_at_routes(),
+            self._report_call_counts(),
+            self._check_routes(),
             *(tail.run() for tail in self._tails),
             *(outbox.run() for outbox in self._outboxes),
         ]
@@ -300,10 +303,10 @@
             self._store,
         )
         tails = (
-            self._operator,
-            self._list,
+            self._operator_tail,
+            self._replica_list_tail,
             self._instances.tail,
-            self._crash_list,
+            self._crash_list_tail,
         )
         parts.lists = {tail.topic: tail for tail in tails}
         applications = [
@@ -322,14 +325,17 @@
             applications.append((f"{host}:{self._metrics_port}", application))
         for address, application in applications:
             host, _, port = address.rpartition(":")
-            server = HTTPServer(application, idle_connection_timeout=FIRST_IDLE_LIMIT)
-            server.listen(int(port), host, backlog=BACKLOG)
+            server = HTTPServer(
+                application, idle_connection_timeout=INITIAL_IDLE_TIMEOUT
+            )
+            server.listen(int(port), host, backlog=LISTEN_BACKLOG)
             self._servers.append(server)
 
     def _apply_limits(self, configuration):
-        """Bound what callers send, and how long they idle, as the operator says.
+        """Apply the operator's limits on request sizes and idle connections.
 
-        A connection closed sooner than callers expect would meet their next request.
+        A caller whose idle connection is closed earlier than it expects may send its
+        next request on the closing connection.
         """
         limits = configuration.limits
         for server in self._servers:
@@ -337,38 +343,42 @@
             server.conn_params.max_header_size = limits.header_bytes
             server.conn_params.max_body_size = limits.body_bytes
 
-    async def _look_who_follows(self):
+    async def _update_following(self):
         while True:
-            if self._follows_steps():
-                self._follows.set()
+            if self._should_follow_steps():
+                self._following.set()
             else:
-                self._follows.clear()
-            steps = self._tails[: self._weights_shard]
-            self._instances.has_read = self._follows.is_set() and all_caught_up(steps)
-            waits = not (self._turn.has_come or self._instances.in_reserve)
-            await asyncio.sleep(FIRST_TICK if waits else FOLLOW_TICK)
-
-    def _follows_steps(self):
-        """Say whether this instance reads the steps' records itself.
-
-        A process that runs a shard does so also when callers are sent elsewhere: it
-        must learn of ended steps. The others wait for their turn, after a start and
-        when callers are to be sent here from now on.
+                self._following.clear()
+            step_tails = self._tails[: self._weights_shard]
+            self._instances.has_read = self._following.is_set() and all_caught_up(
+                step_tails
+            )
+            waiting = not (self._read_slot.has_come or self._instances.in_reserve)
+            await asyncio.sleep(
+                READ_SLOT_CHECK_INTERVAL if waiting else FOLLOW_CHECK_INTERVAL
+            )
+
+    def _should_follow_steps(self):
+        """Return whether this instance reads the records of the steps itself.
+
+        A process that runs a shard always does, even if it is no entry point: it must
+        learn which steps have ended. Other entry points first wait for a slot to read,
+        after a start and when they become entry points.
         """
         if not self._instances.tail.loaded:
             return False
         if self._shards.holds_any:
             return True
         if not self._instances.is_entry_point:
-            self._turn.reset()
+            self._read_slot.reset()
             return False
-        if not self._turn.has_come:
-            self._look_at_turn()
-        return self._turn.has_come
+        if not self._read_slot.has_come:
+            self._acquire_read_slot()
+        return self._read_slot.has_come
 
-    def _look_at_turn(self):
-        ahead = self._unread_ahead
-        waited = self._turn.try_acquire(ahead, now())
+    def _acquire_read_slot(self):
+        ahead = self._unread_instances_ahead
+        waited = self._read_slot.try_acquire(ahead, now())
         if waited is not None:
             note(
                 "steps.reading",
@@ -378,41 +388,46 @@
             )
 
     @property
-    def _unread_ahead(self):
-        """How many read the steps before this instance; none if it is to run some."""
-        keys = set(map(self._ranked_for, range(self._weights_shard + 1)))
+    def _unread_instances_ahead(self):
+        """How many instances read the steps first; 0 if this is first for a shard."""
+        keys = set(map(self._ranking_key, range(self._weights_shard + 1)))
         if any(self._instances.unread_entry_points_before(key) == 0 for key in keys):
             return 0
         return self._instances.unread_entry_points_before(STEP_READERS_KEY)
 
-    def _rank(self, shard):
-        """Return this instance's place among those that could run a shard.
+    def _shard_rank(self, shard):
+        """Return this instance's rank among those that could run a shard, from 0.
 
-        Whoever orders the loads comes first for the steps too: it loads a replica once
-        the items that wait have begun, and sends none to one that it loads. Apart, much
-        of what is sent to engines is refused.
+        The holder of the weights lease ranks first for the steps too: it orders a load
+        only once the queued items have started, and sends no items to a replica that is
+        loading. If another process ran the steps, replicas would refuse many items.
         """
-        rank = self._instances.rank(self._ranked_for(shard))
-        if self._replicas.count > ALONE_UP_TO or shard == self._weights_shard:
+        rank = self._instances.rank(self._ranking_key(shard))
+        if (
+            self._replicas.count > MAX_REPLICAS_FOR_ONE_RUNNER
+            or shard == self._weights_shard
+        ):
             return rank
         if self._shards.runs_here(self._weights_shard):
             return 0
         if self._shards.runs_elsewhere(self._weights_shard):
-            return rank + AFTER_THE_FIRST
+            return rank + NON_CONTROLLER_RANK_OFFSET
         return rank + 1
 
-    def _ranked_for(self, shard):
+    def _ranking_key(self, shard):
         """Return the key by which instances are ranked for a shard.
 
-        One process that runs all steps knows what every replica does, and its kept
-        connections serve all of them. Before many replicas it lacks the processor.
+        Up to ``MAX_REPLICAS_FOR_ONE_RUNNER`` all shards have the same key: a single
+        runner knows the load of every replica and reuses its connections to them.
         """
         return (
-            f"shard-{shard}" if self._replicas.count > ALONE_UP_TO else STEP_READERS_KEY
+            f"shard-{shard}"
+            if self._replicas.count > MAX_REPLICAS_FOR_ONE_RUNNER
+            else STEP_READERS_KEY
         )
 
-    def _pause_of(self, shard):
-        """Return the pause between reads of a shard, as a function of no arguments."""
+    def _make_pause(self, shard):
+        """Return a function that returns the seconds between reads of a shard."""
 
         def pause():
             shared = follower_pause(
@@ -422,12 +437,12 @@
             )
             if self._shards.runs_here(shard):
                 return shared
-            return max(shared, UNREAD_PAUSE)
+            return max(shared, UNOWNED_SHARD_MIN_READ_INTERVAL)
 
         return pause
 
     def _backlog_share(self):
-        # Any of them may begin to follow the steps, and others may not see it yet.
+        # Any instance may start to follow the steps before the others notice.
         return backlog_share(
             self._instances.alive_count,
             self._settings.read_bytes_per_second,
@@ -439,67 +454,71 @@
             self._instances.alive_count, self._settings.reads_per_second
         )
 
-    def _fold_of(self, shard):
+    def _make_fold(self, shard):
         return lambda offset, data: self._steps.fold(shard, offset, data)
 
-    async def _forget_old(self):
+    async def _discard_expired_steps(self):
         while True:
             await asyncio.sleep(CLEANUP_INTERVAL)
-            self._steps.discard_done(now() - self._settings.results_kept - KEEP_MARGIN)
+            self._steps.discard_done(
+                now() - self._settings.results_kept - RESULT_RETENTION_MARGIN
+            )
 
-    async def _look_at_routes(self):
+    async def _check_routes(self):
         while True:
             self._routes.report_age()
-            await asyncio.sleep(ROUTES_INTERVAL)
+            await asyncio.sleep(ROUTES_CHECK_INTERVAL)
 
-    async def _report_demand(self):
+    async def _report_call_counts(self):
         while True:
-            await asyncio.sleep(REPORT_INTERVAL)
-            self._demand.report()
+            await asyncio.sleep(CALL_REPORT_INTERVAL)
+            self._call_counter.report()
 
     async def _watch_settings(self):
-        """Reload a settings file that was changed without a signal."""
+        """Reload the settings when the file has changed."""
         while True:
-            await asyncio.sleep(SETTINGS_INTERVAL)
-            if platform_settings.stamp(self._path) != self._settings_stamp:
-                self._reload()
+            await asyncio.sleep(SETTINGS_CHECK_INTERVAL)
+            if platform_settings.file_signature(self._path) != self._settings_signature:
+                self._reload_settings()
 
-    def _reload(self):
-        """Take over what may change while the process runs; say what may not.
+    def _reload_settings(self):
+        """Apply the settings that may change at run time; log those that may not.
 
-        A file that is invalid changes nothing: the process would end with the next
-        restart, and until then serves on as it is.
+        An invalid file is logged and ignored, so that the process keeps serving; it
+        would prevent the next start.
         """
-        self._settings_stamp = platform_settings.stamp(self._path)
-        found = platform_settings.load(self._path)
-        if not found:
-            findings = [str(one) for one in found.findings[:MOST_FINDINGS]]
+        self._settings_signature = platform_settings.file_signature(self._path)
+        loaded = platform_settings.load(self._path)
+        if not loaded:
+            findings = [str(item) for item in loaded.findings[:MAX_LOGGED_FINDINGS]]
             note("process.reloaded", valid=False, findings=findings)
             return
-        taken, waiting = self._settings.take_over(found)
-        note("process.reloaded", valid=True, taken=taken, at_next_start=waiting)
+        applied, deferred = self._settings.take_over(loaded)
+        note("process.reloaded", valid=True, taken=applied, at_next_start=deferred)
 
-    async def _leave(self):
-        """Send callers elsewhere, hand the duties over, and serve on meanwhile."""
-        limit = deadline_in(self._settings.stop_within * SERVE_ON_SHARE)
-        note("process.stopping", seconds=round(remaining(limit), 2))
+    async def _shut_down(self):
+        """Deregister and release the shards; serve until the drain deadline."""
+        drain_deadline = deadline_in(self._settings.stop_within * DRAIN_SHARE)
+        note("process.stopping", seconds=round(remaining(drain_deadline), 2))
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout_at(limit):
+            async with asyncio.timeout_at(drain_deadline):
                 await asyncio.gather(
                     self._instances.leave(),
-                    self._hand_over(),
+                    self._release_shards(),
                 )
-        await asyncio.sleep(max(0.0, remaining(limit) - 1.0))
+        await asyncio.sleep(max(0.0, remaining(drain_deadline) - 1.0))
         self.closing = True
-        await asyncio.sleep(remaining(limit))
+        await asyncio.sleep(remaining(drain_deadline))
         for server in self._servers:
             server.stop()
-        end = limit + self._settings.stop_within * FINISH_SHARE
-        while self.in_flight and not passed(end):  # noqa: ASYNC110
-            await asyncio.sleep(FINISH_TICK)
+        finish_deadline = (
+            drain_deadline + self._settings.stop_within * FINISH_IN_FLIGHT_SHARE
+        )
+        while self.in_flight and not passed(finish_deadline):  # noqa: ASYNC110
+            await asyncio.sleep(IN_FLIGHT_CHECK_INTERVAL)
 
-    async def _hand_over(self):
-        """Give all shards up, with what was received of their items before."""
+    async def _release_shards(self):
+        """Release all shards, after writing what was received of their items."""
         for shard, release in self._shards.leave().items():
             self._runner.stop_shard(shard)
             self._outboxes[shard].put(release)
--- a/sassafrasdoor/platform/servers.py
+++ b/sassafrasdoor/platform/servers.py
@@ -1,4 +1,4 @@
-"""Replicas on the platform's wire: calls, samples' streams and orders."""
+"""HTTP client for replicas: calls, streams, samples and orders to load weights."""
 
 import json
 
@@ -17,17 +17,17 @@
 from sassafrasdoor.outcomes import NotRun, ReplyLost, Unavailable
 from sassafrasdoor.platform import wire
 
-NEVER_DOABLE = 422
+UNPROCESSABLE = 422
 ORDER_ACCEPTED = (200, 202)
 ORDER_FENCED = 412
 RETRY_AFTER = 0.1
 VERSION_LINE = wire.VERSIONS.lower()
 EVENT_END = b"\n\n"
-NO_STAMP = "answer without the replica's stamp"
+MISSING_STAMP = "answer without the replica's stamp"
 
 
 class WireReplicas(ReplicaClient):
-    """Speaks to replicas; each send names the replica that is meant."""
+    """Sends requests to replicas; each request names the intended replica."""
 
     __slots__ = ("_connections",)
 
@@ -39,44 +39,52 @@
         self._connections.close()
 
     def forget(self, replica):
-        """Close the kept connections of an incarnation that is gone."""
+        """Close the idle connections to an incarnation that has ended."""
         self._connections.close_idle(replica.listing.address)
 
     async def call(self, replica, call):
-        """Return the ``Answer``, ``NotRun``, ``WrongReplica`` or ``Broken``."""
+        """Return an ``Answer``, ``NotRun``, ``WrongReplica`` or ``Broken``."""
         reply = await self._send(
-            replica, _outgoing(replica, call), _own(call.request_id)
+            replica, _build_request(replica, call), _response_check(call.request_id)
         )
-        return _whole_answer(reply)
+        return _answer_from(reply)
 
     async def try_connect(self, replica):
-        """Return True if it can be connected to, else ``Refused`` or ``Broken``."""
+        """Return True if a connection opens, else ``Refused`` or ``Broken``."""
         return await self._connections.try_connect(replica.listing.address)
 
     async def stream(self, replica, call, relay):
-        """Pass events on; return True when whole, or as ``call`` does."""
-        blocks = _Blocks()
-        own = _own(call.request_id)
-
-        def accept(status, answered):
-            refused = own(status, answered)
-            if not refused and status == 200:
-                if wire.STAMP not in answered:
-                    return NO_STAMP
-                relay.head(wire.header_pairs(answered, wire.NOT_SENT_BACK))
-            return refused
-
-        async def take(data):
-            for block in blocks.feed(data):
+        """Forward events; return True at the end of the stream, else as ``call``."""
+        splitter = _EventSplitter()
+        check = _response_check(call.request_id)
+
+        def accept(status, response_headers):
+            mismatch = check(status, response_headers)
+            if not mismatch and status == 200:
+                if wire.STAMP not in response_headers:
+                    return MISSING_STAMP
+                relay.head(
+                    wire.header_pairs(response_headers, wire.DROPPED_FROM_ANSWER)
+                )
+            return mismatch
+
+        async def forward_events(data):
+            for block in splitter.feed(data):
                 await relay.event(_event_number(block), block + EVENT_END)
 
-        reply = await self._send(replica, _outgoing(replica, call), accept, take)
+        reply = await self._send(
+            replica, _build_request(replica, call), accept, forward_events
+        )
         if isinstance(reply, Broken) or reply.status != 200:
-            return _whole_answer(reply)
-        return blocks.whole
+            return _answer_from(reply)
+        return splitter.end_result
 
     async def generate(self, replica, order, on_event):
-        """Hand on events; return True, ``SampleFailed``, ``NotRun`` or ``Broken``."""
+        """Call ``on_event`` for each event of a sample.
+
+        Returns True at the end of the sample, else ``SampleFailed``, ``NotRun``,
+        ``WrongReplica`` or ``Broken``.
+        """
         headers = dict(order.headers)
         headers["Host"] = order.host
         headers[wire.REQUEST_ID] = order.item_id
@@ -87,23 +95,23 @@
             "POST", order.path, headers, order.body, order.deadline
         )
         events = _EventReader(on_event)
-        own = _own(order.item_id)
+        check = _response_check(order.item_id)
 
-        def accept(status, answered):
-            refused = own(status, answered)
-            if not refused and status == 200:
-                events.version = _number(answered.get(wire.VERSIONS))
-            return refused
+        def accept(status, response_headers):
+            mismatch = check(status, response_headers)
+            if not mismatch and status == 200:
+                events.version = _parse_int(response_headers.get(wire.VERSIONS))
+            return mismatch
 
         reply = await self._send(replica, request, accept, events.feed)
         if isinstance(reply, Broken):
             return reply
         if reply.status == 200:
-            return events.whole
-        refused = _refusal(reply)
-        if refused is not None:
-            return refused
-        return SampleFailed(f"status {reply.status}", reply.status == NEVER_DOABLE)
+            return events.end_result
+        refusal = _refusal(reply)
+        if refusal is not None:
+            return refusal
+        return SampleFailed(f"status {reply.status}", reply.status == UNPROCESSABLE)
 
     async def order(self, replica, order):
         """Return True, ``Stale``, ``OrderRefused``, ``Unavailable`` or ``ReplyLost``."""
@@ -138,60 +146,69 @@
             if reply.reason == "timeout":
                 self._connections.close_idle(address)
             return reply
-        _take_load(replica, reply.headers)
+        _record_load(replica, reply.headers)
         return reply
 
 
-class _Blocks:
-    """Cuts a stream's bytes into events; a half one is kept until its rest comes."""
+class _EventSplitter:
+    """Splits a stream of bytes into events; buffers an incomplete last event."""
 
-    __slots__ = ("_rest",)
+    __slots__ = ("_incomplete_event",)
 
     def __init__(self):
-        self._rest = b""
+        self._incomplete_event = b""
 
     @property
-    def whole(self):
-        """True if the last event is whole, else ``Broken``."""
-        return Broken("stream ended inside an event") if self._rest.strip() else True
+    def end_result(self):
+        """True if the stream ended after a complete event, else ``Broken``."""
+        return (
+            Broken("stream ended inside an event")
+            if self._incomplete_event.strip()
+            else True
+        )
 
     def feed(self, data):
-        """Take bytes of the stream; return the events that they complete."""
-        *whole, self._rest = (self._rest + data).split(EVENT_END)
-        return [block for block in whole if block.strip()]
+        """Append bytes of the stream; return the events that are now complete."""
+        *complete, self._incomplete_event = (self._incomplete_event + data).split(
+            EVENT_END
+        )
+        return [block for block in complete if block.strip()]
 
 
 class _EventReader:
-    """Hands on the events of a sample's stream with their versions."""
+    """Parses the events of a sample and passes them on with their weight version.
+
+    Stops passing events on once ``on_event`` has returned a false value.
+    """
 
     __slots__ = ("_blocks", "_on_event", "_stopped", "version")
 
     def __init__(self, on_event):
         self._on_event = on_event
-        self._blocks = _Blocks()
+        self._blocks = _EventSplitter()
         self._stopped = False
         self.version = 0
 
     @property
-    def whole(self):
-        """True if the last event is whole, else ``Broken``."""
-        return self._blocks.whole
+    def end_result(self):
+        """True if the stream ended after a complete event, else ``Broken``."""
+        return self._blocks.end_result
 
     def feed(self, data):
-        """Take bytes of the stream."""
+        """Append bytes of the stream."""
         for block in self._blocks.feed(data):
             if not self._stopped:
-                self._event(block)
+                self._dispatch_event(block)
 
-    def _event(self, block):
+    def _dispatch_event(self, block):
         number, lines = None, []
         for line in block.decode("utf-8", "replace").split("\n"):
             name, _, value = line.partition(":")
             value = value.removeprefix(" ")
             if name == VERSION_LINE:
-                self.version = _number(value) or self.version
+                self.version = _parse_int(value) or self.version
             elif name == "id":
-                number = _number(value, None)
+                number = _parse_int(value, None)
             elif name == "data":
                 lines.append(value)
         if number is None and not lines:
@@ -200,7 +217,7 @@
             self._stopped = True
 
 
-def _outgoing(replica, call):
+def _build_request(replica, call):
     headers = HTTPHeaders()
     for name, value in call.headers:
         headers.add(name, value)
@@ -214,50 +231,51 @@
     )
 
 
-def _whole_answer(reply):
-    """Return the ``Answer`` in a reply, ``NotRun``, ``WrongReplica`` or ``Broken``."""
+def _answer_from(reply):
+    """Convert a reply to ``Answer``, ``NotRun``, ``WrongReplica`` or ``Broken``."""
     if isinstance(reply, Broken):
         return reply
-    refused = _refusal(reply)
-    if refused is not None:
-        return refused
+    refusal = _refusal(reply)
+    if refusal is not None:
+        return refusal
     if wire.STAMP not in reply.headers:
-        # A head cut short still reads as one. Passed on, the caller would take
-        # half an answer for its own; only the stamp shows whose answer it is.
-        return Broken(NO_STAMP, began=True)
-    pairs = wire.header_pairs(reply.headers, wire.NOT_SENT_BACK)
+        # A truncated header block still parses as a complete one. Only the stamp shows
+        # which replica answered; without it the caller could get an incomplete answer.
+        return Broken(MISSING_STAMP, began=True)
+    pairs = wire.header_pairs(reply.headers, wire.DROPPED_FROM_ANSWER)
     return Answer(reply.status, pairs, reply.body, reply.headers[wire.STAMP])
 
 
 def _event_number(block):
-    """Return the number of an event, None if it names none."""
+    """Return the id of an event as a number, or None if it has none."""
     for line in block.decode("utf-8", "replace").split("\n"):
         name, _, value = line.partition(":")
         if name == "id":
-            return _number(value, None)
+            return _parse_int(value, None)
     return None
 
 
-def _own(request_id):
-    """Return the check that an answer belongs to the request of that id.
+def _response_check(request_id):
+    """Return a function that checks whether an answer belongs to this request.
 
-    An extra answer that comes late may name no request at all. On a kept connection it
-    would be taken for the answer to the next one, and a caller read another's answer.
-    Only a refusal may come without: it carries nothing that is anybody's.
+    The function returns a reason to reject the answer, or an empty string. A late
+    duplicate answer may have no request id. On a reused connection it would be taken
+    for the answer to the next request, and a caller would get the answer to another
+    caller's request. Only a refusal may lack the id: it contains no caller's data.
     """
 
     def check(status, headers):
-        echoed = headers.get(wire.REQUEST_ID)
-        if echoed == request_id:
+        echoed_id = headers.get(wire.REQUEST_ID)
+        if echoed_id == request_id:
             return ""
-        refusal = status == wire.MISDIRECTED or wire.NOT_RUN in headers
-        return "" if echoed is None and refusal else "answer to another request"
+        is_refusal = status == wire.MISDIRECTED or wire.NOT_RUN in headers
+        return "" if echoed_id is None and is_refusal else "answer to another request"
 
     return check
 
 
 def _refusal(reply):
-    """Return ``WrongReplica`` or ``NotRun`` if the reply promises that, else None."""
+    """Return ``WrongReplica`` or ``NotRun`` if the request was not run, else None."""
     if reply.status == wire.MISDIRECTED:
         return WrongReplica("another replica has the address", RETRY_AFTER)
     if wire.NOT_RUN in reply.headers:
@@ -265,13 +283,13 @@
     return None
 
 
-def _take_load(replica, headers):
-    parts = headers.get(wire.LOAD, "").split(",")
-    if len(parts) == 3 and all(part.strip().isdigit() for part in parts):
-        replica.record_load(int(parts[0]), int(parts[1]))
+def _record_load(replica, headers):
+    figures = headers.get(wire.LOAD, "").split(",")
+    if len(figures) == 3 and all(figure.strip().isdigit() for figure in figures):
+        replica.record_load(int(figures[0]), int(figures[1]))
 
 
-def _number(text, default=0):
+def _parse_int(text, default=0):
     try:
         return int(text)
     except (TypeError, ValueError):
--- a/sassafrasdoor/platform/settings.py
+++ b/sassafrasdoor/platform/settings.py
@@ -1,7 +1,7 @@
-"""The platform's settings file, checked and in the product's own names.
+"""Loads and validates the platform's settings file.
 
-The product's own settings are JSON, checked by pydantic. Importing that takes much of
-a start and of the memory here, so this module does without.
+The product's other settings are JSON validated by pydantic. Importing pydantic would
+take much of this program's start-up time and memory, so this module does not use it.
 """
 
 import os
@@ -26,7 +26,8 @@
     "Listen.Directory",
     "Platform.Address",
 )
-NUMBERS = {
+# Values of the settings that a platform leaves out, from its documentation.
+NUMBER_DEFAULTS = {
     "Bounds.ConfigApplyMs": 2000.0,
     "Bounds.GraceS": 8.0,
     "Bounds.LeaseMs": 3000.0,
@@ -39,10 +40,11 @@
     "Limits.CpuShare": 1.0,
     "Limits.Cores": 1.0,
 }
-"""Defaults where a platform leaves a figure out: those of its pages."""
 
 
-LIVE = (
+# Settings that a running process applies when the file changes: bounds that are read at
+# each use. Addresses, the location and the number of partitions change only at a start.
+RELOADABLE = (
     "config_apply",
     "fenced",
     "lease",
@@ -51,27 +53,24 @@
     "results_kept",
     "stop_within",
 )
-"""What a running process takes over from a changed file: bounds that are read when they
-are needed. Addresses, places and partitions hold until the next start."""
-FEWEST_PARTITIONS = 2
-"""One for the steps, one for the duty of ordering loads."""
+MIN_PARTITIONS = 2  # one for the steps, one for the weights lease
 
 
 class PlatformSettings:
-    """Where to listen, the platform's store and its bounds (seconds, bytes).
-
-    ``control`` is where other instances ask, empty if nowhere; ``peers`` are such
-    addresses of others.
-
-    ``config_apply`` is within which time a configuration must be in force.
-    ``stop_within`` is how long a planned stop may take, ``lease`` the time that two
-    holders of a duty must lie apart where replicas do not check fencing numbers,
-    ``reads_per_second`` how many reads the store gives all instances together,
-    ``read_bytes_per_second`` how much it sends them,
-    ``heartbeat`` the time between two heartbeats of a replica,
-    ``fenced`` whether they do, ``results_kept`` how long a step's samples are read
-    after its submission, ``cores`` how much processor the instance has, ``instance``
-    its ``InstanceLocation``.
+    """Addresses to listen on, the platform's store and its bounds (seconds, bytes).
+
+    ``control``: address that other instances call, empty if none; ``peers``: control
+    addresses of other instances. ``instance``: name and location of this one.
+
+    ``config_apply``: time within which a new configuration must be in force.
+    ``stop_within``: longest duration of a planned stop.
+    ``fenced``: whether replicas check fencing tokens; if not, ``lease`` is the time
+    that must pass between two holders of a lease.
+    ``heartbeat``: time between two heartbeats of a replica.
+    ``reads_per_second``, ``read_bytes_per_second``: the store's limits for all
+    instances together.
+    ``results_kept``: time after a step's submission for which its samples are readable.
+    ``cores``: processor cores of the instance, which may be a fraction.
     """
 
     __slots__ = (
@@ -97,29 +96,29 @@
     )
 
     def take_over(self, other):
-        """Take what may change from ``other``; return the names taken and left."""
+        """Apply the reloadable values; return the names applied and those deferred."""
         changed = [
             name
             for name in self.__slots__
             if name != "instance" and getattr(self, name) != getattr(other, name)
         ]
-        taken = [name for name in changed if name in LIVE]
-        for name in taken:
+        applied = [name for name in changed if name in RELOADABLE]
+        for name in applied:
             setattr(self, name, getattr(other, name))
-        return taken, [name for name in changed if name not in LIVE]
+        return applied, [name for name in changed if name not in RELOADABLE]
 
 
-def stamp(path):
-    """Return what changes when the file at ``path`` is written; None without a file."""
+def file_signature(path):
+    """Return a value that changes when the file is written, or None without a file."""
     try:
-        found = os.stat(path)
+        status = os.stat(path)
     except OSError:
         return None
-    return found.st_mtime_ns, found.st_size, found.st_ino
+    return status.st_mtime_ns, status.st_size, status.st_ino
 
 
-def read_lines(text):
-    """Return the mapping in lines ``a.b=value``; other lines are left out."""
+def parse_lines(text):
+    """Return the mapping in lines ``a.b=value``; other lines are ignored."""
     pairs = (line.partition("=") for line in text.splitlines())
     return {key.strip(): value.strip() for key, sep, value in pairs if sep}
 
@@ -128,7 +127,7 @@
     """Return ``PlatformSettings`` from the file at ``path``, or ``Rejected``."""
     try:
         with open(path, encoding="utf-8") as file:
-            fields = read_lines(file.read())
+            fields = parse_lines(file.read())
     except OSError as error:
         return Rejected("settings unreadable", [Finding(str(path), error.strerror)])
     return from_fields(fields)
@@ -138,47 +137,47 @@
     """Return ``PlatformSettings``, or ``Rejected`` with all findings."""
     findings = [Finding(key, "missing") for key in REQUIRED if not fields.get(key)]
     numbers = {}
-    for key, default in NUMBERS.items():
+    for key, default in NUMBER_DEFAULTS.items():
         try:
             numbers[key] = float(fields.get(key) or default)
         except ValueError:
             findings.append(Finding(key, "not a number"))
-    if numbers.get("Platform.parts", FEWEST_PARTITIONS) < FEWEST_PARTITIONS:
-        findings.append(Finding("Platform.parts", f"below {FEWEST_PARTITIONS}"))
+    if numbers.get("Platform.parts", MIN_PARTITIONS) < MIN_PARTITIONS:
+        findings.append(Finding("Platform.parts", f"below {MIN_PARTITIONS}"))
     for key in ADDRESSES:
         value = fields.get(key)
         if value and not value.rpartition(":")[2].isdigit():
             findings.append(Finding(key, "not an address host:port"))
     if findings:
         return Rejected("settings invalid", findings)
-    return _translated(fields, numbers)
-
-
-def _translated(fields, numbers):
-    found = PlatformSettings()
-    found.name = fields["NodeName"]
-    found.front = fields["Listen.Front"]
-    found.ready = fields["Listen.Ready"]
-    found.directory = fields.get("Listen.Directory", "")
-    found.control = fields.get("Listen.Control", "")
-    seeds = [one for one in fields.get("Seeds", "").split(",") if one]
-    found.peers = [one for one in seeds if one != found.control]
-    found.store = fields["Platform.Address"]
-    found.config_apply = numbers["Bounds.ConfigApplyMs"] / 1000
-    found.stop_within = numbers["Bounds.GraceS"]
-    found.lease = numbers["Bounds.LeaseMs"] / 1000
-    found.fenced = fields.get("Bounds.RequireFencing", "").lower() == "true"
-    found.heartbeat = numbers["HeartbeatMs"] / 1000
-    found.results_kept = numbers["Bounds.StatusS"]
-    found.record_bytes = int(numbers["Platform.RecordBytes"])
-    found.reads_per_second = max(1.0, numbers["Platform.ReadsPerS"])
-    found.read_bytes_per_second = max(1.0, numbers["Platform.ReadMbS"]) * 1e6
-    found.cores = numbers["Limits.CpuShare"] * numbers["Limits.Cores"]
-    found.partitions = int(numbers["Platform.parts"])
-    found.instance = InstanceLocation(
-        name=found.name,
+    return _build_settings(fields, numbers)
+
+
+def _build_settings(fields, numbers):
+    settings = PlatformSettings()
+    settings.name = fields["NodeName"]
+    settings.front = fields["Listen.Front"]
+    settings.ready = fields["Listen.Ready"]
+    settings.directory = fields.get("Listen.Directory", "")
+    settings.control = fields.get("Listen.Control", "")
+    seeds = [address for address in fields.get("Seeds", "").split(",") if address]
+    settings.peers = [address for address in seeds if address != settings.control]
+    settings.store = fields["Platform.Address"]
+    settings.config_apply = numbers["Bounds.ConfigApplyMs"] / 1000
+    settings.stop_within = numbers["Bounds.GraceS"]
+    settings.lease = numbers["Bounds.LeaseMs"] / 1000
+    settings.fenced = fields.get("Bounds.RequireFencing", "").lower() == "true"
+    settings.heartbeat = numbers["HeartbeatMs"] / 1000
+    settings.results_kept = numbers["Bounds.StatusS"]
+    settings.record_bytes = int(numbers["Platform.RecordBytes"])
+    settings.reads_per_second = max(1.0, numbers["Platform.ReadsPerS"])
+    settings.read_bytes_per_second = max(1.0, numbers["Platform.ReadMbS"]) * 1e6
+    settings.cores = numbers["Limits.CpuShare"] * numbers["Limits.Cores"]
+    settings.partitions = int(numbers["Platform.parts"])
+    settings.instance = InstanceLocation(
+        name=settings.name,
         host=fields["Ip"],
         availability_zone=fields["Zone"],
         region=fields["Region"],
     )
-    return found
+    return settings
--- a/sassafrasdoor/platform/standin.py
+++ b/sassafrasdoor/platform/standin.py
@@ -1,7 +1,7 @@
-"""Small stand-ins for the users' store and replicas, with faults by attribute.
+"""Simple stand-ins for the platform's store and replicas; attributes inject faults.
 
-They speak the platform's wire over the product's own in-memory log. For tests and the
-fault soak only: they check nothing but what those need.
+They implement the platform's protocol on the product's in-memory log, for tests and the
+fault soak only, and validate only what those need.
 """
 
 import asyncio
@@ -19,34 +19,35 @@
 from sassafrasdoor.log.partitioned import keyed_record
 from sassafrasdoor.outcomes import Expired, Outcome, ReplyLost
 from sassafrasdoor.platform import configuration, wire
-from sassafrasdoor.platform.store import batch_document, newest_document, unpacked
+from sassafrasdoor.platform.store import batch_document, newest_document, unpack_records
 
-LOCAL = "127.0.0.1"
+LOOPBACK = "127.0.0.1"
 READ_SLACK = 1.0
 
 
-RESET = struct.pack("ii", 1, 0)
-"""Lingering for no time: a connection is reset instead of closed."""
+# Value of SO_LINGER with a time of 0: closing a socket resets its connection.
+LINGER_RESET = struct.pack("ii", 1, 0)
 
 
 def serve(application, port=0):
-    """Serve on a port, by default one of its own; return ``(server, "host:port")``."""
+    """Serve on a port, by default a free one; return ``(server, "host:port")``."""
     server = HTTPServer(application)
-    sockets = bind_sockets(port, LOCAL)
+    sockets = bind_sockets(port, LOOPBACK)
     server.add_sockets(sockets)
-    return server, f"{LOCAL}:{sockets[0].getsockname()[1]}"
+    return server, f"{LOOPBACK}:{sockets[0].getsockname()[1]}"
 
 
 class StoreStandin:
-    """The store; ``log`` has the faults, nothing is answered without ``answering``.
+    """The store; faults are set on ``log``, and no call is answered while ``answering``
+    is cleared.
 
-    ``record_seconds`` maps topics to how long a read of one record takes; such a read
-    returns one at a time.
+    ``record_read_seconds`` maps topics to the seconds that reading one record takes; a
+    read of such a topic returns a single record.
     """
 
     def __init__(self, log=None):
         self.log = log or MemoryPartitionedLog()
-        self.record_seconds = {}
+        self.record_read_seconds = {}
         self.answering = asyncio.Event()
         self.answering.set()
         routes = [
@@ -54,10 +55,12 @@
             (r"/-/log-read", _Read, {"store": self}),
             (r"/-/log-newest", _Newest, {"store": self}),
         ]
-        self._server, self.address = serve(Application(routes, log_function=_quiet))
+        self._server, self.address = serve(
+            Application(routes, log_function=_log_nothing)
+        )
 
     async def put(self, topic, key, document):
-        """Write one key of a keyed topic; None drops it."""
+        """Write one key of a keyed topic; a document of None deletes it."""
         value = b"" if document is None else json.dumps(document).encode()
         record = keyed_record(key, value)
         await self.log.append(topic, 0, [record], deadline_in(1))
@@ -72,8 +75,8 @@
         self._server.stop()
 
 
-def _quiet(handler):
-    """Write no line for an answer."""
+def _log_nothing(handler):
+    """Replace Tornado's log line for each answer by none."""
 
 
 class _StoreHandler(RequestHandler):
@@ -86,7 +89,7 @@
     def _partition(self):
         return self.get_query_argument("Topic"), int(self.get_query_argument("part"))
 
-    def _failed(self, outcome):
+    def _reply_failure(self, outcome):
         if isinstance(outcome, ReplyLost):
             self.request.connection.stream.close()
             return
@@ -100,10 +103,10 @@
 
 class _Append(_StoreHandler):
     async def post(self):
-        records = unpacked(self.request.body)
+        records = unpack_records(self.request.body)
         result = await self._store.log.append(*self._partition(), records, None)
         if isinstance(result, Outcome):
-            self._failed(result)
+            self._reply_failure(result)
         else:
             self.finish({"Offset": result.first, "End": result.end})
 
@@ -115,9 +118,9 @@
         partition = self._partition()
         result = await self._store.log.read(*partition, offset, wait, READ_SLACK)
         if isinstance(result, Outcome):
-            self._failed(result)
+            self._reply_failure(result)
             return
-        seconds = self._store.record_seconds.get(partition[0])
+        seconds = self._store.record_read_seconds.get(partition[0])
         if seconds and result.records:
             del result.records[1:]
             await asyncio.sleep(seconds)
@@ -129,13 +132,13 @@
     async def get(self):
         result = await self._store.log.newest(self.get_query_argument("Topic"))
         if isinstance(result, Outcome):
-            self._failed(result)
+            self._reply_failure(result)
             return
         self.finish(newest_document(result))
 
 
 class Run:
-    """One request that a replica began to work on; ``ended`` is None while it does."""
+    """A request that a replica has started; ``ended`` is None until it has ended."""
 
     def __init__(self, request_id, path, body, after):
         self.request_id = request_id
@@ -148,14 +151,14 @@
 
 
 class ReplicaStandin:
-    """One replica: ``events`` a sample, ``pause`` seconds between them.
-
-    ``break_after`` closes a stream after so many events (once for each entry of the
-    list), ``failures`` are statuses to answer with, ``full`` refuses everything.
-    A request of a path in ``crash_paths`` ends the replica ``crash_after`` seconds after
-    it has begun to run; ``away`` seconds later it serves again under a new identity, and
-    ``on_back(former identity)`` is awaited; ``crashed_with`` are the paths that ran at
-    each crash.
+    """One replica: each sample has ``events`` events, ``pause`` seconds apart.
+
+    Each entry of ``break_after`` closes one stream after that many events. ``failures``
+    are statuses for the next answers; if ``full``, every request is refused.
+    A request with a path in ``crash_paths`` crashes the replica ``crash_after`` seconds
+    after it has started. ``away`` seconds later the replica serves again under a new
+    identity, and ``on_recovered(former identity)`` is awaited.
+    ``paths_running_at_crash`` has a list of the running requests' paths for each crash.
     """
 
     def __init__(self, identity, slots=8, events=4, pause=0.02):
@@ -173,52 +176,52 @@
         self.crash_paths = set()
         self.crash_after = 0.05
         self.away = 1.0
-        self.on_back = _nothing
+        self.on_recovered = _ignore_recovery
         self.streams = set()
         self.crashes = 0
-        self.crashed_with = []
+        self.paths_running_at_crash = []
         routes = [
             (r"/-/order", _Order, {"replica": self}),
             (r"/.*", _Work, {"replica": self}),
         ]
-        self._application = Application(routes, log_function=_quiet)
+        self._application = Application(routes, log_function=_log_nothing)
         self._server, self.address = serve(self._application)
 
     @property
     def running(self):
-        """Runs at work now."""
+        """The runs that have not ended."""
         return [run for run in self.runs if run.ended is None]
 
     def entry(self, service, models, state="ready"):
-        """Return its entry of the list."""
-        found = [{"Name": name, "Version": self.version} for name in models]
+        """Return the replica's entry in the list of replicas."""
+        versions = [{"Name": name, "Version": self.version} for name in models]
         return {
             "Service": service,
             "Address": self.address,
             "Zone": "z",
             "Slots": self.slots,
             "State": state,
-            "Models": found,
+            "Models": versions,
             "born": self.born,
         }
 
     def restart(self):
-        """Start again under the same identity: runs end, connections close."""
+        """Restart under the same identity: running streams are closed."""
         self.born += 1
         self.orders = []
         self.break_after = []
 
     async def crash(self):
-        """End at once; come back at the same address under a new identity."""
+        """Stop at once, then serve again at the same address under a new identity."""
         self.crashes += 1
         self._server.stop()
-        self.crashed_with.append([run.path for run in self.running])
+        self.paths_running_at_crash.append([run.path for run in self.running])
         for run in self.running:
             run.ended = asyncio.get_running_loop().time()
         for stream in self.streams:
             if not stream.closed():
                 sock = stream.socket
-                sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+                sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
                 stream.close()
         self.streams.clear()
         await asyncio.sleep(self.away)
@@ -227,30 +230,30 @@
         self.restart()
         port = int(self.address.rpartition(":")[2])
         self._server, _ = serve(self._application, port)
-        await self.on_back(former)
+        await self.on_recovered(former)
 
     def stop(self):
         """Stop serving."""
         self._server.stop()
 
 
-async def _nothing(former):
-    """Tell nobody that a replica is back."""
+async def _ignore_recovery(former):
+    """Do nothing; default of ``on_recovered``."""
 
 
 class _ReplicaHandler(RequestHandler):
     def initialize(self, replica):
         self._replica = replica
         self._run = None
-        self._gone = False
-        self._life = replica.born
+        self._connection_closed = False
+        self._incarnation = replica.born
         replica.streams.add(self.request.connection.stream)
 
     def on_connection_close(self):
-        self._gone = True
+        self._connection_closed = True
 
     def _begin(self):
-        """Begin a run; return whether the request is one for this replica."""
+        """Start a run; return False if the request is misdirected or refused."""
         headers = self.request.headers
         replica = self._replica
         self.set_header(wire.REQUEST_ID, headers.get(wire.REQUEST_ID, ""))
@@ -301,12 +304,12 @@
         replica = self._replica
         self.set_header(wire.VERSIONS, str(replica.version))
         first = 0 if self._run.after is None else self._run.after + 1
-        broken = replica.break_after.pop(0) if replica.break_after else None
+        break_at = replica.break_after.pop(0) if replica.break_after else None
         try:
             for number in range(first, replica.events):
                 await asyncio.sleep(replica.pause)
-                ended = self._gone or self._life != replica.born
-                if ended or number - first == broken:
+                is_over = self._connection_closed or self._incarnation != replica.born
+                if is_over or number - first == break_at:
                     self._end()
                     self.request.connection.stream.close()
                     return
--- a/sassafrasdoor/platform/steps.py
+++ b/sassafrasdoor/platform/steps.py
@@ -1,4 +1,4 @@
-"""Trainers' documents on the platform's wire, as the product's steps."""
+"""Parses the steps that trainers submit, and encodes the pages of samples."""
 
 import base64
 import binascii
@@ -10,16 +10,20 @@
 from sassafrasdoor.steps.durable.records import Item, RewardCall, StepSpec
 
 
-def spec_from(step_id, host, path, body):
-    """Return the ``StepSpec`` in a submission, or ``Rejected`` with its findings."""
+def parse_step_spec(step_id, host, path, body):
+    """Return the ``StepSpec`` of a submission, or ``Rejected`` with its findings."""
     try:
         document = json.loads(body)
         model = document.get("Model", "")
         rows = document["Items"]
-        items = [_item(row, model, f"Items.{at}") for at, row in enumerate(rows)]
-        faults = [one for found in items if isinstance(found, list) for one in found]
-        if faults:
-            return Rejected("step invalid", faults)
+        items = [
+            _parse_item(row, model, f"Items.{index}") for index, row in enumerate(rows)
+        ]
+        findings = [
+            finding for item in items if isinstance(item, list) for finding in item
+        ]
+        if findings:
+            return Rejected("step invalid", findings)
         spec = StepSpec(
             step_id=step_id,
             host=host,
@@ -30,17 +34,22 @@
             wanted=int(document.get("Desired", 0)),
             items=items,
         )
-        # Kept, it would be skipped by every reader of the log: accepted and unknown.
-        fault = records.validation_error(spec)
-        return Rejected("step invalid", [Finding("(root)", fault)]) if fault else spec
+        # Every reader of the log skips invalid records: the step would be accepted and
+        # never run.
+        error_text = records.validation_error(spec)
+        return (
+            Rejected("step invalid", [Finding("(root)", error_text)])
+            if error_text
+            else spec
+        )
     except (ValueError, KeyError, TypeError, AttributeError) as error:
         return Rejected("step invalid", [Finding("(root)", repr(error))])
 
 
-def _item(row, model, place):
-    """Return the ``Item`` in a row, or the list of its ``Finding``s."""
+def _parse_item(row, model, place):
+    """Return the ``Item`` of a row, or a list of its ``Finding``s."""
     try:
-        reward = _reward(row.get("Scorer"), f"{place}.Scorer")
+        reward = _parse_reward(row.get("Scorer"), f"{place}.Scorer")
         if isinstance(reward, list):
             return reward
         headers = dict(row.get("Headers") or {})
@@ -59,32 +68,32 @@
         return [Finding(place, repr(error))]
 
 
-def _reward(document, place):
-    """Return the ``RewardCall``, None where there is none, or its ``Finding``s."""
+def _parse_reward(document, place):
+    """Return the ``RewardCall``, None if there is none, or a list of ``Finding``s."""
     if document is None:
         return None
     if not isinstance(document, dict):
         return [Finding(place, "must be an object")]
-    found = [
+    findings = [
         Finding(f"{place}.{name}", "must be text that is not empty")
         for name in ("Id", "Host", "Path")
         if not isinstance(document.get(name), str) or not document[name]
     ]
-    if not found and not document["Path"].startswith("/"):
-        found.append(Finding(f"{place}.Path", "must begin with a slash"))
+    if not findings and not document["Path"].startswith("/"):
+        findings.append(Finding(f"{place}.Path", "must begin with a slash"))
     body = b""
     try:
         body = base64.b64decode(document.get("Body") or "", validate=True)
     except (TypeError, ValueError, binascii.Error) as error:
-        found.append(Finding(f"{place}.Body", repr(error)))
-    if found:
-        return found
+        findings.append(Finding(f"{place}.Body", repr(error)))
+    if findings:
+        return findings
     return RewardCall(document["Id"], document["Host"], document["Path"], body)
 
 
 def page_document(page):
-    """Return the JSON bytes of a ``Page``."""
-    results = [_result(sample) for sample in page.samples]
+    """Encode a ``Page`` as JSON bytes."""
+    results = [_result_document(sample) for sample in page.samples]
     document = {
         "Total": page.total,
         "NextToken": page.first + len(results),
@@ -93,7 +102,7 @@
     return json.dumps(document).encode()
 
 
-def _result(sample):
+def _result_document(sample):
     result = {
         "Id": sample.item_id,
         "State": sample.state,
--- a/sassafrasdoor/platform/store.py
+++ b/sassafrasdoor/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's store: its log over HTTP, as the product's log interfaces."""
+"""HTTP client for the platform's store, implementing the partitioned log."""
 
 import base64
 import json
@@ -18,11 +18,11 @@
 from sassafrasdoor.metrics import counter
 from sassafrasdoor.outcomes import Expired, ReplyLost, Unavailable
 
+# Seconds for a call that the store answers at once; covers calls that take 60 times the
+# usual 4 ms.
 CALL_TIMEOUT = 2.0
-"""Seconds for a call that the store need not hold open: 60 times slower than usual
-(4 ms) is still within it."""
-LENGTH = struct.Struct(">I")
-ENDS = struct.Struct(">QQ")
+RECORD_LENGTH = struct.Struct(">I")
+READ_OFFSETS = struct.Struct(">QQ")
 OK, GONE, UNAVAILABLE, TOO_MANY, FULL = 200, 410, 503, 429, 507
 NO_EFFECT = {UNAVAILABLE, TOO_MANY, FULL}
 JSON_HEADERS = {"Content-Type": "application/json"}
@@ -31,17 +31,18 @@
 
 
 class Store(PartitionedLog):
-    """Calls to the store at one address; ``demand`` counts them by purpose.
+    """Client of the store at one address.
 
-    ``newest_query`` goes with loads of the newest values.
+    ``demand`` counts the calls by purpose. ``newest_query`` has additional query
+    parameters for loads of the newest values.
     """
 
-    __slots__ = ("_address", "_connections", "_demand", "_newest_query")
+    __slots__ = ("_address", "_connections", "_call_counter", "_newest_query")
 
     def __init__(self, address, demand=None, newest_query=()):
         self._address = address
         self._newest_query = dict(newest_query)
-        self._demand = demand or CallCounter()
+        self._call_counter = demand or CallCounter()
         self._connections = Connections()
 
     def close(self):
@@ -49,14 +50,18 @@
         self._connections.close()
 
     async def append(self, topic, part, records, deadline):
-        """Append all records or none: ``Appended``, ``Unavailable``, ``ReplyLost``."""
-        body = packed(records)
+        """Append all records or none.
+
+        Returns ``Appended``, ``Unavailable`` if nothing was appended, or ``ReplyLost``
+        if that is unknown.
+        """
+        body = pack_records(records)
         query = {"Topic": topic, "part": part}
         reply = await self._call("append", "POST", "log-append", query, body, deadline)
         if isinstance(reply, Broken):
-            lost = ReplyLost if reply.began else Unavailable
-            return lost(reply.reason)
-        document = _document(reply)
+            outcome_type = ReplyLost if reply.began else Unavailable
+            return outcome_type(reply.reason)
+        document = _json_object(reply)
         if reply.status == OK and document:
             return Appended(document["Offset"], document["End"])
         if reply.status in NO_EFFECT or 400 <= reply.status < 500:
@@ -75,13 +80,13 @@
         if isinstance(reply, Broken):
             return Unavailable(reply.reason)
         if reply.status == GONE:
-            document = _document(reply)
+            document = _json_object(reply)
             if document is None:
                 return Unavailable("expiry without its first offset")
             return Expired("offset no longer kept", document["First"])
         if reply.status != OK:
             return Unavailable(f"store answered {reply.status}")
-        return _raw_batch(reply.body, offset)
+        return _parse_batch(reply.body, offset)
 
     async def newest(self, topic):
         """Return the ``NewestKeys`` of a keyed topic, or ``Unavailable``."""
@@ -96,11 +101,11 @@
             )
             if isinstance(reply, Broken):
                 return Unavailable(reply.reason)
-            document = _document(reply)
+            document = _json_object(reply)
             if reply.status != OK or document is None:
                 return Unavailable(f"store answered {reply.status}")
-            # Pages are no snapshot: reading on from the first page's end meets
-            # again whatever changed while the later pages were read.
+            # The pages are no snapshot. Reading continues at the end offset of the
+            # first page, so that changes made during later pages are seen again.
             end = document["End"] if end is None else end
             for item in document["Items"]:
                 after = item["Key"]
@@ -114,7 +119,7 @@
             path += "?" + urllib.parse.urlencode(query)
         headers = {"Host": self._address, **(JSON_HEADERS if body else {})}
         request = OutgoingRequest(method, path, headers, body, deadline)
-        purpose = self._demand.begin(name)
+        purpose = self._call_counter.begin(name)
         reply, size = None, 0
         try:
             reply = await self._connections.send(self._address, request)
@@ -123,38 +128,38 @@
             else:
                 size = len(reply.body)
         finally:
-            answered = reply is not None and not isinstance(reply, Broken)
-            self._demand.end(purpose, answered and reply.status == OK, size)
+            is_answered = reply is not None and not isinstance(reply, Broken)
+            self._call_counter.end(purpose, is_answered and reply.status == OK, size)
         result = "broken" if isinstance(reply, Broken) else str(reply.status)
         CALLS.inc({"call": name, "result": result})
         return reply
 
 
-def packed(records):
-    """Return records (bytes) one behind another, each with its length."""
-    return b"".join(LENGTH.pack(len(one)) + one for one in records)
+def pack_records(records):
+    """Return the records (bytes) concatenated, each preceded by its length."""
+    return b"".join(RECORD_LENGTH.pack(len(record)) + record for record in records)
 
 
-def unpacked(data):
-    """Return the records in such bytes, None where one of them is cut."""
-    records, at = [], 0
-    while at + LENGTH.size <= len(data):
-        (length,) = LENGTH.unpack_from(data, at)
-        at += LENGTH.size
-        if at + length > len(data):
+def unpack_records(data):
+    """Return the records in packed bytes, or None if the last one is truncated."""
+    records, position = [], 0
+    while position + RECORD_LENGTH.size <= len(data):
+        (length,) = RECORD_LENGTH.unpack_from(data, position)
+        position += RECORD_LENGTH.size
+        if position + length > len(data):
             return None
-        records.append(data[at : at + length])
-        at += length
+        records.append(data[position : position + length])
+        position += length
     return records
 
 
 def batch_document(batch, first_kept=0):
-    """Return the answer that ``Store.read`` reads, of a ``RawBatch``."""
-    return ENDS.pack(batch.end, first_kept) + packed(batch.records)
+    """Encode a ``RawBatch`` as the answer that ``Store.read`` decodes."""
+    return READ_OFFSETS.pack(batch.end, first_kept) + pack_records(batch.records)
 
 
 def newest_document(newest):
-    """Return the answer that ``Store.newest`` reads, of ``NewestKeys``."""
+    """Encode ``NewestKeys`` as the answer that ``Store.newest`` decodes."""
     items = [
         {"Key": key, "Value": base64.b64encode(value).decode(), "Offset": 0}
         for key, value in newest.values.items()
@@ -162,7 +167,7 @@
     return {"Items": items, "HasMore": False, "End": newest.end}
 
 
-def _document(reply):
+def _json_object(reply):
     try:
         document = json.loads(reply.body)
     except ValueError:
@@ -170,11 +175,11 @@
     return document if isinstance(document, dict) else None
 
 
-def _raw_batch(data, offset):
-    if len(data) < ENDS.size:
+def _parse_batch(data, offset):
+    if len(data) < READ_OFFSETS.size:
         return Unavailable("read answered without its offsets")
-    end, _ = ENDS.unpack_from(data)
-    records = unpacked(data[ENDS.size :])
+    end, _ = READ_OFFSETS.unpack_from(data)
+    records = unpack_records(data[READ_OFFSETS.size :])
     if records is None:
         return Unavailable("read answered with half a record")
     return RawBatch(records, offset, end)
--- a/sassafrasdoor/platform/tests/cases.py
+++ b/sassafrasdoor/platform/tests/cases.py
@@ -1,4 +1,4 @@
-"""A cluster of real processes on the platform's wire, for the tests of this folder."""
+"""Test case with a cluster of real processes on the platform's protocol."""
 
 import asyncio
 import base64
@@ -20,9 +20,9 @@
 from sassafrasdoor.timeline.lines import select
 
 HOST, MODEL, ENGINES, PLAIN = "h.example", "m", "engines", "plain"
-PATIENCE = 60.0
-ANSWERS_SHOWN, BODY_SHOWN, LINES_SHOWN = 5, 200, 40
-"""How many of the last answers, bytes of each, and log lines a failure shows."""
+CONDITION_TIMEOUT = 60.0  # seconds
+# What a failure shows: the last answers, bytes of each, and log lines of an instance.
+MAX_SHOWN_ANSWERS, MAX_SHOWN_BODY_BYTES, MAX_SHOWN_LOG_LINES = 5, 200, 40
 ROUTE = {
     "Host": HOST,
     "TimeoutMs": 8000,
@@ -61,7 +61,7 @@
     async def asyncSetUp(self):
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
-        self.answers = deque(maxlen=ANSWERS_SHOWN)
+        self.answers = deque(maxlen=MAX_SHOWN_ANSWERS)
         self.client = AsyncHTTPClient(force_instance=True, max_clients=50)
         self.addCleanup(self.client.close)
         self.store = StoreStandin()
@@ -73,7 +73,7 @@
         await self.configure(1)
         await self.list_replicas()
         self.instances = []
-        # The first instance reaches the store through a proxy with faults.
+        # The first instance reaches the store through a proxy that can inject faults.
         self.proxy = await Proxy(self.store.address).open()
         self.addAsyncCleanup(self.proxy.close)
         stores = [self.proxy.address, self.store.address, self.store.address]
@@ -81,7 +81,7 @@
             instance = LocalInstance(folder.name, name, store)
             self.addCleanup(instance.close)
             self.instances.append(instance)
-        await self.until_ready()
+        await self.wait_until_ready()
 
     async def configure(self, version, routes=ROUTES):
         document = {"Version": version, "Routes": routes, "Services": SERVICES}
@@ -95,35 +95,37 @@
             entry = replica.entry(PLAIN, [])
             await self.store.put(configuration.SERVERS_TOPIC, replica.identity, entry)
 
-    async def until(self, condition):
-        limit = deadline_in(PATIENCE)
+    async def wait_until(self, condition):
+        deadline = deadline_in(CONDITION_TIMEOUT)
         while True:
-            found = condition()
-            if asyncio.iscoroutine(found):
-                found = await found
-            if found:
-                return found
-            if passed(limit):
-                self.fail(f"condition never came true\n{self.report()}")
+            result = condition()
+            if asyncio.iscoroutine(result):
+                result = await result
+            if result:
+                return result
+            if passed(deadline):
+                self.fail(f"condition not met in time\n{self.report()}")
             await asyncio.sleep(0.05)
 
     def report(self):
-        """Return what a condition that never came true is traced from.
+        """Return a description of the cluster for a failure message.
 
-        Each instance's end, if it has ended, and its last log lines; the last answers.
+        It has the last answers, and each instance's exit code and last log lines.
         """
         texts = [f"last answers: {list(self.answers)}"]
-        for one in getattr(self, "instances", ()):
-            lines = one.log_path.read_text("utf-8").splitlines()[-LINES_SHOWN:]
+        for instance in getattr(self, "instances", ()):
+            lines = instance.log_path.read_text("utf-8").splitlines()[
+                -MAX_SHOWN_LOG_LINES:
+            ]
             texts += [
-                f"{one.name} front {one.front} ended {one.process.poll()}",
+                f"{instance.name} front {instance.front} ended {instance.process.poll()}",
                 *lines,
             ]
         return "\n".join(texts)
 
-    async def until_ready(self):
+    async def wait_until_ready(self):
         for instance in self.instances:
-            await self.until(lambda one=instance: self.is_ready(one))
+            await self.wait_until(lambda instance=instance: self.is_ready(instance))
 
     async def is_ready(self, instance):
         return (await self.fetch(instance.ready, "/-/ready")).code == 200
@@ -137,7 +139,9 @@
             request_timeout=10,
         )
         reply = await fetch_response(self.client, request)
-        self.answers.append((address, path, reply.code, reply.body[:BODY_SHOWN]))
+        self.answers.append(
+            (address, path, reply.code, reply.body[:MAX_SHOWN_BODY_BYTES])
+        )
         return reply
 
     async def submit(self, step_id, items=4, at=0, rewarded=False):
@@ -167,7 +171,7 @@
         reply = await self.fetch(address, f"/-/lots/{step_id}?After={after}")
         return json.loads(reply.body) if reply.code == 200 else None
 
-    async def whole(self, step_id, at=0):
+    async def all_results(self, step_id, at=0):
         page = await self.page(step_id, at)
         done = page is not None and page["NextToken"] == page["Total"]
         return page["Results"] if done else None
@@ -178,38 +182,38 @@
             self.assertEqual(result["Output"].split("\n"), lines)
             self.assertEqual(result["Versions"], [1])
 
-    def holder(self):
-        """Return the instance whose process runs the steps."""
-        # Two may claim at once; which claim counts is the fold's to say.
+    def runner_instance(self):
+        """Return the instance whose process runs the steps of the model."""
+        # Two instances may claim at the same time; folding decides which claim counts.
         shard, steps = shard_of(MODEL), Steps()
         records = self.store.log.partition(TOPIC, shard).records
         for offset, data in enumerate(records):
             steps.fold(shard, offset, data)
         front = steps.claims[shard].runner.partition("/")[0]
-        return next(one for one in self.instances if one.front == front)
+        return next(instance for instance in self.instances if instance.front == front)
 
     def all_runs(self):
         return [run for engine in self.engines for run in engine.runs]
 
-    async def accepted(self, step_id):
+    async def is_accepted(self, step_id):
         return (await self.submit(step_id)).code == 202
 
-    async def knows_peers(self, at, count=0):
-        """Say whether an instance names so many instances, all of them without a count."""
-        named = await self.fetch(self.instances[at].directory, "/-/resolve?Zone=z")
-        addresses = json.loads(named.body)["Addresses"]
+    async def lists_instances(self, at, count=0):
+        """Return whether a directory lists ``count`` instances, by default all."""
+        reply = await self.fetch(self.instances[at].directory, "/-/resolve?Zone=z")
+        addresses = json.loads(reply.body)["Addresses"]
         return len(addresses) == (count or len(self.instances))
 
     def lines(self, wanted, kind=""):
-        """Return the log lines of all instances that name an id, in order."""
+        """Return the log lines of all instances that contain an id, in order."""
         texts = []
         for instance in self.instances:
             texts += instance.log_path.read_text("utf-8").splitlines()
         return select(texts, wanted, kind)
 
-    async def line(self, wanted, kind):
-        """Wait for a line and return its fields."""
-        await self.until(lambda: self.lines(wanted, kind))
+    async def wait_for_line(self, wanted, kind):
+        """Wait for a log line and return the fields of the last one."""
+        await self.wait_until(lambda: self.lines(wanted, kind))
         return self.lines(wanted, kind)[-1].fields
 
     async def refuses_body(self, front):
@@ -217,7 +221,7 @@
         reply = await self.fetch(front, "/plain/x", "POST", "b" * 11, **headers)
         return reply.code in (400, 413, 599)
 
-    async def plain_is(self, instance, status):
+    async def plain_call_returns(self, instance, status):
         headers = {wire.REQUEST_ID: "r"}
         reply = await self.fetch(instance.front, "/plain/x", "POST", "b", **headers)
         return reply.code == status
--- a/sassafrasdoor/platform/tests/test_boundary.py
+++ b/sassafrasdoor/platform/tests/test_boundary.py
@@ -1,4 +1,4 @@
-"""The platform's folder is the only place that knows the platform's wire."""
+"""Tests that only the platform's folder contains names of the platform's protocol."""
 
 import ast
 import pathlib
@@ -41,27 +41,27 @@
         self.assertIn(PACKAGE / "requests" / "direct.py", sources())
 
     def test_nothing_outside_imports_the_folder(self):
-        found = [
+        importers = [
             str(path)
             for path in sources()
             for name in imported(path)
             if name.startswith("sassafrasdoor.platform")
         ]
-        self.assertEqual(found, [])
+        self.assertEqual(importers, [])
 
-    def test_no_wire_name_stands_outside(self):
-        found = [
+    def test_wire_names_are_confined_to_the_folder(self):
+        occurrences = [
             f"{path.relative_to(ROOT)}: {match.group()}"
             for path in sources()
             for match in WIRE_NAMES.finditer(path.read_text("utf-8"))
         ]
-        self.assertEqual(found, [])
+        self.assertEqual(occurrences, [])
 
-    def test_program_starts_without_what_it_does_not_use(self):
-        """Symptom: after all processes have died, callers find nobody for longer.
+    def test_program_does_not_import_unused_packages(self):
+        """Guards against slow starts, during which callers find no instance.
 
-        Sequence: every instance starts again at once. Cause: a third of the start goes
-        into importing the checks of settings that this program does not read.
+        All instances restart at once after all have died. Importing the validation of
+        settings that this program does not read took a third of the start.
         """
         script = (
             "import sys; from sassafrasdoor.platform.__main__ import main; "
@@ -74,7 +74,7 @@
         self.assertNotIn("pydantic", loaded)
         self.assertNotIn("capnp", loaded)
 
-    def test_the_pattern_finds_what_it_is_for(self):
+    def test_pattern_matches_wire_names(self):
         text = "".join(path.read_text("utf-8") for path in FOLDER.glob("*.py"))
         names = {match.group() for match in WIRE_NAMES.finditer(text)}
         self.assertGreater(len(names), 15)
--- a/sassafrasdoor/platform/tests/test_foreign_records.py
+++ b/sassafrasdoor/platform/tests/test_foreign_records.py
@@ -1,8 +1,7 @@
-"""Records of another writer, in every topic that is followed: none ends its reader.
+"""Tests that malformed records do not stop the reader of any topic.
 
-Symptom: an instance that read one record follows its topic no more, also after each
-start. Sequence: another writer, or a broken one, leaves any bytes at all. Cause: an
-exception that the reader does not expect.
+Another or a faulty writer may append arbitrary bytes. A reader that raised an
+unexpected exception stopped following its topic, again after each restart.
 """
 
 import json
@@ -54,9 +53,11 @@
 
 
 def nearly_records():
-    """Return bytes that are, or nearly are, a record of a step."""
+    """Return a strategy for bytes that are, or nearly are, a record of a step."""
     made = [
-        nearly(body).map(lambda one, kind=kind: kind + json.dumps(one).encode())
+        nearly(body).map(
+            lambda document, kind=kind: kind + json.dumps(document).encode()
+        )
         for kind, body in BODIES.items()
     ]
     (step,) = records.encode_step(spec("s1"), 10_000)
@@ -69,22 +70,24 @@
     @example({**ENTRY, "Models": [{"Name": [], "Version": 1}]})
     def test_replicas(self, document):
         replicas = Replicas("palermo")
-        keys = configuration.ServerKeys(replicas)
-        keys.take("good", json.dumps(ENTRY).encode())
-        keys.take("other", json.dumps(document).encode())
-        self.assertIn("good", [one.identity for one in replicas.of_service("x")])
-        for one in replicas.of_service("x"):
-            self.assertIsInstance(one.load + one.free_slots, int)
-            host, _, port = one.listing.address.rpartition(":")
+        keys = configuration.ServersTopicReader(replicas)
+        keys.apply("good", json.dumps(ENTRY).encode())
+        keys.apply("other", json.dumps(document).encode())
+        self.assertIn(
+            "good", [replica.identity for replica in replicas.of_service("x")]
+        )
+        for replica in replicas.of_service("x"):
+            self.assertIsInstance(replica.load + replica.free_slots, int)
+            host, _, port = replica.listing.address.rpartition(":")
             self.assertTrue(host and port.isdigit())
 
     @fuzzed
     @given(JSON | nearly(DOCUMENT), st.sampled_from(["config", "version/m", "x"]))
-    def test_operators_words(self, document, key):
+    def test_operator_records(self, document, key):
         routes = RoutesInForce()
-        keys = configuration.OperatorKeys(routes, lambda model, version: None)
-        keys.take("config", json.dumps(DOCUMENT).encode())
-        keys.take(key, json.dumps(document).encode())
+        keys = configuration.OperatorTopicReader(routes, lambda model, version: None)
+        keys.apply("config", json.dumps(DOCUMENT).encode())
+        keys.apply(key, json.dumps(document).encode())
         self.assertGreaterEqual(routes.current.version, DOCUMENT["Version"])
         routes.current.match("h.example", "/a/b")
 
@@ -92,12 +95,12 @@
     @given(JSON | nearly(INSTANCE))
     def test_instances(self, document):
         place = settings.from_document({"instance": {"name": "i"}})
-        found = Instances(place, MemoryPartitionedLog(), "i:1", "i:1")
-        found._apply_record("h:1", json.dumps(INSTANCE).encode())
-        found._apply_record("other", json.dumps(document).encode())
-        self.assertIn("h:1", found.addresses("a"))
-        found.peers()
-        found.rank("shards")
+        instances = Instances(place, MemoryPartitionedLog(), "i:1", "i:1")
+        instances._apply_record("h:1", json.dumps(INSTANCE).encode())
+        instances._apply_record("other", json.dumps(document).encode())
+        self.assertIn("h:1", instances.addresses("a"))
+        instances.peers()
+        instances.rank("shards")
 
 
 class StepTopicTest(unittest.TestCase):
@@ -114,6 +117,8 @@
         self.assertEqual(steps.by_id["s2"].listed[0].text, "t")
         for step in steps.by_id.values():
             step.longest_partial_sample("i0")
-            for one in step.listed:
-                self.assertIsInstance(one.text, str)
-                self.assertTrue(all(type(one) is int for one in one.versions))
+            for sample in step.listed:
+                self.assertIsInstance(sample.text, str)
+                self.assertTrue(
+                    all(type(version) is int for version in sample.versions)
+                )
--- a/sassafrasdoor/platform/tests/test_reward_processes.py
+++ b/sassafrasdoor/platform/tests/test_reward_processes.py
@@ -1,4 +1,4 @@
-"""Reward calls in real processes: a runner that dies between a text and its score."""
+"""Tests of reward calls with real processes."""
 
 import signal
 import unittest
@@ -18,50 +18,56 @@
         for result in results:
             self.assertIn(result["Score"], stamps[f"{result['Id']}-r"])
 
-    async def test_samples_bear_the_mark_of_their_own_call(self):
+    async def test_samples_have_the_score_of_their_own_call(self):
         self.assertEqual((await self.submit("s", rewarded=True)).code, 202)
-        results = await self.until(lambda: self.whole("s", 1))
+        results = await self.wait_until(lambda: self.all_results("s", 1))
         self.check_texts(results)
         self.check_scores(results)
 
     async def test_runner_that_dies_between_text_and_score(self):
-        """Symptom: texts are made twice, or bear the score of another text.
+        """Guards against generating texts twice and against scores of other texts.
 
-        Sequence: all texts of a step are whole, their calls run; the runner is
-        killed. Cause: that a text was whole was known to its runner only.
+        All texts of a step are complete and their reward calls are running when the
+        runner is killed. Only the runner had the information that a text was complete.
         """
         for replica in self.plain:
             replica.pause = 1.5
         self.assertEqual((await self.submit("s", rewarded=True)).code, 202)
-        await self.until(lambda: len(self.scoring_runs()) >= 4)
-        made = len(self.all_runs())
-        holder = self.holder()
-        holder.kill()
-        other = next(at for at, one in enumerate(self.instances) if one is not holder)
-        results = await self.until(lambda: self.whole("s", other))
+        await self.wait_until(lambda: len(self.scoring_runs()) >= 4)
+        generated = len(self.all_runs())
+        runner = self.runner_instance()
+        runner.kill()
+        other = next(
+            at for at, instance in enumerate(self.instances) if instance is not runner
+        )
+        results = await self.wait_until(lambda: self.all_results("s", other))
         self.check_texts(results)
         self.check_scores(results)
-        self.assertEqual(len(self.all_runs()), made)
+        self.assertEqual(len(self.all_runs()), generated)
         for run in self.scoring_runs():
             self.assertEqual(run.path, f"/plain/{run.request_id[2:-2]}")
 
-    async def test_paused_runner_changes_no_score_that_was_read(self):
-        """Symptom: a position shows another score after a process woke up.
+    async def test_resumed_runner_changes_no_score_already_read(self):
+        """Guards against scores that change after they have been read.
 
-        Sequence: the runner is stopped while its calls run, another one scores the
-        texts, the first goes on. Cause: the later score was taken too.
+        The runner is paused while its reward calls run, another one scores the texts,
+        and the first resumes; the later score was accepted too.
         """
         for replica in self.plain:
             replica.pause = 0.8
         self.assertEqual((await self.submit("s", rewarded=True)).code, 202)
-        await self.until(lambda: len(self.scoring_runs()) >= 4)
-        holder = self.holder()
-        holder.signal(signal.SIGSTOP)
-        others = [at for at, one in enumerate(self.instances) if one is not holder]
-        results = await self.until(lambda: self.whole("s", others[0]))
-        holder.signal(signal.SIGCONT)
-        at = self.instances.index(holder)
-        self.assertEqual(await self.until(lambda: self.whole("s", at)), results)
+        await self.wait_until(lambda: len(self.scoring_runs()) >= 4)
+        runner = self.runner_instance()
+        runner.signal(signal.SIGSTOP)
+        others = [
+            at for at, instance in enumerate(self.instances) if instance is not runner
+        ]
+        results = await self.wait_until(lambda: self.all_results("s", others[0]))
+        runner.signal(signal.SIGCONT)
+        at = self.instances.index(runner)
+        self.assertEqual(
+            await self.wait_until(lambda: self.all_results("s", at)), results
+        )
         self.check_scores(results)
 
     async def test_malformed_reward_call_is_refused_and_nothing_is_kept(self):
@@ -72,12 +78,12 @@
         self.assertEqual(reply.code, 400)
         self.assertIn(b"Items.0.Scorer", reply.body)
 
-        async def answered_surely():
+        async def definitive_status():
             # 503 until the instance has read every shard to its end.
             reply = await self.fetch(front, "/-/lots/bad?After=0")
             return reply.code if reply.code != 503 else None
 
-        self.assertEqual(await self.until(answered_surely), 404)
+        self.assertEqual(await self.wait_until(definitive_status), 404)
 
 
 if __name__ == "__main__":
--- a/sassafrasdoor/platform/tests/test_servers.py
+++ b/sassafrasdoor/platform/tests/test_servers.py
@@ -1,4 +1,4 @@
-"""Replicas on the wire: answers, streams and orders, fault by fault."""
+"""Tests of ``WireReplicas``: answers, streams and orders, with one fault each."""
 
 import asyncio
 import json
@@ -29,16 +29,16 @@
     return "\r\n".join(lines).encode() + body
 
 
-def naming(data, head):
-    """Return an answer with the id of the request whose head is given."""
+def with_request_id(data, head):
+    """Return an answer with the id of the request that ``head`` belongs to."""
     name = f"{wire.REQUEST_ID}: ".encode()
-    own = name + head.partition(name)[2].split(b"\r\n")[0]
-    first, _, rest = data.partition(b"\r\n")
-    return b"\r\n".join([first, own, rest])
+    header = name + head.partition(name)[2].split(b"\r\n")[0]
+    status_line, _, rest = data.partition(b"\r\n")
+    return b"\r\n".join([status_line, header, rest])
 
 
-class Passed:
-    """Records what a stream passes on."""
+class RecordedStream:
+    """Records the forwarded headers and events of a stream."""
 
     def __init__(self):
         self.headers = []
@@ -53,7 +53,10 @@
 
 class ServersTest(unittest.IsolatedAsyncioTestCase):
     async def start(self, data, cut=False, echo=True):
-        """Serve ``data`` to each request, naming it unless ``data`` names another."""
+        """Answer each request with ``data``.
+
+        Adds the request's id unless ``echo`` is false or ``data`` contains an id.
+        """
         self.heads = []
         self.bodies = []
 
@@ -62,8 +65,8 @@
             self.heads.append(head.decode())
             length = head.lower().partition(b"content-length: ")[2].split(b"\r\n")[0]
             self.bodies.append(await reader.readexactly(int(length or 0)))
-            named = echo and wire.REQUEST_ID.encode() not in data
-            writer.write(data if not named else naming(data, head))
+            add_request_id = echo and wire.REQUEST_ID.encode() not in data
+            writer.write(data if not add_request_id else with_request_id(data, head))
             await writer.drain()
             if cut:
                 writer.close()
@@ -81,18 +84,18 @@
         call = DirectCall("POST", "/p?q=1", headers, b"body", "r1", deadline_in(5))
         return await self.client.call(self.replica, call)
 
-    async def generate(self, after=None, keep=lambda event: True):
+    async def generate(self, after=None, wants_more=lambda event: True):
         self.events = []
         item = Item("i1", "/p", {"Model": "m"}, b"b", 1, 0, "g", "m")
 
         def take(event):
             self.events.append((event.number, event.data, event.version))
-            return keep(event)
+            return wants_more(event)
 
         order = SampleOrder(item, "h.example", deadline_in(5), after)
         return await self.client.generate(self.replica, order, take)
 
-    async def test_ends_of_calls(self):
+    async def test_call_outcomes(self):
         cases = [
             (answer(200, STAMP, body=b"x"), Answer),
             (answer(500, STAMP), Answer),
@@ -106,12 +109,12 @@
                 await self.start(data)
                 self.assertIsInstance(await self.call(), outcome)
 
-    async def test_answer_that_names_no_request_is_nobodys(self):
-        """Symptom: a member reads another member's answer.
+    async def test_answer_without_request_id_is_rejected(self):
+        """Guards against a caller getting the answer to another caller's request.
 
-        Sequence: a replica sends a second, late answer that names no request; it comes
-        on a kept connection just after the next request was sent. Cause: only an answer
-        that names another request was refused.
+        A replica sends a late duplicate answer without a request id; it arrives on a
+        reused connection just after the next request was sent. Only answers with the id
+        of another request used to be rejected.
         """
         cases = [
             (answer(200, STAMP, body=b"x"), Broken),
@@ -127,32 +130,32 @@
         self.assertIsInstance(await self.generate(), Broken)
         self.assertEqual(self.events, [])
 
-    async def test_call_names_whom_it_means_and_what_is_left(self):
+    async def test_call_sends_identity_and_remaining_time(self):
         await self.start(answer(200, STAMP, f"{wire.LOAD}: 3,1,4"))
         await self.call()
         (head,) = self.heads
         self.assertIn(f"{wire.EXPECT_INSTANCE}: i-1\r\n", head)
         self.assertIn(f"{wire.REQUEST_ID}: r1\r\n", head)
         self.assertIn("X: 1\r\nX: 2\r\n", head)
-        left = int(head.partition(f"{wire.DEADLINE}: ")[2].split("\r\n")[0])
-        self.assertTrue(0 < left <= 5000)
+        remaining_ms = int(head.partition(f"{wire.DEADLINE}: ")[2].split("\r\n")[0])
+        self.assertTrue(0 < remaining_ms <= 5000)
         self.assertTrue(head.startswith("POST /p?q=1 HTTP/1.1\r\n"))
         self.assertEqual(self.bodies, [b"body"])
         self.assertEqual(self.replica.load, 4)
 
-    async def test_stream_is_cut_into_labelled_events(self):
+    async def test_stream_is_split_into_events_with_versions(self):
         await self.start(answer(200, STAMP, f"{wire.VERSIONS}: 3", body=EVENTS))
         self.assertIs(await self.generate(), True)
         self.assertEqual(self.events, [(0, "a", 3), (1, "b", 4)])
 
     async def stream(self, after=None):
-        """Pass a stream on; return the outcome, the head and the events."""
+        """Forward a stream, recording its headers and events; return the outcome."""
         call = DirectCall("POST", "/p", [], b"", "r1", deadline_in(5))
         call.after = after
-        self.passed = Passed()
+        self.passed = RecordedStream()
         return await self.client.stream(self.replica, call, self.passed)
 
-    async def test_stream_is_passed_on_byte_by_byte(self):
+    async def test_stream_is_forwarded_unchanged(self):
         await self.start(answer(200, STAMP, body=EVENTS))
         self.assertIs(await self.stream(after=4), True)
         self.assertIn((wire.STAMP, "x"), self.passed.headers)
@@ -160,7 +163,7 @@
         self.assertEqual(b"".join(block for _, block in self.passed.events), EVENTS)
         self.assertIn(f"{wire.LAST_EVENT}: 4\r\n", self.heads[0])
 
-    async def test_ends_of_passed_on_streams(self):
+    async def test_forwarded_stream_outcomes(self):
         half = EVENTS + b"id: 2\ndata: c"
         cases = [
             (answer(200, STAMP, body=half), Broken, 2),
@@ -176,38 +179,38 @@
                 self.assertIsInstance(await self.stream(), outcome)
                 self.assertEqual(len(self.passed.events), events)
 
-    async def test_half_an_event_is_none(self):
-        """Symptom: a text ends in the middle of a piece, or holds one twice.
+    async def test_incomplete_event_is_dropped(self):
+        """Guards against texts with an event that is incomplete or occurs twice.
 
-        Sequence: a replica stops inside an event; the item is resumed. Cause: the
-        half event was taken, and the whole one came again.
+        A replica stops in the middle of an event and the item is resumed: the
+        incomplete event was used, and the complete one followed.
         """
         await self.start(answer(200, STAMP, body=EVENTS + b"id: 2\ndata: c"))
         self.assertIsInstance(await self.generate(), Broken)
         self.assertEqual([number for number, _, _ in self.events], [0, 1])
 
-    async def test_events_of_another_request_are_none_of_this_one(self):
-        """Symptom: a text holds pieces of another sample.
+    async def test_events_of_another_request_are_dropped(self):
+        """Guards against texts with parts of another sample.
 
-        Sequence: on a kept connection the late answer of an earlier request comes
-        first, and all of it was read at once. Cause: the answer is refused by its
-        head, but what was read of its body is still handed on.
+        On a reused connection the late answer to an earlier request arrives first and
+        is read in one piece. It is rejected by its headers, but the part of its body
+        that had already been read was still passed on.
         """
         await self.start(answer(200, STAMP, f"{wire.REQUEST_ID}: i0", body=EVENTS))
         self.assertIsInstance(await self.generate(), Broken)
         self.assertEqual(self.events, [])
 
-    async def test_resumed_stream_names_its_last_event(self):
+    async def test_resumed_stream_sends_last_event_id(self):
         await self.start(answer(200, STAMP, body=EVENTS))
         await self.generate(after=7)
         self.assertIn(f"{wire.LAST_EVENT}: 7\r\n", self.heads[0])
 
-    async def test_events_end_where_nobody_wants_them(self):
+    async def test_events_stop_when_the_consumer_declines(self):
         await self.start(answer(200, STAMP, body=EVENTS))
-        await self.generate(keep=lambda event: False)
+        await self.generate(wants_more=lambda event: False)
         self.assertEqual(len(self.events), 1)
 
-    async def test_ends_of_streams(self):
+    async def test_sample_stream_outcomes(self):
         cases = [
             (answer(500, STAMP), SampleFailed, False),
             (answer(422, STAMP), SampleFailed, True),
@@ -221,7 +224,7 @@
                 self.assertIsInstance(result, outcome)
                 self.assertEqual(getattr(result, "final", None), final)
 
-    async def test_ends_of_orders(self):
+    async def test_order_outcomes(self):
         cases = [
             (answer(202), True),
             (answer(200), True),
--- a/sassafrasdoor/platform/tests/test_translation.py
+++ b/sassafrasdoor/platform/tests/test_translation.py
@@ -1,4 +1,4 @@
-"""Settings, configurations and entries: what is read of them, and what is refused."""
+"""Tests of parsing settings, configurations, entries of replicas and submissions."""
 
 import json
 import pathlib
@@ -55,12 +55,12 @@
 
 class SettingsTest(unittest.TestCase):
     def fields(self, **changes):
-        return {**settings.read_lines(LINES), **changes}
+        return {**settings.parse_lines(LINES), **changes}
 
-    def test_figures_are_translated(self):
-        found = settings.from_fields(self.fields())
-        self.assertEqual((found.lease, found.fenced), (3.0, True))
-        self.assertEqual(found.instance.availability_zone, "palermo")
+    def test_settings_are_translated(self):
+        loaded = settings.from_fields(self.fields())
+        self.assertEqual((loaded.lease, loaded.fenced), (3.0, True))
+        self.assertEqual(loaded.instance.availability_zone, "palermo")
 
     def test_every_finding_is_reported_with_its_place(self):
         broken = {
@@ -69,16 +69,18 @@
             "Bounds.GraceS": "soon",
             "Platform.parts": "1",
         }
-        found = settings.from_fields(self.fields(**broken))
-        self.assertIsInstance(found, Rejected)
-        places = {finding.place for finding in found.findings}
+        rejected = settings.from_fields(self.fields(**broken))
+        self.assertIsInstance(rejected, Rejected)
+        places = {finding.place for finding in rejected.findings}
         self.assertEqual(places, set(broken))
 
-    def test_running_process_takes_over_bounds_only(self):
+    def test_reload_applies_bounds_only(self):
         running = settings.from_fields(self.fields())
         changed = {"Bounds.GraceS": "5", "Listen.Front": "10.1.0.10:1", "Unknown": "1"}
-        taken, waiting = running.take_over(settings.from_fields(self.fields(**changed)))
-        self.assertEqual((taken, waiting), (["stop_within"], ["front"]))
+        applied, deferred = running.take_over(
+            settings.from_fields(self.fields(**changed))
+        )
+        self.assertEqual((applied, deferred), (["stop_within"], ["front"]))
         self.assertEqual(running.stop_within, 5.0)
         self.assertNotEqual(running.front, "10.1.0.10:1")
 
@@ -91,15 +93,15 @@
     def setUp(self):
         self.routes = RoutesInForce()
         self.named = []
-        self.keys = configuration.OperatorKeys(
+        self.keys = configuration.OperatorTopicReader(
             self.routes, lambda *pair: self.named.append(pair)
         )
 
-    def take(self, document, key="config"):
-        self.keys.take(key, json.dumps(document).encode())
+    def apply(self, document, key="config"):
+        self.keys.apply(key, json.dumps(document).encode())
 
     def test_route_is_translated(self):
-        self.take(DOCUMENT)
+        self.apply(DOCUMENT)
         route = self.routes.current.match("h.example", "/a/b")
         self.assertEqual((route.repeat, route.attempts), (Repeat.SAFE, 2))
         self.assertEqual((route.timeout, route.target), (0.8, 0.191))
@@ -108,110 +110,111 @@
         self.assertEqual(self.routes.current.limits.idle_timeout, 1.5)
 
     def test_unknown_kind_runs_once_at_most(self):
-        self.take({**DOCUMENT, "Routes": [{**ROUTE, "Kind": "new"}]})
+        self.apply({**DOCUMENT, "Routes": [{**ROUTE, "Kind": "new"}]})
         self.assertIs(self.routes.current.routes[0].repeat, Repeat.ONCE)
 
-    def test_longest_prefix_answers(self):
+    def test_longest_prefix_matches(self):
         longer = {**ROUTE, "Name": "longer", "PathPrefix": "/a/b/"}
-        self.take({**DOCUMENT, "Routes": [ROUTE, longer]})
+        self.apply({**DOCUMENT, "Routes": [ROUTE, longer]})
         current = self.routes.current
         self.assertEqual(current.match("h.example", "/a/b/c").name, "longer")
         self.assertEqual(current.match("h.example", "/a/x").name, "r")
         self.assertIsNone(current.match("other", "/a/x"))
         self.assertIsNone(current.match("h.example", "/x"))
 
-    def test_older_version_changes_nothing(self):
-        """Symptom: a dropped route is served again.
+    def test_older_configuration_is_ignored(self):
+        """Guards against removed routes being served again.
 
-        Sequence: a read that began before the change ends after it. Cause: what
-        was read last was put in force, not what is newest.
+        A read that started before a change may return after it; the configuration read
+        last was applied instead of the newest.
         """
-        self.take(DOCUMENT)
-        self.take({**DOCUMENT, "Version": 6, "Routes": []})
+        self.apply(DOCUMENT)
+        self.apply({**DOCUMENT, "Version": 6, "Routes": []})
         self.assertEqual(self.routes.current.version, 7)
 
-    def test_malformed_records_lose_nothing(self):
-        self.take(DOCUMENT)
+    def test_malformed_records_are_ignored(self):
+        self.apply(DOCUMENT)
         for bad in (b"{", b"[]", b"null", b'{"Version": 9}', b'{"Version": "x"}'):
-            self.keys.take("config", bad)
-            self.keys.take("version/m", bad)
-        self.keys.take("config", b"")
+            self.keys.apply("config", bad)
+            self.keys.apply("version/m", bad)
+        self.keys.apply("config", b"")
         self.assertEqual((self.routes.current.version, self.named), (7, []))
 
-    def test_named_version_is_handed_on(self):
-        self.take({"Model": "m", "Version": 4}, "version/m")
+    def test_named_version_is_reported(self):
+        self.apply({"Model": "m", "Version": 4}, "version/m")
         self.assertEqual(self.named, [("m", 4)])
 
 
 class EntryTest(unittest.TestCase):
     def setUp(self):
         self.replicas = Replicas("palermo")
-        self.keys = configuration.ServerKeys(self.replicas)
+        self.keys = configuration.ServersTopicReader(self.replicas)
 
     def test_entry_is_translated(self):
-        self.keys.take("i-1", json.dumps(ENTRY).encode())
+        self.keys.apply("i-1", json.dumps(ENTRY).encode())
         (replica,) = self.replicas.of_service("x")
         self.assertEqual(replica.versions, {"m": 3})
         self.assertEqual((replica.identity, replica.free_slots), ("i-1", 12))
 
-    def test_leaving_replica_gets_nothing(self):
-        self.keys.take("i-1", json.dumps({**ENTRY, "State": "draining"}).encode())
+    def test_draining_replica_is_not_selectable(self):
+        self.keys.apply("i-1", json.dumps({**ENTRY, "State": "draining"}).encode())
         self.assertEqual(self.replicas.of_service("x"), [])
 
     def test_heartbeat_alone_changes_nothing(self):
-        """Symptom: 300 instances spend a tenth of their processors on the list.
+        """Guards against parsing every heartbeat, which took a tenth of the CPU time
+        of 300 instances.
 
-        Sequence: each replica writes its entry again each second, with a number that
-        grows. Cause: every instance reads and compares every entry anew.
+        Each replica writes its entry every second with a higher sequence number.
         """
         changes = []
         self.replicas.on_change(lambda: changes.append(None))
         for number, state in ((1, "ready"), (2, "ready"), (3, "draining"), (4, "x")):
             entry = {**ENTRY, "State": state, "Sequence": number}
-            self.keys.take("i-1", json.dumps(entry).encode())
+            self.keys.apply("i-1", json.dumps(entry).encode())
         self.assertEqual(len(changes), 3)
-        self.keys.take("i-1", b"")
-        self.keys.take("i-1", json.dumps({**ENTRY, "Sequence": 5}).encode())
+        self.keys.apply("i-1", b"")
+        self.keys.apply("i-1", json.dumps({**ENTRY, "Sequence": 5}).encode())
         self.assertEqual(len(self.replicas.of_service("x")), 1)
 
-    def test_malformed_entry_names_no_replica_and_the_others_hold(self):
-        """Symptom: requests go to an address where no replica listens.
+    def test_malformed_entry_removes_only_its_replica(self):
+        """Guards against requests to an address at which no replica listens.
 
-        Sequence: another writer leaves an entry under a replica's key: a field is
-        missing, of another type, or names a state that there is not. Cause: what was
-        understood of it was used.
+        Another writer leaves an entry under a replica's key in which a field is
+        missing, has another type or an unknown state; the understood fields were used.
         """
         other = json.dumps({**ENTRY, "Address": "10.0.0.2:80"}).encode()
-        self.keys.take("i-2", other)
+        self.keys.apply("i-2", other)
         for bad in bad_entries():
             with self.subTest(bad):
-                self.keys.take("i-1", json.dumps(ENTRY).encode())
+                self.keys.apply("i-1", json.dumps(ENTRY).encode())
                 self.assertEqual(len(self.replicas.of_service("x")), 2)
-                self.keys.take("i-1", bad)
-                found = [one.identity for one in self.replicas.of_service("x")]
-                self.assertEqual(found, ["i-2"])
+                self.keys.apply("i-1", bad)
+                identities = [
+                    replica.identity for replica in self.replicas.of_service("x")
+                ]
+                self.assertEqual(identities, ["i-2"])
 
     def test_entry_is_used_again_after_a_malformed_one(self):
         good = json.dumps(ENTRY).encode()
         for value in (good, b"{", good):
-            self.keys.take("i-1", value)
+            self.keys.apply("i-1", value)
         self.assertEqual(len(self.replicas.of_service("x")), 1)
 
-    def test_restarted_replica_holds_what_its_entry_says(self):
-        """Symptom: a restarted replica's first entries are dropped as old ones.
+    def test_restarted_replica_uses_its_new_entry(self):
+        """Guards against ignoring the first entries of a restarted replica.
 
-        Sequence: it starts again under its identity, its numbers begin anew. Cause:
-        the lower number was taken for an older report.
+        It keeps its identity, but its sequence numbers start again; the lower number
+        was taken for that of an older entry.
         """
         for number, born, version in ((9, 1000, 3), (1, 2000, 1)):
             models = [{"Name": "m", "Version": version}]
             entry = {**ENTRY, "Sequence": number, "born": born, "Models": models}
-            self.keys.take("i-1", json.dumps(entry).encode())
+            self.keys.apply("i-1", json.dumps(entry).encode())
         self.assertEqual(self.replicas.get("i-1").versions, {"m": 1})
 
 
 def bad_entries():
-    """Return entries of another writer, as bytes."""
+    """Yield malformed entries, as bytes."""
     yield from (b"{", b"[]", b"{}", b"null", b"7", b'"text"', b"\xff\xfe", b"[" * 9999)
     others = {str: 7, int: "7", list: {}}
     for name, value in ENTRY.items():
@@ -244,22 +247,22 @@
             for at, reward in enumerate(rewards)
         ]
         body = json.dumps({"Model": "m", "Items": rows})
-        return steps.spec_from("s", "h", "/p", body)
+        return steps.parse_step_spec("s", "h", "/p", body)
 
     def test_reward_call_is_translated(self):
-        found = self.spec(self.REWARD, None)
-        reward = found.items[0].reward
+        spec = self.spec(self.REWARD, None)
+        reward = spec.items[0].reward
         self.assertEqual(
             (reward.call_id, reward.host, reward.path, reward.body),
             ("r", "h", "/a/1", b"ab"),
         )
-        self.assertIsNone(found.items[1].reward)
+        self.assertIsNone(spec.items[1].reward)
 
     def test_malformed_reward_calls_are_refused_with_their_places(self):
-        """Symptom: a trainer waits for samples that can never be scored.
+        """Guards against accepting samples that can never be scored.
 
-        Sequence: a step with a reward call without a path is accepted. Cause: only
-        the items themselves were checked.
+        A reward call without a path was accepted, since only the items themselves were
+        validated; the trainer then waited for the samples.
         """
         cases = [
             ("Id", {**self.REWARD, "Id": ""}),
@@ -270,17 +273,17 @@
         ]
         for name, reward in cases:
             with self.subTest(name):
-                found = self.spec(self.REWARD, reward)
-                self.assertIsInstance(found, Rejected)
-                places = [one.place for one in found.findings]
+                rejected = self.spec(self.REWARD, reward)
+                self.assertIsInstance(rejected, Rejected)
+                places = [finding.place for finding in rejected.findings]
                 self.assertEqual(places, [f"Items.1.Scorer.{name}"])
-        found = self.spec("text", {})
-        places = [one.place for one in found.findings]
+        rejected = self.spec("text", {})
+        places = [finding.place for finding in rejected.findings]
         wanted = [f"Items.1.Scorer.{name}" for name in ("Id", "Host", "Path")]
         self.assertEqual(places, ["Items.0.Scorer", *wanted])
 
-    def test_step_that_no_reader_of_the_log_understands_is_refused(self):
-        """Guards against a step that is accepted and known to nobody for good."""
+    def test_step_unreadable_from_the_log_is_rejected(self):
+        """Guards against accepted steps whose records every reader skips."""
         cases = [
             ("Id", 5),
             ("Id", None),
@@ -289,22 +292,24 @@
             ("Group", 5),
         ]
         good = {"Id": "i", "Path": "/p", "Headers": {}, "Body": "", "Group": "g"}
-        bad = [{"Model": "m", "Items": [{**good, name: at}]} for name, at in cases]
-        bad += [{"Model": at, "Items": [good]} for at in (None, 5)]
+        bad = [
+            {"Model": "m", "Items": [{**good, name: value}]} for name, value in cases
+        ]
+        bad += [{"Model": value, "Items": [good]} for value in (None, 5)]
         for step in bad:
             with self.subTest(step):
-                found = steps.spec_from("s", "h", "/", json.dumps(step).encode())
-                self.assertIsInstance(found, Rejected)
-        found = steps.spec_from(
+                result = steps.parse_step_spec("s", "h", "/", json.dumps(step).encode())
+                self.assertIsInstance(result, Rejected)
+        result = steps.parse_step_spec(
             "s", "h", "/", json.dumps({"Model": "m", "Items": [good]}).encode()
         )
-        self.assertIsInstance(found, StepSpec)
+        self.assertIsInstance(result, StepSpec)
 
-    def test_score_is_shown_where_there_is_one(self):
+    def test_score_is_included_if_present(self):
         samples = [
             Sample("s", "i0", COMPLETED, "t", [1], "mark"),
             Sample("s", "i1", COMPLETED, "t", [1]),
         ]
         document = json.loads(steps.page_document(Page(0, samples, 2)))
-        found = [one.get("Score") for one in document["Results"]]
-        self.assertEqual(found, ["mark", None])
+        scores = [result.get("Score") for result in document["Results"]]
+        self.assertEqual(scores, ["mark", None])
--- a/sassafrasdoor/platform/wire.py
+++ b/sassafrasdoor/platform/wire.py
@@ -1,4 +1,4 @@
-"""Header names of the platform's wire, and what is never passed on."""
+"""Header names of the platform's protocol, and the headers that are not forwarded."""
 
 from sassafrasdoor.headers import HOP_BY_HOP_HEADERS
 
@@ -17,19 +17,24 @@
 
 MISDIRECTED = 421
 
-_SET_ANEW = {name.lower() for name in (DEADLINE, EXPECT_INSTANCE)}
-NOT_SENT_ON = (HOP_BY_HOP_HEADERS | _SET_ANEW) - {"host", "x-request-id"}
-NOT_SENT_BACK = HOP_BY_HOP_HEADERS - {"x-request-id"}
+_REPLACED_PER_HOP = {name.lower() for name in (DEADLINE, EXPECT_INSTANCE)}
+DROPPED_FROM_REQUEST = (HOP_BY_HOP_HEADERS | _REPLACED_PER_HOP) - {
+    "host",
+    "x-request-id",
+}
+DROPPED_FROM_ANSWER = HOP_BY_HOP_HEADERS - {"x-request-id"}
 
 
-def header_pairs(headers, left_out):
-    """Return the ``(name, value)`` pairs of headers but for those left out.
+def header_pairs(headers, excluded):
+    """Return the ``(name, value)`` pairs of headers without the ``excluded`` names.
 
-    Headers that ``Connection`` names concern that connection only.
+    Headers listed in ``Connection`` apply to a single connection and are left out too.
     """
-    named = {name.strip().lower() for name in headers.get("Connection", "").split(",")}
+    connection_headers = {
+        name.strip().lower() for name in headers.get("Connection", "").split(",")
+    }
     return [
         (name, value)
         for name, value in headers.get_all()
-        if name.lower() not in left_out and name.lower() not in named
+        if name.lower() not in excluded and name.lower() not in connection_headers
     ]
