--- a/samples/measure_steps.py
+++ b/samples/measure_steps.py
@@ -90,7 +90,7 @@
         held = batch.streams.get(order.stream) or self._start(batch, order)
         sent = 0
         while True:
-            wake = held.wake
+            update_event = held.update_event
             while sent < len(held.chunks):
                 first, text, tokens, version = held.chunks[sent]
                 sent += 1
@@ -103,7 +103,7 @@
             if held.done:
                 yield Finished(held.length, [Span(*span) for span in held.spans])
                 return
-            await wake.wait()
+            await update_event.wait()
 
     def _start(self, batch, order):
         held = batch.start(
@@ -375,7 +375,7 @@
 def uneven(world):
     """One engine nearly full of another row's streams, one three times slower."""
     world.engines.occupy("e0", BUSY_STREAMS)
-    world.engines.batches["e1"].slow = 3.0
+    world.engines.batches["e1"].slowdown = 3.0
 
 
 async def one(seed, arrange, swap=None, order=None, die_at=None, **options):
--- a/sassafrasdoor/backends/tests/test_stream.py
+++ b/sassafrasdoor/backends/tests/test_stream.py
@@ -152,7 +152,9 @@
         stand_in.set_faults({"freeze": True})
         await items.aclose()
         await until(
-            lambda: not stand_in.batch.streams["s/1"].open, timeout=3, what="close"
+            lambda: not stand_in.batch.streams["s/1"].open_connections,
+            timeout=3,
+            what="close",
         )
         self.assertIsNone(await self.engine.cancel(backend, "s/1"))
         self.assertEqual(await self.engine.streams(backend, "s/"), [])
--- a/sassafrasdoor/load/arrivals.py
+++ b/sassafrasdoor/load/arrivals.py
@@ -11,8 +11,8 @@
 def arrivals(rate, duration, seed):
     """Return Poisson arrival times in seconds, below ``duration``, ascending."""
     generator = random.Random(seed)
-    times, at = [], generator.expovariate(rate)
-    while at < duration:
-        times.append(at)
-        at += generator.expovariate(rate)
+    times, time = [], generator.expovariate(rate)
+    while time < duration:
+        times.append(time)
+        time += generator.expovariate(rate)
     return times
--- a/sassafrasdoor/load/callers.py
+++ b/sassafrasdoor/load/callers.py
@@ -12,14 +12,14 @@
 from sassafrasdoor.fetch import NO_REPLY, entry_request, reply_to
 from sassafrasdoor.load.arrivals import arrivals
 
-LOWEST_MICROSECONDS = 1
-HIGHEST_MICROSECONDS = 120_000_000
-DIGITS = 3
-MICROSECONDS = 1_000_000
+MIN_LATENCY_MICROSECONDS = 1
+MAX_LATENCY_MICROSECONDS = 120_000_000
+SIGNIFICANT_DIGITS = 3
+MICROSECONDS_PER_SECOND = 1_000_000
 DISCOVERY_TIMEOUT = 2.0
 CONNECT_TIMEOUT = 1.0
-REPLY_SLACK = 5.0
-PAUSE = 0.05
+REPLY_TIMEOUT_MARGIN = 5.0
+RETRY_INTERVAL = 0.05
 OUTCOME_OF_STATUS = {NO_REPLY: "no-reply", 502: "unknown", 503: "not-run"}
 
 
@@ -33,14 +33,16 @@
         self.outcomes = Counter()
         self.late = 0
         self.answered_at = []
-        self.histogram = HdrHistogram(LOWEST_MICROSECONDS, HIGHEST_MICROSECONDS, DIGITS)
+        self.histogram = HdrHistogram(
+            MIN_LATENCY_MICROSECONDS, MAX_LATENCY_MICROSECONDS, SIGNIFICANT_DIGITS
+        )
 
     def note(self, outcome, seconds, late_after):
         """Record one finished request, ``seconds`` after its arrival."""
         self.outcomes[outcome] += 1
         if outcome != "answered":
             return
-        self.histogram.record_value(max(1, int(seconds * MICROSECONDS)))
+        self.histogram.record_value(max(1, int(seconds * MICROSECONDS_PER_SECOND)))
         self.answered_at.append(now())
         self.late += seconds > late_after
 
@@ -54,11 +56,11 @@
 
     __slots__ = (
         "_ca_file",
-        "_deadline",
+        "_expires_at",
         "_generator",
         "_http",
-        "_known",
-        "_prefix",
+        "_discovered",
+        "_key_prefix",
         "_row",
         "_seeds",
     )
@@ -69,40 +71,40 @@
         self._row = row
         self._seeds = list(seeds)
         self._generator = random.Random(seed)
-        self._known = []
-        self._prefix = ""
-        self._deadline = 0.0
+        self._discovered = []
+        self._key_prefix = ""
+        self._expires_at = 0.0
 
     async def pick(self):
         """Return one of the addresses known now."""
-        if not self._known or passed(self._deadline):
-            await self._ask()
-        return self._generator.choice(self._known or self._seeds)
+        if not self._discovered or passed(self._expires_at):
+            await self._discover()
+        return self._generator.choice(self._discovered or self._seeds)
 
-    def key(self, ending):
+    def key(self, suffix):
         """Return an idempotency key with the issued prefix known now, if any."""
-        return self._prefix + ending
+        return self._key_prefix + suffix
 
     def drop(self, address):
         """Leave out an address that gave no reply."""
-        self._known = [known for known in self._known if known != address]
+        self._discovered = [other for other in self._discovered if other != address]
 
-    async def _ask(self):
-        seeds = self._known + self._seeds
+    async def _discover(self):
+        seeds = self._discovered + self._seeds
         self._generator.shuffle(seeds)
         for seed in seeds:
-            asked = entry_request(
+            discovery_request = entry_request(
                 seed,
                 f"/v1/addresses?row={self._row}",
                 self._ca_file,
                 request_timeout=DISCOVERY_TIMEOUT,
             )
-            reply = await reply_to(self._http, asked)
+            reply = await reply_to(self._http, discovery_request)
             if reply.code == 200:
                 answer = json.loads(reply.body)
-                self._known = [one["address"] for one in answer["addresses"]]
-                self._prefix = answer["key_prefix"]
-                self._deadline = deadline_in(answer["valid_for_ms"] / 1000)
+                self._discovered = [entry["address"] for entry in answer["addresses"]]
+                self._key_prefix = answer["key_prefix"]
+                self._expires_at = deadline_in(answer["valid_for_ms"] / 1000)
                 return
 
 
@@ -124,21 +126,23 @@
         await self._addresses.pick()  # So that the first arrivals have a key prefix.
         started = now()
         async with asyncio.TaskGroup() as tasks:
-            for at in arrivals(self._profile.rate, duration, self._seed):
-                await asyncio.sleep(remaining(started + at))
-                tasks.create_task(self._one(started + at))
+            for offset in arrivals(self._profile.rate, duration, self._seed):
+                await asyncio.sleep(remaining(started + offset))
+                tasks.create_task(self._send_request(started + offset))
         return self.result
 
-    async def _one(self, arrived):
+    async def _send_request(self, arrived_at):
         key = self._addresses.key(uuid.uuid4().hex)
-        reply = await self._asked(key, arrived + self._profile.deadline_ms / 1000)
+        reply = await self._fetch_reply(
+            key, arrived_at + self._profile.deadline_ms / 1000
+        )
         outcome = reply.headers.get("X-Outcome") or OUTCOME_OF_STATUS.get(
             reply.code, "rejected"
         )
         late_after = self._profile.late_after_ms / 1000
-        self.result.note(outcome, now() - arrived, late_after)
+        self.result.note(outcome, now() - arrived_at, late_after)
 
-    async def _asked(self, key, deadline):
+    async def _fetch_reply(self, key, deadline):
         """Ask until an instance replies; the key lets any of them find the run."""
         while True:
             address = await self._addresses.pick()
@@ -147,7 +151,7 @@
             if reply.code != NO_REPLY or passed(deadline):
                 return reply
             self._addresses.drop(address)
-            await asyncio.sleep(PAUSE)
+            await asyncio.sleep(RETRY_INTERVAL)
 
     def _request(self, address, key, deadline):
         profile = self._profile
@@ -173,5 +177,5 @@
             headers=headers,
             body=json.dumps(body),
             connect_timeout=CONNECT_TIMEOUT,
-            request_timeout=profile.deadline_ms / 1000 + REPLY_SLACK,
+            request_timeout=profile.deadline_ms / 1000 + REPLY_TIMEOUT_MARGIN,
         )
--- a/sassafrasdoor/load/profile.py
+++ b/sassafrasdoor/load/profile.py
@@ -15,13 +15,13 @@
     GENERATE = "generate"
 
 
-class Part(BaseModel):
+class ProfileModel(BaseModel):
     """A part of the profile; unknown keys are findings."""
 
     model_config = ConfigDict(extra="forbid", frozen=True, allow_inf_nan=False)
 
 
-class CallerProfile(Part):
+class CallerProfile(ProfileModel):
     """One row's open-loop arrivals: ``rate`` a second, late after so many ms."""
 
     row: str
@@ -35,7 +35,7 @@
     max_tokens: int = Field(default=32, gt=0)
 
 
-class TrainerProfile(Part):
+class TrainerProfile(ProfileModel):
     """One trainer's steps, run one after another."""
 
     row: str
@@ -46,7 +46,7 @@
     max_tokens: int = Field(default=64, gt=0)
 
 
-class Profile(Part):
+class Profile(ProfileModel):
     """A whole load: a seed, a length in seconds, callers and trainers."""
 
     seed: int = 1
--- a/sassafrasdoor/load/report.py
+++ b/sassafrasdoor/load/report.py
@@ -7,19 +7,19 @@
 
 PERCENTILES = (50, 90, 99, 99.9)
 MICROSECONDS_PER_MS = 1000
-PLOT_POINTS = (50, 75, 90, 95, 99, 99.5, 99.9, 99.99)
+PLOT_PERCENTILES = (50, 75, 90, 95, 99, 99.5, 99.9, 99.99)
 
 
 def summary(callers, trainers, duration):
     """Return the whole result as a JSON-ready mapping."""
     return {
         "duration_seconds": duration,
-        "callers": [_caller(result, duration) for result in callers],
+        "callers": [_caller_summary(result, duration) for result in callers],
         "trainers": trainers,
     }
 
 
-def _caller(result, duration):
+def _caller_summary(result, duration):
     answered = result.outcomes["answered"]
     return {
         "row": result.row,
@@ -27,14 +27,14 @@
         "late": result.late,
         "goodput_per_second": round((answered - result.late) / duration, 2),
         "latency_ms": {
-            f"p{point:g}": _milliseconds(result.histogram, point)
-            for point in PERCENTILES
+            f"p{percentile:g}": _percentile_milliseconds(result.histogram, percentile)
+            for percentile in PERCENTILES
         },
     }
 
 
-def _milliseconds(histogram, point):
-    return histogram.get_value_at_percentile(point) / MICROSECONDS_PER_MS
+def _percentile_milliseconds(histogram, percentile):
+    return histogram.get_value_at_percentile(percentile) / MICROSECONDS_PER_MS
 
 
 def caller_table(document):
@@ -43,27 +43,29 @@
     for heading in ("row", "outcomes", "late", "goodput/s", "p50 ms", "p99 ms"):
         table.add_column(heading)
     for row in document["callers"]:
-        outcomes = ", ".join(f"{name} {n}" for name, n in row["outcomes"].items())
+        outcomes = ", ".join(
+            f"{name} {count}" for name, count in row["outcomes"].items()
+        )
         latency = row["latency_ms"]
-        figures = (
+        values = (
             row["late"],
             row["goodput_per_second"],
             latency["p50"],
             latency["p99"],
         )
-        table.add_row(row["row"], outcomes, *[str(figure) for figure in figures])
+        table.add_row(row["row"], outcomes, *[str(figure) for figure in values])
     return table
 
 
 def trainer_table(document):
     """Return the trainers' part of a summary as a table for a terminal."""
     table = Table(title="Trainers")
-    names = ("row", "steps", "samples", "duplicates", "missing")
-    names += ("idle_seconds", "largest_staleness", "regenerated")
-    for name in names:
+    columns = ("row", "steps", "samples", "duplicates", "missing")
+    columns += ("idle_seconds", "largest_staleness", "regenerated")
+    for name in columns:
         table.add_column(name.replace("_", " "))
     for row in document["trainers"]:
-        table.add_row(*[str(row.get(name, "")) for name in names])
+        table.add_row(*[str(row.get(name, "")) for name in columns])
     return table
 
 
@@ -86,8 +88,11 @@
 
     figure, (latency, goodput) = pyplot.subplots(1, 2, figsize=(11, 4))
     for result in callers:
-        points = [_milliseconds(result.histogram, point) for point in PLOT_POINTS]
-        labels = [f"{point:g}" for point in PLOT_POINTS]
+        points = [
+            _percentile_milliseconds(result.histogram, percentile)
+            for percentile in PLOT_PERCENTILES
+        ]
+        labels = [f"{percentile:g}" for percentile in PLOT_PERCENTILES]
         latency.plot(labels, points, marker=".", label=result.row)
         if result.answered_at:
             first = min(result.answered_at)
--- a/sassafrasdoor/load/run.py
+++ b/sassafrasdoor/load/run.py
@@ -26,9 +26,9 @@
         async with asyncio.TaskGroup() as tasks:
             for caller in callers:
                 tasks.create_task(caller.run(profile.duration))
-            steps = [tasks.create_task(trainer.run()) for trainer in trainers]
+            trainer_tasks = [tasks.create_task(trainer.run()) for trainer in trainers]
     finally:
         http.close()
     results = [caller.result for caller in callers]
-    finished = [step.result() for step in steps]
-    return results, report.summary(results, finished, profile.duration)
+    summaries = [task.result() for task in trainer_tasks]
+    return results, report.summary(results, summaries, profile.duration)
--- a/sassafrasdoor/load/tests/test_load.py
+++ b/sassafrasdoor/load/tests/test_load.py
@@ -28,7 +28,7 @@
 
 
 class ProfileTest(unittest.TestCase):
-    def test_findings_come_together(self):
+    def test_all_findings_are_reported(self):
         with Processes() as processes:
             path = processes.write_json(
                 "p.json", {"duration": -1, "callers": [{"row": "a", "rate": 1}], "x": 1}
--- a/sassafrasdoor/load/trainers.py
+++ b/sassafrasdoor/load/trainers.py
@@ -23,19 +23,19 @@
         reports = []
         try:
             for number in range(self._profile.steps):
-                run = self.trainer.run(self._document(number))
+                run = self.trainer.run(self._step_document(number))
                 async for _ in run.samples():
                     pass
                 reports.append((run.complete, run.report))
         finally:
             self.trainer.close()
-        return summary(self._profile.row, reports, self._samples_expected())
+        return summary(self._profile.row, reports, self._expected_samples())
 
-    def _samples_expected(self):
+    def _expected_samples(self):
         profile = self._profile
         return profile.steps * profile.groups * profile.samples_per_group
 
-    def _document(self, number):
+    def _step_document(self, number):
         generator = random.Random(f"{self._seed}/{number}")
         prompts = [
             " ".join(generator.choices(WORDS, k=24))
--- a/sassafrasdoor/standin/batch.py
+++ b/sassafrasdoor/standin/batch.py
@@ -20,9 +20,9 @@
     + ("full", "open", "free", "paid", "due", "late", "soon", "lost", "found", "now")
     + ("turn", "left", "right", "wait", "move", "in", "out", "one", "two", "three")
 )
-FULL_SLOWDOWN = 0.5
+FULL_BATCH_SLOWDOWN = 0.5
 """Share of its rate a stream loses when every place of the batch is taken."""
-MEAN_LENGTH = 0.25
+MEAN_LENGTH_SHARE = 0.25
 """Mean length of a response as a share of ``max_tokens``."""
 
 
@@ -31,10 +31,10 @@
     return WORDS[zlib.crc32(f"{seed}/{stream}/{offset}".encode()) % len(WORDS)] + " "
 
 
-def length_of(seed, stream, max_tokens, tail):
+def draw_length(seed, stream, max_tokens, tail):
     """Draw a stream's length: lognormal with shape ``tail``, 1..max_tokens."""
     draw = random.Random(f"{seed}/{stream}/length").lognormvariate(0.0, tail)
-    return max(1, min(max_tokens, round(MEAN_LENGTH * max_tokens * draw)))
+    return max(1, min(max_tokens, round(MEAN_LENGTH_SHARE * max_tokens * draw)))
 
 
 class Stream:
@@ -44,13 +44,13 @@
         "cancelled",
         "chunks",
         "connections",
-        "credit",
+        "token_credit",
         "ends",
-        "expires",
+        "expires_at",
         "length",
         "model",
         "offset",
-        "open",
+        "open_connections",
         "prefill_deadline",
         "prefix",
         "priority",
@@ -59,7 +59,7 @@
         "spans",
         "start",
         "stream",
-        "wake",
+        "update_event",
     )
 
     def __init__(self, document, tail):
@@ -71,17 +71,17 @@
         prompt = document["prompt"]
         self.prompt_tokens = len(prompt.split())
         self.prefix = prefix_key(prompt, document.get("prefix_tokens", 0))
-        self.length = length_of(self.seed, self.stream, document["max_tokens"], tail)
+        self.length = draw_length(self.seed, self.stream, document["max_tokens"], tail)
         self.length = max(self.length, self.start)
         self.chunks = []
         self.spans = []
         self.cancelled = False
-        self.credit = 0.0
+        self.token_credit = 0.0
         self.prefill_deadline = None
-        self.expires = None
+        self.expires_at = None
         self.connections = 0
-        self.open = 0
-        self.wake = asyncio.Event()
+        self.open_connections = 0
+        self.update_event = asyncio.Event()
 
     @property
     def done(self):
@@ -107,7 +107,7 @@
         return {
             "spans": self.spans,
             "connections": self.connections,
-            "open": self.open,
+            "open": self.open_connections,
             "offset": self.offset,
             "length": self.length,
             "done": self.done,
@@ -116,48 +116,58 @@
 
     def notify(self):
         """Wake every connection that waits for a chunk."""
-        self.wake.set()
-        self.wake = asyncio.Event()
+        self.update_event.set()
+        self.update_event = asyncio.Event()
 
 
 class PrefixCache:
     """Prompt prefixes in limited memory; its events come late and with gaps."""
 
-    __slots__ = ("_delay", "_events", "_held", "_limit", "_loss", "_numbers", "_random")
+    __slots__ = (
+        "_event_delay",
+        "_events",
+        "_prefixes",
+        "_max_prefixes",
+        "_loss_rate",
+        "_event_numbers",
+        "_random",
+    )
 
     def __init__(self, limit, delay, loss, seed):
-        self._limit = limit
-        self._delay = delay
-        self._loss = loss
+        self._max_prefixes = limit
+        self._event_delay = delay
+        self._loss_rate = loss
         self._random = random.Random(f"cache/{seed}")
-        self._held = OrderedDict()
+        self._prefixes = OrderedDict()
         self._events = []
-        self._numbers = itertools.count(1)
+        self._event_numbers = itertools.count(1)
 
-    def use(self, prefix):
+    def access(self, prefix):
         """Return whether the prefix was held; it is afterwards."""
-        held = prefix in self._held
-        self._held[prefix] = True
-        self._held.move_to_end(prefix)
+        held = prefix in self._prefixes
+        self._prefixes[prefix] = True
+        self._prefixes.move_to_end(prefix)
         if not held:
             self._publish(prefix, True)
-        if len(self._held) > self._limit:
-            dropped, _ = self._held.popitem(last=False)
-            self._publish(dropped, False)
+        if len(self._prefixes) > self._max_prefixes:
+            evicted, _ = self._prefixes.popitem(last=False)
+            self._publish(evicted, False)
         return held
 
     def events(self, first):
         """Return the published events from number ``first`` on."""
         return [
             {"number": number, "prefix": prefix, "stored": stored}
-            for visible, number, prefix, stored in self._events
-            if number >= first and passed(visible)
+            for visible_at, number, prefix, stored in self._events
+            if number >= first and passed(visible_at)
         ]
 
     def _publish(self, prefix, stored):
-        number = next(self._numbers)
-        if self._random.random() >= self._loss:
-            self._events.append((deadline_in(self._delay), number, prefix, stored))
+        number = next(self._event_numbers)
+        if self._random.random() >= self._loss_rate:
+            self._events.append(
+                (deadline_in(self._event_delay), number, prefix, stored)
+            )
 
 
 class Batch:
@@ -165,14 +175,14 @@
 
     __slots__ = (
         "_options",
-        "_order",
+        "_sequence",
         "_queue",
         "cache",
         "frozen",
         "history",
         "imported",
         "running",
-        "slow",
+        "slowdown",
         "streams",
         "swapping",
         "versions",
@@ -181,7 +191,7 @@
     def __init__(self, options, seed=""):
         self._options = options
         self._queue = []
-        self._order = itertools.count()
+        self._sequence = itertools.count()
         self.cache = PrefixCache(
             options.cache_prefixes, options.cache_delay, options.cache_loss, seed
         )
@@ -192,7 +202,7 @@
         self.versions = dict.fromkeys(options.models, options.initial_version)
         self.frozen = False
         self.swapping = False
-        self.slow = 1.0
+        self.slowdown = 1.0
 
     @property
     def queued(self):
@@ -209,7 +219,7 @@
         stream = Stream(document, self._options.tail)
         self.streams[stream.stream] = stream
         self.history.setdefault(stream.stream, []).append(stream)
-        heapq.heappush(self._queue, (-stream.priority, next(self._order), stream))
+        heapq.heappush(self._queue, (-stream.priority, next(self._sequence), stream))
         self._admit()
         return stream
 
@@ -231,10 +241,10 @@
 
     async def run(self):
         """Advance all running streams for ever."""
-        last = now()
+        last_advanced_at = now()
         while True:
             await asyncio.sleep(self._options.tick)
-            elapsed, last = now() - last, now()
+            elapsed, last_advanced_at = now() - last_advanced_at, now()
             if not self.frozen:
                 self._expire()
                 self._advance(elapsed)
@@ -246,7 +256,7 @@
             self.running.append(stream)
 
     def _prefill_time(self, stream):
-        cached = self.cache.use(stream.prefix)
+        cached = self.cache.access(stream.prefix)
         if stream.stream in self.imported:
             return 0.0
         tokens = stream.start + (0 if cached else stream.prompt_tokens)
@@ -256,22 +266,26 @@
         self._admit()
         if self.swapping:
             return
-        fullness = len(self.running) / self._options.capacity
-        rate = self._options.token_rate * (1 - FULL_SLOWDOWN * fullness) / self.slow
+        utilization = len(self.running) / self._options.capacity
+        rate = (
+            self._options.token_rate
+            * (1 - FULL_BATCH_SLOWDOWN * utilization)
+            / self.slowdown
+        )
         for stream in self.running:
             if passed(stream.prefill_deadline):
-                stream.credit += rate * elapsed
-                if stream.credit >= 1:
-                    tokens = int(stream.credit)
-                    stream.credit -= tokens
+                stream.token_credit += rate * elapsed
+                if stream.token_credit >= 1:
+                    tokens = int(stream.token_credit)
+                    stream.token_credit -= tokens
                     stream.produce(tokens, self.versions.get(stream.model, 0))
         for stream in self.running:
             if stream.done:
-                stream.expires = deadline_in(self._options.keep_done)
+                stream.expires_at = deadline_in(self._options.keep_done)
                 stream.notify()
         self.running = [stream for stream in self.running if not stream.done]
 
     def _expire(self):
         for name, stream in list(self.streams.items()):
-            if stream.expires is not None and passed(stream.expires):
+            if stream.expires_at is not None and passed(stream.expires_at):
                 del self.streams[name]
--- a/sassafrasdoor/standin/engine.py
+++ b/sassafrasdoor/standin/engine.py
@@ -79,14 +79,14 @@
 
     def __init__(self, options, name):
         super().__init__(options, name)
-        self._swap = asyncio.Lock()
+        self._swap_lock = asyncio.Lock()
         self.batch = Batch(options, name)
         self.fence = 0
         self.role = ""
         self.orders = []
-        self.silent_before = 0.0
+        self.silenced_at = 0.0
         self.server, self.address = serving.listen(self._application())
-        self._report = (now(), self.current_load())
+        self._load_report = (now(), self.current_load())
 
     def start(self):
         """Start generating, reporting and registering."""
@@ -128,7 +128,7 @@
             name: {
                 **executions[-1].record(),
                 "starts": len(executions),
-                "executions": [one.record() for one in executions],
+                "executions": [execution.record() for execution in executions],
             }
             for name, executions in self.batch.history.items()
         }
@@ -139,7 +139,7 @@
             "fence": self.fence,
         }
 
-    async def order(self, fence, model, version, role):
+    async def execute_order(self, fence, model, version, role):
         """Carry out an order; return whether its fencing number was accepted."""
         record = {"fence": fence, "model": model, "version": version, "applied": False}
         self.orders.append(record)
@@ -147,21 +147,21 @@
             return False
         self.fence = max(self.fence, fence)
         self.role = role or self.role
-        async with self._swap:
+        async with self._swap_lock:
             if self._options.checks_fencing and fence < self.fence:
                 return False
             if model and self.batch.versions.get(model) != version:
-                await self._change(model, version, record)
+                await self._swap_weights(model, version, record)
         return True
 
-    async def _change(self, model, version, record):
-        if self.take("false_swaps"):
+    async def _swap_weights(self, model, version, record):
+        if self.consume_fault("false_swaps"):
             return
         self.batch.swapping = True
         record["began"] = now()
         try:
             await self._fetch_weights(model, version)
-            if self.take("fail_swaps"):
+            if self.consume_fault("fail_swaps"):
                 raise RuntimeError("swap failed")
             self.batch.versions[model] = version
             record["applied"] = True
@@ -194,14 +194,14 @@
         self.batch.frozen = bool(value)
 
     def _fault_slow(self, value):
-        self.batch.slow = float(value)
+        self.batch.slowdown = float(value)
 
     def _fault_silence(self, value):
         """Connections open now go silent for good; new ones work."""
-        self.silent_before = now()
+        self.silenced_at = now()
 
     @property
-    def late(self):
+    def order_reply_delay(self):
         """Seconds by which a late order reply is late."""
         return self._options.late
 
@@ -209,11 +209,11 @@
 async def serve(options, name, count):
     """Serve ``count`` engines in this process until asked to stop."""
     names = [name] if count == 1 else [f"{name}-{number}" for number in range(count)]
-    engines = [EngineStandIn(options, each) for each in names]
+    engines = [EngineStandIn(options, engine_name) for engine_name in names]
     for engine in engines:
         engine.start()
     addresses = {engine.name: engine.address for engine in engines}
     serving.print_ready(name, engines[0].address, addresses=addresses)
-    await serving.until_asked_to_stop()
+    await serving.wait_for_stop_signal()
     await asyncio.gather(*[engine.leave() for engine in engines])
     await asyncio.gather(*[engine.close() for engine in engines])
--- a/sassafrasdoor/standin/engine_handlers.py
+++ b/sassafrasdoor/standin/engine_handlers.py
@@ -10,47 +10,47 @@
 from sassafrasdoor.standin.serving import StandInHandler
 
 HANG_UP_BEFORE, HANG_UP_AFTER, TRUNCATE = "fail_before", "fail_after", "truncate"
-WAKE_AT_LEAST_EVERY = 0.2
+CONNECTION_CHECK_INTERVAL = 0.2
 
 
 def handlers(server):
     """Return the routes of an engine stand-in."""
-    mine = {"server": server}
+    handler_arguments = {"server": server}
     return [
-        ("/streams", StreamsHandler, mine),
-        ("/streams/(.+)", StreamHandler, mine),
-        ("/load", serving.LoadHandler, mine),
-        ("/orders", OrdersHandler, mine),
-        ("/cache-events", CacheEventsHandler, mine),
-        ("/kv/(export|import)", KvHandler, mine),
-        ("/standin/faults", serving.FaultsHandler, mine),
-        ("/standin/truth", serving.TruthHandler, mine),
+        ("/streams", StreamsHandler, handler_arguments),
+        ("/streams/(.+)", StreamHandler, handler_arguments),
+        ("/load", serving.LoadHandler, handler_arguments),
+        ("/orders", OrdersHandler, handler_arguments),
+        ("/cache-events", CacheEventsHandler, handler_arguments),
+        ("/kv/(export|import)", KvHandler, handler_arguments),
+        ("/standin/faults", serving.FaultsHandler, handler_arguments),
+        ("/standin/truth", serving.TruthHandler, handler_arguments),
     ]
 
 
 class StreamsHandler(StandInHandler):
     """Starts, resumes and lists streams."""
 
-    _gone = False
+    _is_disconnected = False
 
     def on_connection_close(self):
         """End the reply; the stream itself goes on."""
-        self._gone = True
+        self._is_disconnected = True
 
     def get(self):
         """List the streams under a prefix."""
         prefix = self.get_argument("prefix", "")
-        found = [
+        matches = [
             {"stream": name, "offset": stream.offset, "done": stream.done}
             for name, stream in self.server.batch.streams.items()
             if name.startswith(prefix)
         ]
-        self.answer({"streams": found})
+        self.answer({"streams": matches})
 
     async def post(self):
         """Start or resume a stream and send its chunks from the offset on."""
         document = self.document()
-        if self.server.take(HANG_UP_BEFORE):
+        if self.server.consume_fault(HANG_UP_BEFORE):
             self.hang_up()
             return
         stream = self.server.admit(document)
@@ -58,69 +58,76 @@
             self.answer({"reason": stream}, 429)
             return
         stream.connections += 1
-        stream.open += 1
+        stream.open_connections += 1
         self.set_header("Content-Type", "application/x-ndjson")
         try:
             await self.flush()
-            flush = document.get("flush_ms", 0) / 1000
-            await self._send(stream, document.get("offset", 0), flush)
+            flush_interval = document.get("flush_ms", 0) / 1000
+            await self._send(stream, document.get("offset", 0), flush_interval)
         except StreamClosedError:
             return
         finally:
-            stream.open -= 1
+            stream.open_connections -= 1
 
-    async def _send(self, stream, offset, flush):
+    async def _send(self, stream, offset, flush_interval):
         fault = next(
-            (name for name in (HANG_UP_AFTER, TRUNCATE) if self.server.take(name)), ""
+            (
+                name
+                for name in (HANG_UP_AFTER, TRUNCATE)
+                if self.server.consume_fault(name)
+            ),
+            "",
         )
-        opened, sent = now(), 0
-        due = opened
-        while not self._gone:
-            wake = stream.wake
-            silent = opened <= self.server.silent_before
-            held = silent or (now() < due and not stream.done)
-            fresh = [] if held else stream.chunks[sent:]
-            sent += len(fresh)
-            due = deadline_in(flush) if fresh else due
-            for chunk in joined(fresh) if flush else fresh:
+        opened_at, sent_count = now(), 0
+        flush_deadline = opened_at
+        while not self._is_disconnected:
+            update_event = stream.update_event
+            is_silenced = opened_at <= self.server.silenced_at
+            is_held = is_silenced or (now() < flush_deadline and not stream.done)
+            new_chunks = [] if is_held else stream.chunks[sent_count:]
+            sent_count += len(new_chunks)
+            flush_deadline = (
+                deadline_in(flush_interval) if new_chunks else flush_deadline
+            )
+            for chunk in merge_chunks(new_chunks) if flush_interval else new_chunks:
                 line = chunk_line(chunk, offset)
                 if line:
                     self.write(line)
                     await self.flush()
                     if fault:
-                        self._cut(fault)
+                        self._abort_reply(fault)
                         return
             if self.server.batch.streams.get(stream.stream) is not stream:
                 self.hang_up()
                 return
-            if stream.done and sent == len(stream.chunks) and not silent:
+            if stream.done and sent_count == len(stream.chunks) and not is_silenced:
                 self.finish(done_line(stream))
                 return
-            if stream.wake is wake:
-                await self._wait(wake)
+            if stream.update_event is update_event:
+                await self._wait_for_update(update_event)
 
-    async def _wait(self, wake):
+    async def _wait_for_update(self, update_event):
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(WAKE_AT_LEAST_EVERY):
-                await wake.wait()
+            async with asyncio.timeout(CONNECTION_CHECK_INTERVAL):
+                await update_event.wait()
 
-    def _cut(self, fault):
+    def _abort_reply(self, fault):
         if fault == TRUNCATE:
             self.finish()
         else:
             self.hang_up()
 
 
-def joined(chunks):
+def merge_chunks(chunks):
     """Join neighbouring chunks of one version into one."""
-    whole = []
+    merged = []
     for first, text, tokens, version in chunks:
-        if whole and whole[-1][3] == version:
-            start, before, count, _ = whole[-1]
-            whole[-1] = (start, before + text, count + tokens, version)
+        if merged and merged[-1][3] == version:
+            start, previous_text, count, _ = merged[-1]
+            merged[-1] = (start, previous_text + text, count + tokens, version)
         else:
-            whole.append((first, text, tokens, version))
-    return whole
+            merged.append((first, text, tokens, version))
+    return merged
 
 
 def chunk_line(chunk, offset):
@@ -163,7 +170,7 @@
         order = self.document()
         server = self.server
         try:
-            accepted = await server.order(
+            accepted = await server.execute_order(
                 order["fence"],
                 order.get("model", ""),
                 order.get("version", 0),
@@ -175,13 +182,15 @@
         if not accepted:
             self.answer({"fence": server.fence}, 409)
             return
-        if server.take("late_swaps"):
-            await asyncio.sleep(server.late)
-        if server.take("lost_order_replies"):
+        if server.consume_fault("late_swaps"):
+            await asyncio.sleep(server.order_reply_delay)
+        if server.consume_fault("lost_order_replies"):
             self.hang_up()
             return
-        claimed = {order["model"]: order["version"]} if order.get("model") else {}
-        self.answer({"versions": {**server.batch.versions, **claimed}})
+        ordered_version = (
+            {order["model"]: order["version"]} if order.get("model") else {}
+        )
+        self.answer({"versions": {**server.batch.versions, **ordered_version}})
 
 
 class CacheEventsHandler(StandInHandler):
--- a/sassafrasdoor/standin/platform.py
+++ b/sassafrasdoor/standin/platform.py
@@ -18,9 +18,9 @@
 from sassafrasdoor.clock import deadline_in, now, remaining
 from sassafrasdoor.standin.streams import Stream
 
-LONGEST_POLL = 30.0
-BODY_LIMIT = 8_000_000
-CHUNK = 16_384
+MAX_POLL_TIMEOUT = 30.0
+MAX_BUFFER_BYTES = 8_000_000
+CHUNK_BYTES = 16_384
 NEWEST = -1
 
 
@@ -48,12 +48,12 @@
     weights_bytes: int = Field(default=65_536, ge=0)
     weights_rate: float = Field(default=10_000_000, gt=0)
 
-    def take(self, name):
+    def consume_fault(self, name):
         """Use up one of the counted faults; say whether there was one."""
-        left = getattr(self, name)
-        if left:
-            setattr(self, name, left - 1)
-        return left > 0
+        count = getattr(self, name)
+        if count:
+            setattr(self, name, count - 1)
+        return count > 0
 
 
 class Platform:
@@ -63,10 +63,10 @@
         self.faults = Faults()
         self.streams = {}
         self.instances = {}
-        self.lists = [(now(), {})]
+        self.snapshots = [(now(), {})]
         self.calls = Counter()
         self.weights_served = defaultdict(int)
-        self.store = asyncio.Lock()
+        self.weights_lock = asyncio.Lock()
 
     def stream(self, name):
         """Return the stream of that name, expired up to now."""
@@ -74,20 +74,20 @@
         stream.expire(self.faults)
         return stream
 
-    def registered(self, name, instance):
+    def set_instance(self, name, instance):
         """Change the list; readers see it after its lag."""
         if instance is None:
             self.instances.pop(name, None)
         else:
             self.instances[name] = instance
-        self.lists.append((now(), dict(self.instances)))
+        self.snapshots.append((now(), dict(self.instances)))
 
-    def listed(self):
+    def visible_instances(self):
         """Return the instances as they stood ``list_lag`` seconds ago."""
-        seen = now() - self.faults.list_lag
-        while len(self.lists) > 1 and self.lists[1][0] <= seen:
-            self.lists.pop(0)
-        return list(self.lists[0][1].values())
+        cutoff = now() - self.faults.list_lag
+        while len(self.snapshots) > 1 and self.snapshots[1][0] <= cutoff:
+            self.snapshots.pop(0)
+        return list(self.snapshots[0][1].values())
 
 
 class PlatformHandler(RequestHandler):
@@ -127,13 +127,13 @@
     async def post(self, name):
         faults = self.platform.faults
         body = self.body()
-        if faults.take("refuse"):
+        if faults.consume_fault("refuse"):
             return self.hang_up()
         stream = self.platform.stream(name)
         offset = stream.append(body)
-        if faults.take("duplicate"):
+        if faults.consume_fault("duplicate"):
             stream.append(body)
-        if faults.take("lose_reply"):
+        if faults.consume_fault("lose_reply"):
             faults.down = faults.then_down
             return self.hang_up()
         return self.finish({"offset": offset})
@@ -141,35 +141,35 @@
     async def get(self, name):
         offset = int(self.get_argument("from"))
         limit = int(self.get_argument("limit", "500"))
-        wait = int(self.get_argument("wait_ms", "0")) / 1000
-        deadline = deadline_in(min(wait, LONGEST_POLL))
+        wait_seconds = int(self.get_argument("wait_ms", "0")) / 1000
+        deadline = deadline_in(min(wait_seconds, MAX_POLL_TIMEOUT))
         stream = self.platform.stream(name)
         if offset == NEWEST:
-            offset = stream.following
+            offset = stream.next_offset
         while True:
             if self.platform.faults.down:
                 raise HTTPError(503)
             stream = self.platform.stream(name)
-            if offset < stream.first:
+            if offset < stream.first_offset:
                 self.set_status(410)
-                return self.finish({"first": stream.first})
-            found, following = stream.since(offset, limit)
-            if found or not remaining(deadline):
-                return self.answer(stream, found, following)
-            await self.appended(stream, remaining(deadline))
+                return self.finish({"first": stream.first_offset})
+            page, next_offset = stream.read(offset, limit)
+            if page or not remaining(deadline):
+                return self.answer(stream, page, next_offset)
+            await self.wait_for_append(stream, remaining(deadline))
 
-    def answer(self, stream, found, following):
+    def answer(self, stream, page, next_offset):
         """Send the records found."""
-        records = [{"offset": offset, "body": body} for offset, _, body in found]
+        records = [{"offset": offset, "body": body} for offset, _, body in page]
         return self.finish(
-            {"records": records, "next": following, "first": stream.first}
+            {"records": records, "next": next_offset, "first": stream.first_offset}
         )
 
-    async def appended(self, stream, seconds):
+    async def wait_for_append(self, stream, seconds):
         """Wait until something is appended, at most that many seconds."""
         try:
             async with asyncio.timeout(seconds):
-                await stream.appended.wait()
+                await stream.append_event.wait()
         except TimeoutError:
             pass
 
@@ -178,14 +178,14 @@
     """``/instances`` and ``/instances/{name}``."""
 
     async def get(self, name=None):
-        await self.finish({"instances": self.platform.listed()})
+        await self.finish({"instances": self.platform.visible_instances()})
 
     async def put(self, name):
-        self.platform.registered(name, {**self.body(), "name": name})
+        self.platform.set_instance(name, {**self.body(), "name": name})
         await self.finish({})
 
     async def delete(self, name):
-        self.platform.registered(name, None)
+        self.platform.set_instance(name, None)
         await self.finish({})
 
 
@@ -193,15 +193,15 @@
     """``/weights/{model}/{version}``: one rate for all readers together."""
 
     async def get(self, model, version):
-        left = self.platform.faults.weights_bytes
+        unsent_bytes = self.platform.faults.weights_bytes
         self.platform.weights_served[f"{model}/{version}"] += 1
-        while left > 0:
-            size = min(CHUNK, left)
-            async with self.platform.store:
+        while unsent_bytes > 0:
+            size = min(CHUNK_BYTES, unsent_bytes)
+            async with self.platform.weights_lock:
                 await asyncio.sleep(size / self.platform.faults.weights_rate)
             self.write(b"w" * size)
             await self.flush()
-            left -= size
+            unsent_bytes -= size
         await self.finish()
 
 
@@ -211,7 +211,7 @@
     def initialize(self, platform):
         self.platform = platform
 
-    async def post(self, what):
+    async def post(self, resource):
         changes = json.loads(self.request.body)
         merged = {**self.platform.faults.model_dump(), **changes}
         try:
@@ -221,13 +221,15 @@
             return await self.finish({"error": str(error)})
         # Polls held open meet a new fault now, not when they would have ended.
         for stream in self.platform.streams.values():
-            stream.wake()
+            stream.notify_readers()
         return await self.finish(self.platform.faults.model_dump())
 
-    async def get(self, what):
+    async def get(self, resource):
         streams = {
-            name: [{"offset": offset, "body": body} for offset, _, body in item.records]
-            for name, item in self.platform.streams.items()
+            name: [
+                {"offset": offset, "body": body} for offset, _, body in stream.records
+            ]
+            for name, stream in self.platform.streams.items()
         }
         await self.finish(
             {
@@ -241,14 +243,14 @@
 
 def application(platform):
     """Return the Tornado application over a ``Platform``."""
-    state = {"platform": platform}
+    handler_arguments = {"platform": platform}
     return Application(
         [
-            (r"/log/([^/]+)", LogHandler, state),
-            (r"/instances", InstancesHandler, state),
-            (r"/instances/([^/]+)", InstancesHandler, state),
-            (r"/weights/([^/]+)/([^/]+)", WeightsHandler, state),
-            (r"/standin/(faults|truth)", StandinHandler, state),
+            (r"/log/([^/]+)", LogHandler, handler_arguments),
+            (r"/instances", InstancesHandler, handler_arguments),
+            (r"/instances/([^/]+)", InstancesHandler, handler_arguments),
+            (r"/weights/([^/]+)/([^/]+)", WeightsHandler, handler_arguments),
+            (r"/standin/(faults|truth)", StandinHandler, handler_arguments),
         ],
         log_function=lambda handler: None,
     )
@@ -257,7 +259,7 @@
 def start(port=0, host="127.0.0.1"):
     """Serve in the running loop; return ``(server, url, platform)``."""
     platform = Platform()
-    server = HTTPServer(application(platform), max_buffer_size=BODY_LIMIT)
+    server = HTTPServer(application(platform), max_buffer_size=MAX_BUFFER_BYTES)
     sockets = bind_sockets(port, host)
     server.add_sockets(sockets)
     return server, f"http://{host}:{sockets[0].getsockname()[1]}", platform
@@ -267,10 +269,10 @@
     """Serve until SIGTERM."""
     server, url, _ = start(port)
     print(json.dumps({"ready": True, "name": "platform", "url": url}), flush=True)
-    stopped = asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        asyncio.get_running_loop().add_signal_handler(number, stopped.set)
-    await stopped.wait()
+    stop_requested = asyncio.Event()
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        asyncio.get_running_loop().add_signal_handler(signal_number, stop_requested.set)
+    await stop_requested.wait()
     server.stop()
     await server.close_all_connections()
 
--- a/sassafrasdoor/standin/proxy.py
+++ b/sassafrasdoor/standin/proxy.py
@@ -15,7 +15,7 @@
 import tornado.web
 import typer
 
-CHUNK = 65536
+CHUNK_BYTES = 65536
 UP, DOWN = "up", "down"
 
 
@@ -40,7 +40,7 @@
     """Listens on a port of its own and passes bytes to ``target`` (host:port)."""
 
     __slots__ = (
-        "_open",
+        "_open_writers",
         "_server",
         "_tasks",
         "_thawed",
@@ -53,7 +53,7 @@
         self.target = target
         self.faults = Faults()
         self.accepted = 0
-        self._open = set()
+        self._open_writers = set()
         self._tasks = set()
         self._server = None
         self._thawed = asyncio.Event()
@@ -67,7 +67,9 @@
 
     async def open(self, port=0):
         """Start to listen; return the proxy."""
-        self._server = await asyncio.start_server(self._connected, "127.0.0.1", port)
+        self._server = await asyncio.start_server(
+            self._handle_connection, "127.0.0.1", port
+        )
         return self
 
     async def close(self):
@@ -81,7 +83,7 @@
 
     def cut(self):
         """Reset all open connections now."""
-        for writer in list(self._open):
+        for writer in list(self._open_writers):
             writer.transport.abort()
 
     def freeze(self):
@@ -107,50 +109,50 @@
         if document.get("cut"):
             self.cut()
 
-    async def _connected(self, reader, writer):
+    async def _handle_connection(self, reader, writer):
         self._tasks.add(asyncio.current_task())
         self.accepted += 1
-        self._open.add(writer)
+        self._open_writers.add(writer)
         try:
             if not self.faults.refuse:
-                await self._join(reader, writer)
+                await self._relay(reader, writer)
         except (OSError, asyncio.CancelledError):
             pass  # Either end or the proxy itself went away, as tests provoke.
         finally:
-            self._open.discard(writer)
+            self._open_writers.discard(writer)
             writer.transport.abort()
             self._tasks.discard(asyncio.current_task())
 
-    async def _join(self, reader, writer):
+    async def _relay(self, reader, writer):
         host, port = self.target.rsplit(":", 1)
-        far_reader, far_writer = await asyncio.open_connection(host, int(port))
-        self._open.add(far_writer)
-        pumps = [
-            asyncio.ensure_future(self._pump(reader, far_writer, UP)),
-            asyncio.ensure_future(self._pump(far_reader, writer, DOWN)),
+        target_reader, target_writer = await asyncio.open_connection(host, int(port))
+        self._open_writers.add(target_writer)
+        forwarders = [
+            asyncio.ensure_future(self._forward(reader, target_writer, UP)),
+            asyncio.ensure_future(self._forward(target_reader, writer, DOWN)),
         ]
         try:
-            await asyncio.wait(pumps, return_when=asyncio.FIRST_EXCEPTION)
+            await asyncio.wait(forwarders, return_when=asyncio.FIRST_EXCEPTION)
         finally:
-            for pump in pumps:
-                pump.cancel()
-            self._open.discard(far_writer)
-            far_writer.transport.abort()
-
-    async def _pump(self, reader, writer, direction):
-        passed = 0
-        while chunk := await reader.read(CHUNK):
+            for forwarder in forwarders:
+                forwarder.cancel()
+            self._open_writers.discard(target_writer)
+            target_writer.transport.abort()
+
+    async def _forward(self, reader, writer, direction):
+        forwarded_bytes = 0
+        while chunk := await reader.read(CHUNK_BYTES):
             if self.faults.delay:
                 await asyncio.sleep(self.faults.delay)
             await self._thawed.wait()
             if self.faults.blackhole == direction:
                 continue
             limit = self.faults.truncate if direction == DOWN else None
-            if limit is not None and passed + len(chunk) > limit:
-                writer.write(chunk[: limit - passed])
+            if limit is not None and forwarded_bytes + len(chunk) > limit:
+                writer.write(chunk[: limit - forwarded_bytes])
                 await writer.drain()
                 raise ConnectionAbortedError("truncated on purpose")
-            passed += len(chunk)
+            forwarded_bytes += len(chunk)
             writer.write(chunk)
             await writer.drain()
         with contextlib.suppress(OSError):
@@ -176,9 +178,11 @@
     application = tornado.web.Application([pattern])
     server = tornado.httpserver.HTTPServer(application)
     server.add_sockets(sockets)
-    commands = f"127.0.0.1:{sockets[0].getsockname()[1]}"
+    command_address = f"127.0.0.1:{sockets[0].getsockname()[1]}"
     print(
-        json.dumps({"ready": True, "address": proxy.address, "commands": commands}),
+        json.dumps(
+            {"ready": True, "address": proxy.address, "commands": command_address}
+        ),
         flush=True,
     )
     await asyncio.Event().wait()
--- a/sassafrasdoor/standin/service.py
+++ b/sassafrasdoor/standin/service.py
@@ -16,10 +16,10 @@
 from sassafrasdoor.standin import serving
 from sassafrasdoor.standin.serving import StandInHandler
 
-HALF_WITH_LENGTH = b'HTTP/1.1 200 OK\r\nContent-Length: 1000\r\n\r\n{"half":'
-HALF_WITHOUT_LENGTH = b'HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n{"half":'
-INTERIM = b"HTTP/1.1 100 Continue\r\n\r\n"
-REDIRECT_TO = "/redirected"
+PARTIAL_REPLY_WITH_LENGTH = b'HTTP/1.1 200 OK\r\nContent-Length: 1000\r\n\r\n{"half":'
+PARTIAL_REPLY_WITHOUT_LENGTH = b'HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n{"half":'
+INTERIM_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"
+REDIRECT_LOCATION = "/redirected"
 
 
 OPTIONS = {
@@ -50,7 +50,7 @@
 
     def handle_stream(self, stream, address):
         """Serve the connection, or hang up on it."""
-        if self.stand_in is not None and self.stand_in.take("hang_up_before"):
+        if self.stand_in is not None and self.stand_in.consume_fault("hang_up_before"):
             stream.close()
             return
         super().handle_stream(stream, address)
@@ -73,12 +73,12 @@
 
     def __init__(self, options, name):
         super().__init__(options, name)
-        self._places = asyncio.Semaphore(options.capacity)
+        self._slots = asyncio.Semaphore(options.capacity)
         self.delay = options.delay
         self.executions = []
         self.abandoned = 0
         self.running = 0
-        self._report = (now(), self.current_load())
+        self._load_report = (now(), self.current_load())
         self._listen(0)
 
     def current_load(self):
@@ -108,7 +108,7 @@
         """Run a request once and return the answer."""
         self.running += 1
         try:
-            async with self._places:
+            async with self._slots:
                 if self.delay:
                     await asyncio.sleep(self.delay)
         finally:
@@ -132,13 +132,13 @@
         self.address = f"{serving.HOST}:{sockets[0].getsockname()[1]}"
 
     def _application(self):
-        mine = {"server": self}
+        handler_arguments = {"server": self}
         return Application(
             [
-                ("/standin/faults", serving.FaultsHandler, mine),
-                ("/standin/truth", serving.TruthHandler, mine),
-                ("/load", serving.LoadHandler, mine),
-                ("/.*", CallHandler, mine),
+                ("/standin/faults", serving.FaultsHandler, handler_arguments),
+                ("/standin/truth", serving.TruthHandler, handler_arguments),
+                ("/load", serving.LoadHandler, handler_arguments),
+                ("/.*", CallHandler, handler_arguments),
             ],
             log_function=lambda handler: None,
         )
@@ -165,34 +165,34 @@
     async def prepare(self):
         """Run the request; the method handlers have nothing left to do."""
         answer = await self.server.execute(self.request)
-        for fault, play in self.FAULTS.items():
-            if self.server.take(fault):
-                await play(self)
+        for fault, inject in self.FAULTS.items():
+            if self.server.consume_fault(fault):
+                await inject(self)
                 return
         self.answer(answer)
 
     async def _hang_up(self):
         self.hang_up()
 
-    async def _raw(self, reply):
+    async def _send_raw(self, reply):
         stream = self.detach()
         await stream.write(reply)
         stream.close()
 
     async def _hang_up_middle(self):
-        await self._raw(HALF_WITH_LENGTH)
+        await self._send_raw(PARTIAL_REPLY_WITH_LENGTH)
 
     async def _cut_without_length(self):
-        await self._raw(HALF_WITHOUT_LENGTH)
+        await self._send_raw(PARTIAL_REPLY_WITHOUT_LENGTH)
 
     async def _interim(self):
-        await self._raw(INTERIM)
+        await self._send_raw(INTERIM_RESPONSE)
 
     async def _fail(self):
         self.answer({"reason": "failed"}, 500)
 
     async def _redirect(self):
-        self.redirect(REDIRECT_TO, status=307)
+        self.redirect(REDIRECT_LOCATION, status=307)
 
     async def _silent(self):
         self._auto_finish = False
@@ -214,6 +214,6 @@
     service = ServiceStandIn(options, name)
     service.start()
     serving.print_ready(name, service.address)
-    await serving.until_asked_to_stop()
+    await serving.wait_for_stop_signal()
     await service.leave()
     await service.close()
--- a/sassafrasdoor/standin/serving.py
+++ b/sassafrasdoor/standin/serving.py
@@ -15,9 +15,9 @@
 from sassafrasdoor.clock import now
 
 HOST = "127.0.0.1"
-REGISTER_RETRY = 0.2
-REGISTER_EVERY = 2.0
-DRAIN_POLL = 0.02
+REGISTER_RETRY_INTERVAL = 0.2
+REGISTER_INTERVAL = 2.0
+DRAIN_POLL_INTERVAL = 0.02
 
 
 class StandInHandler(RequestHandler):
@@ -47,7 +47,7 @@
 
     def get(self):
         """Return the lagging report."""
-        self.answer(self.server.load())
+        self.answer(self.server.load_report())
 
 
 class FaultsHandler(StandInHandler):
@@ -79,18 +79,18 @@
     def __init__(self, options, name):
         self._options = options
         self._tasks = []
-        self._report = (now(), {})
+        self._load_report = (now(), {})
         self.name = name
         self.address = ""
         self.server = None
         self.leaving = False
         self.counts = dict.fromkeys(self.COUNTED_FAULTS, 0)
 
-    def start(self, *work):
+    def start(self, *coroutines):
         """Start reporting, registering and ``work`` (coroutines)."""
-        jobs = [*work, self._report_load()]
+        jobs = [*coroutines, self._report_load()]
         if self._options.platform:
-            jobs.append(stay_registered(self._options.platform, self.describe))
+            jobs.append(keep_registered(self._options.platform, self.describe))
         self._tasks = [asyncio.ensure_future(job) for job in jobs]
 
     async def close(self):
@@ -107,7 +107,7 @@
         if self._options.platform:
             await put_instance(self._options.platform, self.describe())
         while self.is_busy():  # noqa: ASYNC110
-            await asyncio.sleep(DRAIN_POLL)
+            await asyncio.sleep(DRAIN_POLL_INTERVAL)
         if self._options.platform:
             self._tasks[-1].cancel()
             await delete_instance(self._options.platform, self.name)
@@ -140,12 +140,12 @@
         """Return the load of this moment, JSON-ready."""
         raise NotImplementedError
 
-    def load(self):
+    def load_report(self):
         """Return the lagging load report with its age."""
-        made, report = self._report
-        return {**report, "age_ms": round((now() - made) * 1000)}
+        created_at, report = self._load_report
+        return {**report, "age_ms": round((now() - created_at) * 1000)}
 
-    def take(self, fault):
+    def consume_fault(self, fault):
         """Use up one of a counted fault; say whether there was one."""
         if not self.counts[fault]:
             return False
@@ -163,7 +163,7 @@
 
     async def _report_load(self):
         while True:
-            self._report = (now(), self.current_load())
+            self._load_report = (now(), self.current_load())
             await asyncio.sleep(self._options.load_lag)
 
     def _fault_leaving(self, value):
@@ -175,25 +175,27 @@
     return json.dumps(document, separators=(",", ":")) + "\n"
 
 
-def listen(application, port=0, max_body=100_000_000):
+def listen(application, port=0, max_body_bytes=100_000_000):
     """Serve on a free port of the loopback; return ``(server, address)``."""
     sockets = bind_sockets(port, HOST)
-    server = HTTPServer(application, max_body_size=max_body)
+    server = HTTPServer(application, max_body_size=max_body_bytes)
     server.add_sockets(sockets)
     return server, f"{HOST}:{sockets[0].getsockname()[1]}"
 
 
 async def put_instance(platform, document):
     """Register once at the platform's instance list; say whether it took it."""
-    return await _instances(platform, document["name"], "PUT", json.dumps(document))
+    return await _send_registration(
+        platform, document["name"], "PUT", json.dumps(document)
+    )
 
 
 async def delete_instance(platform, name):
     """Leave the platform's instance list; say whether it took it."""
-    return await _instances(platform, name, "DELETE", None)
+    return await _send_registration(platform, name, "DELETE", None)
 
 
-async def _instances(platform, name, method, body):
+async def _send_registration(platform, name, method, body):
     request = HTTPRequest(
         f"{platform}/instances/{name}", method=method, body=body, request_timeout=2.0
     )
@@ -204,29 +206,31 @@
     return True
 
 
-async def stay_registered(platform, describe):
+async def keep_registered(platform, describe):
     """Register again and again: the list may have been down or replaced."""
     while True:
-        done = await put_instance(platform, describe())
-        await asyncio.sleep(REGISTER_EVERY if done else REGISTER_RETRY)
+        is_registered = await put_instance(platform, describe())
+        await asyncio.sleep(
+            REGISTER_INTERVAL if is_registered else REGISTER_RETRY_INTERVAL
+        )
 
 
-def print_ready(name, address, **more):
+def print_ready(name, address, **fields):
     """Print the line by which the starter knows that we serve."""
-    line = {"ready": True, "name": name, "address": address, **more}
+    line = {"ready": True, "name": name, "address": address, **fields}
     print(json.dumps(line), flush=True)
 
 
-async def until_asked_to_stop():
+async def wait_for_stop_signal():
     """Wait for SIGTERM or SIGINT; a second one ends the process at once."""
-    asked = asyncio.Event()
+    stop_requested = asyncio.Event()
 
     def stop():
-        if asked.is_set():
+        if stop_requested.is_set():
             os._exit(1)
-        asked.set()
+        stop_requested.set()
 
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop)
-    await asked.wait()
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop)
+    await stop_requested.wait()
--- a/sassafrasdoor/standin/streams.py
+++ b/sassafrasdoor/standin/streams.py
@@ -7,59 +7,66 @@
 from sassafrasdoor.clock import now
 
 FIRST_OFFSET = 1
-LONGEST_HOLE = 3
-HOLE_CHANCE = 0.1
+MAX_GAP = 3
+GAP_PROBABILITY = 0.1
 
 
 class Stream:
     """All records ever, as ``(offset, time, body)``, and how far they have expired."""
 
-    __slots__ = ("_holes", "appended", "first", "following", "records", "start")
+    __slots__ = (
+        "_gap_random",
+        "append_event",
+        "first_offset",
+        "next_offset",
+        "records",
+        "first_index",
+    )
 
     def __init__(self, name):
-        self._holes = random.Random(name)
+        self._gap_random = random.Random(name)
         self.records = []
-        self.start = 0
-        self.first = 0
-        self.following = FIRST_OFFSET
-        self.appended = asyncio.Event()
+        self.first_index = 0
+        self.first_offset = 0
+        self.next_offset = FIRST_OFFSET
+        self.append_event = asyncio.Event()
 
     def append(self, body):
         """Add a record and return its offset; sometimes a hole follows."""
-        offset = self.following
+        offset = self.next_offset
         self.records.append((offset, now(), body))
-        self.following += 1
-        if self._holes.random() < HOLE_CHANCE:
-            self.following += self._holes.randint(1, LONGEST_HOLE)
-        self.wake()
+        self.next_offset += 1
+        if self._gap_random.random() < GAP_PROBABILITY:
+            self.next_offset += self._gap_random.randint(1, MAX_GAP)
+        self.notify_readers()
         return offset
 
-    def wake(self):
+    def notify_readers(self):
         """Let everybody who waits for a record look again."""
-        self.appended.set()
-        self.appended = asyncio.Event()
+        self.append_event.set()
+        self.append_event = asyncio.Event()
 
     def expire(self, faults):
         """Forget what retention by count and age no longer keeps."""
         if faults.retain:
-            self.start = max(self.start, len(self.records) - faults.retain)
-        oldest = now() - faults.retain_seconds
+            self.first_index = max(self.first_index, len(self.records) - faults.retain)
+        cutoff = now() - faults.retain_seconds
         while (
             faults.retain_seconds
-            and self.start < len(self.records)
-            and self.records[self.start][1] < oldest
+            and self.first_index < len(self.records)
+            and self.records[self.first_index][1] < cutoff
         ):
-            self.start += 1
-        if self.start:
-            kept = self.records[self.start :]
-            self.first = kept[0][0] if kept else self.following
+            self.first_index += 1
+        if self.first_index:
+            kept = self.records[self.first_index :]
+            self.first_offset = kept[0][0] if kept else self.next_offset
 
-    def since(self, offset, limit):
+    def read(self, offset, limit):
         """Return up to ``limit`` records from ``offset`` on, and where to read on."""
-        low = bisect_left(
-            self.records, offset, lo=self.start, key=lambda record: record[0]
+        index = bisect_left(
+            self.records, offset, lo=self.first_index, key=lambda record: record[0]
         )
-        found = self.records[low : low + limit]
-        if len(found) == limit:
-            return found, found[-1][0] + 1
-        return found, max(offset, self.following)
+        page = self.records[index : index + limit]
+        if len(page) == limit:
+            return page, page[-1][0] + 1
+        return page, max(offset, self.next_offset)
--- a/sassafrasdoor/standin/tests/test_platform.py
+++ b/sassafrasdoor/standin/tests/test_platform.py
@@ -23,24 +23,24 @@
         request = HTTPRequest(url, method, body=body, request_timeout=20)
         return (await self.client.fetch(request)).body
 
-    async def names(self):
+    async def instance_names(self):
         listed = json.loads(await self.call("/instances"))["instances"]
         return [item["name"] for item in listed]
 
-    async def test_the_instance_list_lags(self):
+    async def test_instance_list_lags(self):
         async def lag(seconds):
             await self.call("/standin/faults", "POST", {"list_lag": seconds})
 
         await lag(3600)
         await self.call("/instances/one", "PUT", {"kind": "entry"})
-        self.assertEqual(await self.names(), [])
+        self.assertEqual(await self.instance_names(), [])
         await lag(0)
-        self.assertEqual(await self.names(), ["one"])
+        self.assertEqual(await self.instance_names(), ["one"])
         await lag(3600)
         await self.call("/instances/one", "DELETE")
-        self.assertEqual(await self.names(), ["one"])
+        self.assertEqual(await self.instance_names(), ["one"])
 
-    async def test_the_weight_store_is_rate_limited(self):
+    async def test_weight_store_is_rate_limited(self):
         limits = {"weights_bytes": 40_000, "weights_rate": 200_000}
         await self.call("/standin/faults", "POST", limits)
         started = now()
@@ -52,15 +52,17 @@
         for number in range(3):
             await self.call("/log/s", "POST", {"n": number})
         truth = json.loads(await self.call("/standin/truth"))
-        self.assertEqual([one["body"]["n"] for one in truth["streams"]["s"]], [0, 1, 2])
+        self.assertEqual(
+            [record["body"]["n"] for record in truth["streams"]["s"]], [0, 1, 2]
+        )
         with self.assertRaises(HTTPClientError) as gone:
             await self.call("/log/s?from=0")
         self.assertEqual(gone.exception.code, 410)
 
-    async def test_a_fault_that_does_not_exist_is_refused(self):
+    async def test_unknown_fault_is_refused(self):
         with self.assertRaises(HTTPClientError) as refused:
             await self.call("/standin/faults", "POST", {"dwon": True})
         self.assertEqual(refused.exception.code, 400)
 
-    async def test_it_ends_on_sigterm(self):
+    async def test_exits_on_sigterm(self):
         self.assertEqual(self.process.stop(), 0)
--- a/sassafrasdoor/standin/tests/test_proxy.py
+++ b/sassafrasdoor/standin/tests/test_proxy.py
@@ -34,7 +34,7 @@
         self.writer.write(b"hello")
         self.assertEqual(await self.reader.readexactly(5), b"hello")
 
-    async def test_frozen_bytes_arrive_after_the_thaw(self):
+    async def test_frozen_bytes_arrive_after_thaw(self):
         self.proxy.set({"freeze": True})
         self.writer.write(b"later")
         pending = asyncio.ensure_future(self.reader.readexactly(5))
@@ -43,7 +43,7 @@
         self.proxy.set({"freeze": False})
         self.assertEqual(await pending, b"later")
 
-    async def test_cuts_show_as_end_or_reset(self):
+    async def test_faults_end_or_reset_the_connection(self):
         for faults in ({"truncate": 2}, {"refuse": True}):
             with self.subTest(faults=faults):
                 self.proxy.set({"clear": True, **faults})
--- a/sassafrasdoor/weights/tests/test_rollout.py
+++ b/sassafrasdoor/weights/tests/test_rollout.py
@@ -217,7 +217,7 @@
     async def test_a_holder_that_was_fenced_off_stops(self):
         """Guards against repeated orders with a stale fencing number."""
         self.add()
-        await self.engines[0].order(9, MODEL, 0, "")
+        await self.engines[0].execute_order(9, MODEL, 0, "")
         self.engines[0].orders.clear()
         self.announce(1)
         holder = FakeHolder(5)
@@ -316,7 +316,7 @@
         busy, idle = self.engines
         busy.set_faults({"freeze": True})
         busy.admit({"stream": "s", "model": MODEL, "prompt": "", "max_tokens": 9})
-        await until(lambda: busy.load()["running"])
+        await until(lambda: busy.load_report()["running"])
         self.announce(2)
         await until(lambda: idle.orders[-1]["version"] == 2)
         self.assertNotEqual(busy.batch.versions[MODEL], 2)
