--- a/sassafrasdoor/load/report.py
+++ b/sassafrasdoor/load/report.py
@@ -53,7 +53,7 @@
             latency["p50"],
             latency["p99"],
         )
-        table.add_row(row["row"], outcomes, *[str(figure) for figure in values])
+        table.add_row(row["row"], outcomes, *[str(value) for value in values])
     return table
 
 
--- a/sassafrasdoor/standin/batch.py
+++ b/sassafrasdoor/standin/batch.py
@@ -144,15 +144,15 @@
 
     def access(self, prefix):
         """Return whether the prefix was held; it is afterwards."""
-        held = prefix in self._prefixes
+        is_cached = prefix in self._prefixes
         self._prefixes[prefix] = True
         self._prefixes.move_to_end(prefix)
-        if not held:
+        if not is_cached:
             self._publish(prefix, True)
         if len(self._prefixes) > self._max_prefixes:
             evicted, _ = self._prefixes.popitem(last=False)
             self._publish(evicted, False)
-        return held
+        return is_cached
 
     def events(self, first):
         """Return the published events from number ``first`` on."""
--- a/sassafrasdoor/standin/engine_handlers.py
+++ b/sassafrasdoor/standin/engine_handlers.py
@@ -200,8 +200,8 @@
         """Return the events from a number on."""
         first = int(self.get_argument("from", "0"))
         events = self.server.batch.cache.events(first)
-        following = events[-1]["number"] + 1 if events else first
-        self.answer({"events": events, "next": following})
+        next_number = events[-1]["number"] + 1 if events else first
+        self.answer({"events": events, "next": next_number})
 
 
 class KvHandler(StandInHandler):
--- a/sassafrasdoor/standin/service.py
+++ b/sassafrasdoor/standin/service.py
@@ -164,12 +164,12 @@
 
     async def prepare(self):
         """Run the request; the method handlers have nothing left to do."""
-        answer = await self.server.execute(self.request)
+        reply = await self.server.execute(self.request)
         for fault, inject in self.FAULTS.items():
             if self.server.consume_fault(fault):
                 await inject(self)
                 return
-        self.answer(answer)
+        self.answer(reply)
 
     async def _hang_up(self):
         self.hang_up()
--- a/sassafrasdoor/standin/tests/test_platform.py
+++ b/sassafrasdoor/standin/tests/test_platform.py
@@ -24,19 +24,19 @@
         return (await self.client.fetch(request)).body
 
     async def instance_names(self):
-        listed = json.loads(await self.call("/instances"))["instances"]
-        return [item["name"] for item in listed]
+        instances = json.loads(await self.call("/instances"))["instances"]
+        return [instance["name"] for instance in instances]
 
     async def test_instance_list_lags(self):
-        async def lag(seconds):
+        async def set_lag(seconds):
             await self.call("/standin/faults", "POST", {"list_lag": seconds})
 
-        await lag(3600)
+        await set_lag(3600)
         await self.call("/instances/one", "PUT", {"kind": "entry"})
         self.assertEqual(await self.instance_names(), [])
-        await lag(0)
+        await set_lag(0)
         self.assertEqual(await self.instance_names(), ["one"])
-        await lag(3600)
+        await set_lag(3600)
         await self.call("/instances/one", "DELETE")
         self.assertEqual(await self.instance_names(), ["one"])
 
@@ -47,7 +47,7 @@
         self.assertEqual(len(await self.call("/weights/m/3")), 40_000)
         self.assertGreater(now() - started, 0.15)
 
-    async def test_truth_keeps_what_has_expired(self):
+    async def test_truth_includes_expired_records(self):
         await self.call("/standin/faults", "POST", {"retain": 1})
         for number in range(3):
             await self.call("/log/s", "POST", {"n": number})
