--- a/sassafrasdoor/load/__init__.py
+++ b/sassafrasdoor/load/__init__.py
@@ -1,1 +1,1 @@
-"""Open-loop load on a running system, and its report."""
+"""Open-loop load generation on a running system, with a report."""
--- a/sassafrasdoor/load/arrivals.py
+++ b/sassafrasdoor/load/arrivals.py
@@ -1,8 +1,8 @@
-"""Arrival times of an open loop: they do not wait for answers.
+"""Arrival times of an open-loop load, independent of replies.
 
-A closed loop asks less often while answers are slow and so hides the delay that
-callers see (coordinated omission). Here every arrival is drawn beforehand and
-its latency counts from that time, however late it was really sent.
+A closed loop sends less while replies are slow, which hides the delay that callers see
+(coordinated omission). Here all arrivals are drawn beforehand, and latency counts from
+the arrival, however late the request was sent.
 """
 
 import random
--- a/sassafrasdoor/load/callers.py
+++ b/sassafrasdoor/load/callers.py
@@ -1,4 +1,4 @@
-"""Live applications of a load: discovery kept for a while, one task a request."""
+"""Callers of a load: cached discovery, one task for each request."""
 
 import asyncio
 import json
@@ -16,15 +16,15 @@
 MAX_LATENCY_MICROSECONDS = 120_000_000
 SIGNIFICANT_DIGITS = 3
 MICROSECONDS_PER_SECOND = 1_000_000
-DISCOVERY_TIMEOUT = 2.0
-CONNECT_TIMEOUT = 1.0
-REPLY_TIMEOUT_MARGIN = 5.0
-RETRY_INTERVAL = 0.05
+DISCOVERY_TIMEOUT = 2.0  # seconds
+CONNECT_TIMEOUT = 1.0  # seconds
+REPLY_TIMEOUT_MARGIN = 5.0  # seconds beyond the request's deadline
+RETRY_INTERVAL = 0.05  # seconds
 OUTCOME_OF_STATUS = {NO_REPLY: "no-reply", 502: "unknown", 503: "not-run"}
 
 
 class CallerResult:
-    """What one row's requests met: outcomes, latency, late answers."""
+    """Results of one row's requests: outcomes, latency, late answers."""
 
     __slots__ = ("answered_at", "histogram", "late", "outcomes", "row")
 
@@ -48,10 +48,10 @@
 
 
 class Addresses:
-    """The discovery answer of one row, asked again when it lapses.
+    """The discovered addresses of one row, refreshed when they expire.
 
-    An instance that does not reply is left out until the answer lapses, as a
-    caller that was told several addresses would do.
+    An instance that does not reply is left out until then, as by a caller that
+    received several addresses.
     """
 
     __slots__ = (
@@ -76,17 +76,17 @@
         self._expires_at = 0.0
 
     async def pick(self):
-        """Return one of the addresses known now."""
+        """Return a random address, after a refresh if the addresses have expired."""
         if not self._discovered or passed(self._expires_at):
             await self._discover()
         return self._generator.choice(self._discovered or self._seeds)
 
     def key(self, suffix):
-        """Return an idempotency key with the issued prefix known now, if any."""
+        """Return an idempotency key with the issued prefix, if there is one."""
         return self._key_prefix + suffix
 
     def drop(self, address):
-        """Leave out an address that gave no reply."""
+        """Leave out an address that did not reply."""
         self._discovered = [other for other in self._discovered if other != address]
 
     async def _discover(self):
@@ -109,7 +109,7 @@
 
 
 class CallerLoad:
-    """Sends one row's arrivals and collects the result."""
+    """Sends the requests of one row at their arrival times and collects the result."""
 
     __slots__ = ("_addresses", "_ca_file", "_http", "_profile", "_seed", "result")
 
@@ -122,8 +122,8 @@
         self.result = CallerResult(profile.row)
 
     async def run(self, duration):
-        """Send every arrival at its time; return the ``CallerResult``."""
-        await self._addresses.pick()  # So that the first arrivals have a key prefix.
+        """Send all requests at their arrival times; return the ``CallerResult``."""
+        await self._addresses.pick()  # The first arrivals need a key prefix.
         started = now()
         async with asyncio.TaskGroup() as tasks:
             for offset in arrivals(self._profile.rate, duration, self._seed):
@@ -143,7 +143,7 @@
         self.result.note(outcome, now() - arrived_at, late_after)
 
     async def _fetch_reply(self, key, deadline):
-        """Ask until an instance replies; the key lets any of them find the run."""
+        """Send until an instance replies; by the key, any of them finds the run."""
         while True:
             address = await self._addresses.pick()
             request = self._request(address, key, deadline)
--- a/sassafrasdoor/load/profile.py
+++ b/sassafrasdoor/load/profile.py
@@ -1,4 +1,4 @@
-"""The profile of a load: which rows call how often, and which trainers run."""
+"""The profile of a load: the callers' rows and rates, and the trainers."""
 
 import json
 from enum import StrEnum
@@ -9,20 +9,20 @@
 
 
 class Shape(StrEnum):
-    """What a caller asks for."""
+    """The kind of a caller's requests."""
 
     CALL = "call"
     GENERATE = "generate"
 
 
 class ProfileModel(BaseModel):
-    """A part of the profile; unknown keys are findings."""
+    """Base of the profile's models; unknown keys are reported as findings."""
 
     model_config = ConfigDict(extra="forbid", frozen=True, allow_inf_nan=False)
 
 
 class CallerProfile(ProfileModel):
-    """One row's open-loop arrivals: ``rate`` a second, late after so many ms."""
+    """One row's open-loop arrivals: ``rate`` a second, late after ``late_after_ms``."""
 
     row: str
     key: str
@@ -36,7 +36,7 @@
 
 
 class TrainerProfile(ProfileModel):
-    """One trainer's steps, run one after another."""
+    """One trainer's steps, run sequentially."""
 
     row: str
     key: str
@@ -47,7 +47,7 @@
 
 
 class Profile(ProfileModel):
-    """A whole load: a seed, a length in seconds, callers and trainers."""
+    """A complete load: seed, duration in seconds, callers and trainers."""
 
     seed: int = 1
     duration: float = Field(gt=0, le=3600)
--- a/sassafrasdoor/load/report.py
+++ b/sassafrasdoor/load/report.py
@@ -1,4 +1,4 @@
-"""The report of a load: a summary for scripts, a table for people, plots."""
+"""The report of a load: a JSON summary, tables for the terminal, plots."""
 
 import json
 import pathlib
@@ -11,7 +11,7 @@
 
 
 def summary(callers, trainers, duration):
-    """Return the whole result as a JSON-ready mapping."""
+    """Return the complete result as a JSON-serializable mapping."""
     return {
         "duration_seconds": duration,
         "callers": [_caller_summary(result, duration) for result in callers],
@@ -38,7 +38,7 @@
 
 
 def caller_table(document):
-    """Return the callers' part of a summary as a table for a terminal."""
+    """Return the callers of a summary as a terminal table."""
     table = Table(title="Applications")
     for heading in ("row", "outcomes", "late", "goodput/s", "p50 ms", "p99 ms"):
         table.add_column(heading)
@@ -58,7 +58,7 @@
 
 
 def trainer_table(document):
-    """Return the trainers' part of a summary as a table for a terminal."""
+    """Return the trainers of a summary as a terminal table."""
     table = Table(title="Trainers")
     columns = ("row", "steps", "samples", "duplicates", "missing")
     columns += ("idle_seconds", "largest_staleness", "regenerated")
--- a/sassafrasdoor/load/run.py
+++ b/sassafrasdoor/load/run.py
@@ -1,4 +1,4 @@
-"""A whole load: all its callers and trainers side by side."""
+"""Runs a complete load: all its callers and trainers concurrently."""
 
 import asyncio
 
--- a/sassafrasdoor/load/tests/test_load.py
+++ b/sassafrasdoor/load/tests/test_load.py
@@ -1,4 +1,4 @@
-"""The load tool: arrivals repeat with their seed, profiles report all findings."""
+"""Tests of the load tool's arrivals, results and profiles."""
 
 import unittest
 
--- a/sassafrasdoor/load/trainers.py
+++ b/sassafrasdoor/load/trainers.py
@@ -1,4 +1,4 @@
-"""Trainers of a load: their steps one after another, through the client library."""
+"""Trainers of a load: sequential steps through the client library."""
 
 import random
 
@@ -9,7 +9,7 @@
 
 
 class TrainerLoad:
-    """Runs one trainer's steps and adds up its reports."""
+    """Runs one trainer's steps and summarizes their reports."""
 
     __slots__ = ("_profile", "_seed", "trainer")
 
@@ -19,7 +19,7 @@
         self.trainer = Trainer(seeds, profile.row, profile.key, ca_file=ca_file)
 
     async def run(self):
-        """Run all steps; return their summary, JSON-ready."""
+        """Run all steps; return their summary as a JSON-serializable mapping."""
         reports = []
         try:
             for number in range(self._profile.steps):
@@ -52,7 +52,7 @@
 
 
 def summary(row, reports, expected):
-    """Return what the steps of one trainer came to."""
+    """Return the totals of one trainer's steps."""
     delivered = sum(report.samples for _, report in reports)
     return {
         "row": row,
