--- a/sassafrasdoor/standin/__init__.py
+++ b/sassafrasdoor/standin/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the platform and backend servers, and a fault proxy."""
+"""Stand-ins for the platform and backend servers, and a fault-injecting proxy."""
--- a/sassafrasdoor/standin/engine.py
+++ b/sassafrasdoor/standin/engine.py
@@ -1,10 +1,10 @@
-"""A stand-in for a model engine: the wire of ``docs/INTERNALS.md``, with faults.
+"""A stand-in for a model engine: the protocol of ``docs/INTERNALS.md``, with faults.
 
-``POST /standin/faults`` takes numbers of times to come for ``fail_before`` and
-``fail_after`` (the first byte of a stream), ``truncate``, ``fail_swaps``,
-``late_swaps``, ``false_swaps`` (success reported, nothing done) and
-``lost_order_replies``; and values for ``freeze``, ``slow`` (a factor), ``leaving``,
-``silence`` (connections open now say nothing more) and ``crash``.
+``POST /standin/faults`` sets how often each of these faults is injected next:
+``fail_before`` and ``fail_after`` (the first byte of a stream), ``truncate``,
+``fail_swaps``, ``late_swaps``, ``false_swaps`` (success reported, nothing done) and
+``lost_order_replies``. It sets values for ``freeze``, ``slow`` (a factor), ``leaving``,
+``silence`` (connections open now send nothing more) and ``crash``.
 """
 
 import asyncio
@@ -24,7 +24,7 @@
     handlers,
 )
 
-WEIGHTS_TIMEOUT = 600.0
+WEIGHTS_TIMEOUT = 600.0  # seconds
 
 
 OPTIONS = {
@@ -64,7 +64,7 @@
 
 
 class EngineStandIn(serving.StandIn):
-    """One engine: its batch, the orders it was given and the faults it plays."""
+    """One engine: its batch, the orders that it received and its injected faults."""
 
     KIND = "engine"
     COUNTED_FAULTS = (
@@ -89,15 +89,15 @@
         self._load_report = (now(), self.current_load())
 
     def start(self):
-        """Start generating, reporting and registering."""
+        """Start generation, load reports and registration."""
         super().start(self.batch.run())
 
     def models(self):
-        """Return the names of the models that it holds."""
+        """Return the names of the loaded models."""
         return list(self.batch.versions)
 
     def current_load(self):
-        """Return the load of this moment, JSON-ready."""
+        """Return the current load as a JSON-serializable mapping."""
         return {
             "running": len(self.batch.running),
             "queued": self.batch.queued,
@@ -108,7 +108,7 @@
         }
 
     def admit(self, document):
-        """Return the stream of that id, a new one, or the reason for a refusal."""
+        """Return the existing or a new stream, or the reason for a refusal (``str``)."""
         stream = self.batch.streams.get(document["stream"])
         if stream is not None:
             return stream
@@ -123,7 +123,7 @@
         return self.batch.start(document)
 
     def truth(self):
-        """Return which versions made which tokens, and how often streams started."""
+        """Return the executions of each stream, the versions, the orders and the fence."""
         streams = {
             name: {
                 **executions[-1].record(),
@@ -140,7 +140,7 @@
         }
 
     async def execute_order(self, fence, model, version, role):
-        """Carry out an order; return whether its fencing number was accepted."""
+        """Execute an order; return whether its fencing number was accepted."""
         record = {"fence": fence, "model": model, "version": version, "applied": False}
         self.orders.append(record)
         if self._options.checks_fencing and fence < self.fence:
@@ -175,8 +175,8 @@
             return
         url = f"{self._options.weights_url}/weights/{model}/{version}"
         request = HTTPRequest(url, connect_timeout=5.0, request_timeout=WEIGHTS_TIMEOUT)
-        # An instance of its own: the shared one fetches ten at once at most, for
-        # all the engines of this process together.
+        # The shared client would limit all engines of this process together to ten
+        # concurrent fetches.
         client = SimpleAsyncHTTPClient(force_instance=True)
         try:
             await client.fetch(request)
@@ -197,17 +197,17 @@
         self.batch.slowdown = float(value)
 
     def _fault_silence(self, value):
-        """Connections open now go silent for good; new ones work."""
+        """Stop sending on the connections open now, for good; new ones work."""
         self.silenced_at = now()
 
     @property
     def order_reply_delay(self):
-        """Seconds by which a late order reply is late."""
+        """Delay of an order reply by ``late_swaps``, in seconds."""
         return self._options.late
 
 
 async def serve(options, name, count):
-    """Serve ``count`` engines in this process until asked to stop."""
+    """Serve ``count`` engines in this process until a stop signal."""
     names = [name] if count == 1 else [f"{name}-{number}" for number in range(count)]
     engines = [EngineStandIn(options, engine_name) for engine_name in names]
     for engine in engines:
--- a/sassafrasdoor/standin/engine_handlers.py
+++ b/sassafrasdoor/standin/engine_handlers.py
@@ -1,4 +1,4 @@
-"""The HTTP side of the engine stand-in, with the faults of its connections."""
+"""HTTP handlers of the engine stand-in, with its connection faults."""
 
 import asyncio
 import contextlib
@@ -10,11 +10,11 @@
 from sassafrasdoor.standin.serving import StandInHandler
 
 HANG_UP_BEFORE, HANG_UP_AFTER, TRUNCATE = "fail_before", "fail_after", "truncate"
-CONNECTION_CHECK_INTERVAL = 0.2
+CONNECTION_CHECK_INTERVAL = 0.2  # seconds
 
 
 def handlers(server):
-    """Return the routes of an engine stand-in."""
+    """Return the URL patterns of an engine stand-in."""
     handler_arguments = {"server": server}
     return [
         ("/streams", StreamsHandler, handler_arguments),
@@ -34,11 +34,11 @@
     _is_disconnected = False
 
     def on_connection_close(self):
-        """End the reply; the stream itself goes on."""
+        """End the reply; the stream keeps generating."""
         self._is_disconnected = True
 
     def get(self):
-        """List the streams under a prefix."""
+        """List the streams whose ids start with a prefix."""
         prefix = self.get_argument("prefix", "")
         matches = [
             {"stream": name, "offset": stream.offset, "done": stream.done}
@@ -48,7 +48,7 @@
         self.answer({"streams": matches})
 
     async def post(self):
-        """Start or resume a stream and send its chunks from the offset on."""
+        """Start or resume a stream and send its chunks from the offset."""
         document = self.document()
         if self.server.consume_fault(HANG_UP_BEFORE):
             self.hang_up()
@@ -119,7 +119,7 @@
 
 
 def merge_chunks(chunks):
-    """Join neighbouring chunks of one version into one."""
+    """Merge adjacent chunks of the same version."""
     merged = []
     for first, text, tokens, version in chunks:
         if merged and merged[-1][3] == version:
@@ -131,7 +131,7 @@
 
 
 def chunk_line(chunk, offset):
-    """Return the wire line of a chunk from ``offset`` on, empty if all before."""
+    """Return the NDJSON line of a chunk from ``offset``, empty if it ends before."""
     first, text, tokens, version = chunk
     skipped = max(0, offset - first)
     if skipped >= tokens:
@@ -147,7 +147,7 @@
 
 
 def done_line(stream):
-    """Return the last line of a whole reply."""
+    """Return the last line of a complete reply."""
     return serving.json_line(
         {"done": True, "length": stream.length, "spans": stream.spans}
     )
@@ -157,16 +157,16 @@
     """Cancels a stream."""
 
     def delete(self, name):
-        """Cancel and forget the stream."""
+        """Cancel and remove the stream."""
         self.server.batch.cancel(name)
         self.answer({})
 
 
 class OrdersHandler(StandInHandler):
-    """Takes orders to be at a version and in a role."""
+    """Accepts orders to change the weights version and the role."""
 
     async def post(self):
-        """Carry out the order; reply when done."""
+        """Execute the order and reply when it is done."""
         order = self.document()
         server = self.server
         try:
@@ -194,10 +194,10 @@
 
 
 class CacheEventsHandler(StandInHandler):
-    """Publishes cache events late and with gaps."""
+    """Returns the delayed and incomplete cache events."""
 
     def get(self):
-        """Return the events from a number on."""
+        """Return the events from number ``from``, and the number to read next."""
         first = int(self.get_argument("from", "0"))
         events = self.server.batch.cache.events(first)
         next_number = events[-1]["number"] + 1 if events else first
@@ -208,7 +208,7 @@
     """Exports and imports the KV cache of a stream."""
 
     def post(self, action):
-        """Export or import."""
+        """Export the KV cache of a stream, or accept one."""
         document = self.document()
         if action == "import":
             self.server.batch.imported.add(document["stream"])
--- a/sassafrasdoor/standin/platform.py
+++ b/sassafrasdoor/standin/platform.py
@@ -1,8 +1,8 @@
 """A stand-in for the platform: log, instance list and weight store, with faults.
 
-Speaks the wire of ``docs/INTERNALS.md``. Holds everything in memory; for tests and
-the demo only. ``POST /standin/faults`` sets faults, ``GET /standin/truth`` returns
-every record ever appended and how often each kind of call came.
+Implements the protocol of ``docs/INTERNALS.md`` in memory, for tests and the demo
+only. ``POST /standin/faults`` sets faults, ``GET /standin/truth`` returns all records
+ever appended and the number of calls of each kind.
 """
 
 import asyncio
@@ -18,20 +18,20 @@
 from sassafrasdoor.clock import deadline_in, now, remaining
 from sassafrasdoor.standin.streams import Stream
 
-MAX_POLL_TIMEOUT = 30.0
+MAX_POLL_TIMEOUT = 30.0  # seconds
 MAX_BUFFER_BYTES = 8_000_000
 CHUNK_BYTES = 16_384
-NEWEST = -1
+NEWEST = -1  # offset in a request: the next record to be appended
 
 
 class Faults(BaseModel):
-    """What goes wrong now; counts are of the next appends, times in their unit.
+    """The active faults; a count applies to the next appends.
 
-    ``lose_reply``: takes effect, the connection closes without a reply;
-    ``then_down``: and with that the platform goes down.
-    ``refuse``: closes likewise but without effect, so a client can't tell.
-    ``duplicate``: written twice. ``retain``: records kept (0: all).
-    ``retain_seconds``: age kept (0: any).
+    ``lose_reply``: the append takes effect, the connection closes without a reply;
+    ``then_down``: and the platform goes down with it.
+    ``refuse``: the connection closes likewise, but the append has no effect; a client
+    cannot tell the two apart. ``duplicate``: the record is appended twice.
+    ``retain``: records kept (0: all). ``retain_seconds``: maximum age (0: unlimited).
     """
 
     model_config = ConfigDict(extra="forbid", validate_assignment=True)
@@ -49,7 +49,7 @@
     weights_rate: float = Field(default=10_000_000, gt=0)
 
     def consume_fault(self, name):
-        """Use up one of the counted faults; say whether there was one."""
+        """Decrement the count of a fault; return whether it was above zero."""
         count = getattr(self, name)
         if count:
             setattr(self, name, count - 1)
@@ -57,7 +57,7 @@
 
 
 class Platform:
-    """The state behind the handlers."""
+    """The state of the platform, shared by its handlers."""
 
     def __init__(self):
         self.faults = Faults()
@@ -69,13 +69,13 @@
         self.weights_lock = asyncio.Lock()
 
     def stream(self, name):
-        """Return the stream of that name, expired up to now."""
+        """Return the stream of that name, without its expired records."""
         stream = self.streams.setdefault(name, Stream(name))
         stream.expire(self.faults)
         return stream
 
     def set_instance(self, name, instance):
-        """Change the list; readers see it after its lag."""
+        """Add, replace or (``None``) remove an entry; visible after ``list_lag``."""
         if instance is None:
             self.instances.pop(name, None)
         else:
@@ -83,7 +83,7 @@
         self.snapshots.append((now(), dict(self.instances)))
 
     def visible_instances(self):
-        """Return the instances as they stood ``list_lag`` seconds ago."""
+        """Return the instances as they were ``list_lag`` seconds ago."""
         cutoff = now() - self.faults.list_lag
         while len(self.snapshots) > 1 and self.snapshots[1][0] <= cutoff:
             self.snapshots.pop(0)
@@ -91,7 +91,7 @@
 
 
 class PlatformHandler(RequestHandler):
-    """Applies the faults that meet every call of the platform."""
+    """Base of handlers; applies the faults that affect all calls."""
 
     def initialize(self, platform):
         self.platform = platform
@@ -104,7 +104,7 @@
             raise HTTPError(503)
 
     def body(self):
-        """Return the JSON object sent, or answer 400."""
+        """Return the JSON object of the request; raise ``HTTPError(400)`` for others."""
         try:
             document = json.loads(self.request.body)
         except ValueError as error:
@@ -114,11 +114,11 @@
         return document
 
     def hang_up(self):
-        """Close the connection with no reply."""
+        """Close the connection without a reply."""
         self.request.connection.stream.close()
 
     def log_exception(self, *exception):
-        """Faults are wanted here: no traceback."""
+        """Log nothing: errors are injected on purpose."""
 
 
 class LogHandler(PlatformHandler):
@@ -159,14 +159,14 @@
             await self.wait_for_append(stream, remaining(deadline))
 
     def answer(self, stream, page, next_offset):
-        """Send the records found."""
+        """Send a page of records."""
         records = [{"offset": offset, "body": body} for offset, _, body in page]
         return self.finish(
             {"records": records, "next": next_offset, "first": stream.first_offset}
         )
 
     async def wait_for_append(self, stream, seconds):
-        """Wait until something is appended, at most that many seconds."""
+        """Wait for an append, at most that many seconds."""
         try:
             async with asyncio.timeout(seconds):
                 await stream.append_event.wait()
@@ -190,7 +190,7 @@
 
 
 class WeightsHandler(PlatformHandler):
-    """``/weights/{model}/{version}``: one rate for all readers together."""
+    """``/weights/{model}/{version}``: all readers share one rate."""
 
     async def get(self, model, version):
         unsent_bytes = self.platform.faults.weights_bytes
@@ -206,7 +206,7 @@
 
 
 class StandinHandler(RequestHandler):
-    """``/standin/faults`` and ``/standin/truth``; never faulty themselves."""
+    """``/standin/faults`` and ``/standin/truth``; exempt from faults."""
 
     def initialize(self, platform):
         self.platform = platform
@@ -219,7 +219,7 @@
         except ValidationError as error:
             self.set_status(400)
             return await self.finish({"error": str(error)})
-        # Polls held open meet a new fault now, not when they would have ended.
+        # Open polls must see a new fault immediately, not at their timeout.
         for stream in self.platform.streams.values():
             stream.notify_readers()
         return await self.finish(self.platform.faults.model_dump())
@@ -242,7 +242,7 @@
 
 
 def application(platform):
-    """Return the Tornado application over a ``Platform``."""
+    """Return the Tornado application of a ``Platform``."""
     handler_arguments = {"platform": platform}
     return Application(
         [
@@ -266,7 +266,7 @@
 
 
 async def serve(port):
-    """Serve until SIGTERM."""
+    """Serve until SIGTERM or SIGINT."""
     server, url, _ = start(port)
     print(json.dumps({"ready": True, "name": "platform", "url": url}), flush=True)
     stop_requested = asyncio.Event()
--- a/sassafrasdoor/standin/proxy.py
+++ b/sassafrasdoor/standin/proxy.py
@@ -1,9 +1,9 @@
-"""A small TCP proxy that injects faults between two real processes.
+"""A TCP proxy that injects faults between two processes.
 
-Faults are switched while connections are open: ``delay`` (seconds for each
-chunk), ``freeze`` (nothing moves, connections stay), ``blackhole`` (``up`` or
-``down``: that direction is read and thrown away), ``truncate`` (cut after that
-many bytes towards the client), ``refuse`` (new connections are closed).
+Faults also apply to open connections: ``delay`` (seconds for each chunk), ``freeze``
+(nothing is forwarded, connections stay open), ``blackhole`` (``up`` or ``down``: that
+direction is read and discarded), ``truncate`` (connection closed after that many bytes
+towards the client), ``refuse`` (new connections are closed).
 """
 
 import asyncio
@@ -20,7 +20,7 @@
 
 
 class Faults:
-    """The faults now switched on; the defaults do no harm."""
+    """The active faults; by default none."""
 
     __slots__ = ("blackhole", "delay", "freeze", "refuse", "truncate")
 
@@ -28,7 +28,7 @@
         self.clear()
 
     def clear(self):
-        """Switch every fault off."""
+        """Clear all faults."""
         self.blackhole = ""
         self.delay = 0.0
         self.freeze = False
@@ -37,7 +37,7 @@
 
 
 class Proxy:
-    """Listens on a port of its own and passes bytes to ``target`` (host:port)."""
+    """Listens on its own port and forwards bytes to and from ``target`` (host:port)."""
 
     __slots__ = (
         "_open_writers",
@@ -61,19 +61,19 @@
 
     @property
     def address(self):
-        """The proxy's own ``host:port``."""
+        """The ``host:port`` that the proxy listens on."""
         host, port = self._server.sockets[0].getsockname()[:2]
         return f"{host}:{port}"
 
     async def open(self, port=0):
-        """Start to listen; return the proxy."""
+        """Start listening; return the proxy."""
         self._server = await asyncio.start_server(
             self._handle_connection, "127.0.0.1", port
         )
         return self
 
     async def close(self):
-        """Stop listening and cut every connection."""
+        """Stop listening and reset all connections."""
         self._server.close()
         self.cut()
         tasks = list(self._tasks)
@@ -82,22 +82,22 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
     def cut(self):
-        """Reset all open connections now."""
+        """Reset all open connections."""
         for writer in list(self._open_writers):
             writer.transport.abort()
 
     def freeze(self):
-        """Let nothing pass in either direction; connections stay open."""
+        """Stop forwarding in both directions; connections stay open."""
         self.faults.freeze = True
         self._thawed.clear()
 
     def thaw(self):
-        """Let bytes pass again, those held back first."""
+        """Forward again, the bytes held back first."""
         self.faults.freeze = False
         self._thawed.set()
 
     def set(self, document):
-        """Apply a mapping of faults, as the command port receives it."""
+        """Apply a mapping of faults, as received on the command port."""
         if document.get("clear"):
             self.faults.clear()
             self.thaw()
@@ -117,7 +117,7 @@
             if not self.faults.refuse:
                 await self._relay(reader, writer)
         except (OSError, asyncio.CancelledError):
-            pass  # Either end or the proxy itself went away, as tests provoke.
+            pass  # An end disconnected or the proxy closed, as tests provoke.
         finally:
             self._open_writers.discard(writer)
             writer.transport.abort()
@@ -160,7 +160,7 @@
 
 
 class FaultsHandler(tornado.web.RequestHandler):
-    """``POST /standin/faults``: switch the proxy's faults."""
+    """``POST /standin/faults``: changes the proxy's faults."""
 
     def initialize(self, proxy):
         self._proxy = proxy
--- a/sassafrasdoor/standin/service.py
+++ b/sassafrasdoor/standin/service.py
@@ -1,9 +1,10 @@
-"""A stand-in for a plain service: it counts every execution, and plays faults.
+"""A stand-in for a plain service: it records every execution and injects faults.
 
-``POST /standin/faults`` takes numbers of times to come for ``hang_up_before`` (it
-reads), ``hang_up`` (having run), ``hang_up_middle`` and ``cut_without_length`` (of
-the reply), ``fail``, ``silent``, ``redirect`` and ``interim``; and values for
-``refuse``, ``delay`` (seconds) and ``leaving``.
+``POST /standin/faults`` sets how often each of these faults is injected next:
+``hang_up_before`` (before the request is read), ``hang_up`` (after the execution),
+``hang_up_middle`` and ``cut_without_length`` (within the reply), ``fail``, ``silent``,
+``redirect`` and ``interim``. It sets values for ``refuse``, ``delay`` (seconds) and
+``leaving``.
 """
 
 import asyncio
@@ -44,12 +45,12 @@
 
 
 class ServiceServer(HTTPServer):
-    """An HTTP server that may close a new connection before it reads from it."""
+    """An HTTP server that can close a new connection before it reads from it."""
 
     stand_in = None
 
     def handle_stream(self, stream, address):
-        """Serve the connection, or hang up on it."""
+        """Serve the connection, or close it as a fault."""
         if self.stand_in is not None and self.stand_in.consume_fault("hang_up_before"):
             stream.close()
             return
@@ -57,7 +58,7 @@
 
 
 class ServiceStandIn(serving.StandIn):
-    """One plain service: what it ran and the faults it plays."""
+    """One plain service: its executions and its injected faults."""
 
     KIND = "service"
     COUNTED_FAULTS = (
@@ -82,7 +83,7 @@
         self._listen(0)
 
     def current_load(self):
-        """Return the load of this moment, JSON-ready."""
+        """Return the current load as a JSON-serializable mapping."""
         return {
             "running": self.running,
             "queued": 0,
@@ -93,7 +94,7 @@
         }
 
     def truth(self):
-        """Return every execution in order, and how many each request had."""
+        """Return all executions in order, and their number for each request."""
         by_request = {}
         for request_id in self.executions:
             by_request[request_id] = by_request.get(request_id, 0) + 1
@@ -105,7 +106,7 @@
         }
 
     async def execute(self, request):
-        """Run a request once and return the answer."""
+        """Execute a request and return the body of the reply."""
         self.running += 1
         try:
             async with self._slots:
@@ -154,16 +155,16 @@
 
 
 class CallHandler(StandInHandler):
-    """Any method and path: runs once, then answers or plays a fault."""
+    """Any method and path: executes once, then replies or injects a fault."""
 
     SUPPORTED_METHODS = ("GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS")
 
     def on_connection_close(self):
-        """Count callers that left before the reply."""
+        """Count the requests whose caller disconnected before the reply."""
         self.server.abandoned += 1
 
     async def prepare(self):
-        """Run the request; the method handlers have nothing left to do."""
+        """Execute the request and reply, before a method handler would run."""
         reply = await self.server.execute(self.request)
         for fault, inject in self.FAULTS.items():
             if self.server.consume_fault(fault):
@@ -210,7 +211,7 @@
 
 
 async def serve(options, name):
-    """Serve one service in this process until asked to stop."""
+    """Serve one service in this process until a stop signal."""
     service = ServiceStandIn(options, name)
     service.start()
     serving.print_ready(name, service.address)
--- a/sassafrasdoor/standin/serving.py
+++ b/sassafrasdoor/standin/serving.py
@@ -1,4 +1,4 @@
-"""What the stand-ins of backend servers share: listening, registering, ending."""
+"""Shared parts of the backend servers' stand-ins: serving, registration, shutdown."""
 
 import asyncio
 import json
@@ -15,62 +15,62 @@
 from sassafrasdoor.clock import now
 
 HOST = "127.0.0.1"
-REGISTER_RETRY_INTERVAL = 0.2
-REGISTER_INTERVAL = 2.0
-DRAIN_POLL_INTERVAL = 0.02
+REGISTER_RETRY_INTERVAL = 0.2  # seconds
+REGISTER_INTERVAL = 2.0  # seconds
+DRAIN_POLL_INTERVAL = 0.02  # seconds
 
 
 class StandInHandler(RequestHandler):
-    """A handler with ``self.server`` (the stand-in) and JSON both ways."""
+    """Base of handlers with JSON bodies; ``self.server`` is the stand-in."""
 
     def initialize(self, server):
-        """Keep the stand-in that this handler serves."""
+        """Store the stand-in that this handler serves."""
         self.server = server
 
     def document(self):
-        """Return the JSON body of the request."""
+        """Return the decoded JSON body of the request."""
         return json_decode(self.request.body or b"{}")
 
     def answer(self, document, status=200):
-        """Send a JSON reply and end it."""
+        """Send a JSON reply and finish the request."""
         self.set_status(status)
         self.finish(document)
 
     def hang_up(self):
-        """Close the connection without a further byte."""
+        """Close the connection without sending more bytes."""
         if not self._finished:
             self.detach().close()
 
 
 class LoadHandler(StandInHandler):
-    """``GET /load``: the load of a moment ago."""
+    """``GET /load``: the last load report."""
 
     def get(self):
-        """Return the lagging report."""
+        """Return the last load report, with its age."""
         self.answer(self.server.load_report())
 
 
 class FaultsHandler(StandInHandler):
-    """``POST /standin/faults`` sets the faults named in its body."""
+    """``POST /standin/faults``: sets the faults named in its body."""
 
     def post(self):
-        """Hand each fault to the stand-in."""
+        """Set the faults on the stand-in."""
         self.answer(self.server.set_faults(self.document()))
 
 
 class TruthHandler(StandInHandler):
-    """``GET /standin/truth``: what truly happened."""
+    """``GET /standin/truth``: the actual history, for tests."""
 
     def get(self):
-        """Return the stand-in's own record."""
+        """Return the history that the stand-in recorded."""
         self.answer(self.server.truth())
 
 
 class StandIn:
-    """A backend server that registers, reports its load and plays faults.
+    """A backend server that registers, reports its load and injects faults.
 
-    ``counts`` holds how many times to come each of ``COUNTED_FAULTS`` is played;
-    any other fault ``x`` is handed to ``_fault_x``.
+    ``counts`` holds how many more times each of ``COUNTED_FAULTS`` is injected; any
+    other fault ``x`` is set by ``_fault_x``.
     """
 
     KIND = ""
@@ -87,14 +87,14 @@
         self.counts = dict.fromkeys(self.COUNTED_FAULTS, 0)
 
     def start(self, *coroutines):
-        """Start reporting, registering and ``work`` (coroutines)."""
+        """Start load reports, registration and ``coroutines``."""
         jobs = [*coroutines, self._report_load()]
         if self._options.platform:
             jobs.append(keep_registered(self._options.platform, self.describe))
         self._tasks = [asyncio.ensure_future(job) for job in jobs]
 
     async def close(self):
-        """Stop at once."""
+        """Stop immediately, with all connections."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -102,7 +102,7 @@
         await self.server.close_all_connections()
 
     async def leave(self):
-        """Take no new work, finish what runs, leave the instance list."""
+        """Announce the departure, finish the accepted work and deregister."""
         self.leaving = True
         if self._options.platform:
             await put_instance(self._options.platform, self.describe())
@@ -113,7 +113,7 @@
             await delete_instance(self._options.platform, self.name)
 
     def describe(self):
-        """Return this server as the instance list holds it."""
+        """Return the entry of this server in the instance list."""
         return {
             "name": self.name,
             "kind": self.KIND,
@@ -128,32 +128,32 @@
         }
 
     def is_busy(self):
-        """Whether work runs or waits."""
+        """Whether work is running or queued."""
         load = self.current_load()
         return bool(load["running"] or load["queued"])
 
     def models(self):
-        """Return the names of the models that it holds."""
+        """Return the names of the loaded models."""
         return []
 
     def current_load(self):
-        """Return the load of this moment, JSON-ready."""
+        """Return the current load as a JSON-serializable mapping."""
         raise NotImplementedError
 
     def load_report(self):
-        """Return the lagging load report with its age."""
+        """Return the last load report with its age."""
         created_at, report = self._load_report
         return {**report, "age_ms": round((now() - created_at) * 1000)}
 
     def consume_fault(self, fault):
-        """Use up one of a counted fault; say whether there was one."""
+        """Decrement the count of a fault; return whether it was above zero."""
         if not self.counts[fault]:
             return False
         self.counts[fault] -= 1
         return True
 
     def set_faults(self, faults):
-        """Set the faults named; counted ones are numbers of times to come."""
+        """Set the named faults; for a counted one, how often it is injected next."""
         for name, value in faults.items():
             if name in self.counts:
                 self.counts[name] = value
@@ -171,12 +171,12 @@
 
 
 def json_line(document):
-    """Return a document as a line of NDJSON."""
+    """Return a document as an NDJSON line."""
     return json.dumps(document, separators=(",", ":")) + "\n"
 
 
 def listen(application, port=0, max_body_bytes=100_000_000):
-    """Serve on a free port of the loopback; return ``(server, address)``."""
+    """Serve on the loopback (port 0: a free one); return ``(server, address)``."""
     sockets = bind_sockets(port, HOST)
     server = HTTPServer(application, max_body_size=max_body_bytes)
     server.add_sockets(sockets)
@@ -184,14 +184,14 @@
 
 
 async def put_instance(platform, document):
-    """Register once at the platform's instance list; say whether it took it."""
+    """Put an entry into the platform's instance list; return whether it succeeded."""
     return await _send_registration(
         platform, document["name"], "PUT", json.dumps(document)
     )
 
 
 async def delete_instance(platform, name):
-    """Leave the platform's instance list; say whether it took it."""
+    """Delete an entry of the platform's instance list; return whether it succeeded."""
     return await _send_registration(platform, name, "DELETE", None)
 
 
@@ -207,7 +207,7 @@
 
 
 async def keep_registered(platform, describe):
-    """Register again and again: the list may have been down or replaced."""
+    """Register periodically: the list may have been down or replaced."""
     while True:
         is_registered = await put_instance(platform, describe())
         await asyncio.sleep(
@@ -216,7 +216,7 @@
 
 
 def print_ready(name, address, **fields):
-    """Print the line by which the starter knows that we serve."""
+    """Print the line that tells the parent process that the server is ready."""
     line = {"ready": True, "name": name, "address": address, **fields}
     print(json.dumps(line), flush=True)
 
--- a/sassafrasdoor/standin/streams.py
+++ b/sassafrasdoor/standin/streams.py
@@ -1,4 +1,4 @@
-"""Streams of the platform stand-in's log: offsets with holes, retention."""
+"""Streams of the platform stand-in's log: offsets with gaps, retention."""
 
 import asyncio
 import random
@@ -7,12 +7,12 @@
 from sassafrasdoor.clock import now
 
 FIRST_OFFSET = 1
-MAX_GAP = 3
+MAX_GAP = 3  # offsets
 GAP_PROBABILITY = 0.1
 
 
 class Stream:
-    """All records ever, as ``(offset, time, body)``, and how far they have expired."""
+    """All records as ``(offset, time, body)``, the expired ones included."""
 
     __slots__ = (
         "_gap_random",
@@ -32,7 +32,7 @@
         self.append_event = asyncio.Event()
 
     def append(self, body):
-        """Add a record and return its offset; sometimes a hole follows."""
+        """Append a record and return its offset; a gap may follow."""
         offset = self.next_offset
         self.records.append((offset, now(), body))
         self.next_offset += 1
@@ -42,12 +42,12 @@
         return offset
 
     def notify_readers(self):
-        """Let everybody who waits for a record look again."""
+        """Wake all readers that wait for a record."""
         self.append_event.set()
         self.append_event = asyncio.Event()
 
     def expire(self, faults):
-        """Forget what retention by count and age no longer keeps."""
+        """Expire the records beyond the retention by count and age."""
         if faults.retain:
             self.first_index = max(self.first_index, len(self.records) - faults.retain)
         cutoff = now() - faults.retain_seconds
@@ -62,7 +62,7 @@
             self.first_offset = kept[0][0] if kept else self.next_offset
 
     def read(self, offset, limit):
-        """Return up to ``limit`` records from ``offset`` on, and where to read on."""
+        """Return up to ``limit`` records from ``offset``, and the offset to read next."""
         index = bisect_left(
             self.records, offset, lo=self.first_index, key=lambda record: record[0]
         )
--- a/sassafrasdoor/standin/tests/test_platform.py
+++ b/sassafrasdoor/standin/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The platform stand-in as a real process: what the log contract does not cover."""
+"""Tests of the platform stand-in as a process, beyond the contract of the log."""
 
 import json
 import unittest
--- a/sassafrasdoor/standin/tests/test_proxy.py
+++ b/sassafrasdoor/standin/tests/test_proxy.py
@@ -1,4 +1,4 @@
-"""The fault-injecting proxy does what its faults say."""
+"""Tests of the fault-injecting proxy."""
 
 import asyncio
 import contextlib
