--- a/sassafrasdoor/load/profile.py
+++ b/sassafrasdoor/load/profile.py
@@ -1,4 +1,4 @@
-"""The profile of a load: which rows call how often, and which trainers run."""
+"""The profile of a load: the callers' rows and rates, and the trainers."""
 
 import json
 from enum import StrEnum
@@ -9,20 +9,20 @@
 
 
 class Shape(StrEnum):
-    """What a caller asks for."""
+    """The kind of a caller's requests."""
 
     CALL = "call"
     GENERATE = "generate"
 
 
-class Part(BaseModel):
-    """A part of the profile; unknown keys are findings."""
+class ProfileModel(BaseModel):
+    """Base of the profile's models; unknown keys are reported as findings."""
 
     model_config = ConfigDict(extra="forbid", frozen=True, allow_inf_nan=False)
 
 
-class CallerProfile(Part):
-    """One row's open-loop arrivals: ``rate`` a second, late after so many ms."""
+class CallerProfile(ProfileModel):
+    """One row's open-loop arrivals: ``rate`` a second, late after ``late_after_ms``."""
 
     row: str
     key: str
@@ -35,8 +35,8 @@
     max_tokens: int = Field(default=32, gt=0)
 
 
-class TrainerProfile(Part):
-    """One trainer's steps, run one after another."""
+class TrainerProfile(ProfileModel):
+    """One trainer's steps, run sequentially."""
 
     row: str
     key: str
@@ -46,8 +46,8 @@
     max_tokens: int = Field(default=64, gt=0)
 
 
-class Profile(Part):
-    """A whole load: a seed, a length in seconds, callers and trainers."""
+class Profile(ProfileModel):
+    """A complete load: seed, duration in seconds, callers and trainers."""
 
     seed: int = 1
     duration: float = Field(gt=0, le=3600)
--- a/sassafrasdoor/load/trainers.py
+++ b/sassafrasdoor/load/trainers.py
@@ -1,4 +1,4 @@
-"""Trainers of a load: their steps one after another, through the client library."""
+"""Trainers of a load: sequential steps through the client library."""
 
 import random
 
@@ -9,7 +9,7 @@
 
 
 class TrainerLoad:
-    """Runs one trainer's steps and adds up its reports."""
+    """Runs one trainer's steps and summarizes their reports."""
 
     __slots__ = ("_profile", "_seed", "trainer")
 
@@ -19,23 +19,23 @@
         self.trainer = Trainer(seeds, profile.row, profile.key, ca_file=ca_file)
 
     async def run(self):
-        """Run all steps; return their summary, JSON-ready."""
+        """Run all steps; return their summary as a JSON-serializable mapping."""
         reports = []
         try:
             for number in range(self._profile.steps):
-                run = self.trainer.run(self._document(number))
+                run = self.trainer.run(self._step_document(number))
                 async for _ in run.samples():
                     pass
                 reports.append((run.complete, run.report))
         finally:
             self.trainer.close()
-        return summary(self._profile.row, reports, self._samples_expected())
+        return summary(self._profile.row, reports, self._expected_samples())
 
-    def _samples_expected(self):
+    def _expected_samples(self):
         profile = self._profile
         return profile.steps * profile.groups * profile.samples_per_group
 
-    def _document(self, number):
+    def _step_document(self, number):
         generator = random.Random(f"{self._seed}/{number}")
         prompts = [
             " ".join(generator.choices(WORDS, k=24))
@@ -52,7 +52,7 @@
 
 
 def summary(row, reports, expected):
-    """Return what the steps of one trainer came to."""
+    """Return the totals of one trainer's steps."""
     delivered = sum(report.samples for _, report in reports)
     return {
         "row": row,
--- a/sassafrasdoor/standin/engine.py
+++ b/sassafrasdoor/standin/engine.py
@@ -1,10 +1,10 @@
-"""A stand-in for a model engine: the wire of ``docs/INTERNALS.md``, with faults.
+"""A stand-in for a model engine: the protocol of ``docs/INTERNALS.md``, with faults.
 
-``POST /standin/faults`` takes numbers of times to come for ``fail_before`` and
-``fail_after`` (the first byte of a stream), ``truncate``, ``fail_swaps``,
-``late_swaps``, ``false_swaps`` (success reported, nothing done) and
-``lost_order_replies``; and values for ``freeze``, ``slow`` (a factor), ``leaving``,
-``silence`` (connections open now say nothing more) and ``crash``.
+``POST /standin/faults`` sets how often each of these faults is injected next:
+``fail_before`` and ``fail_after`` (the first byte of a stream), ``truncate``,
+``fail_swaps``, ``late_swaps``, ``false_swaps`` (success reported, nothing done) and
+``lost_order_replies``. It sets values for ``freeze``, ``slow`` (a factor), ``leaving``,
+``silence`` (connections open now send nothing more) and ``crash``.
 """
 
 import asyncio
@@ -24,7 +24,7 @@
     handlers,
 )
 
-WEIGHTS_TIMEOUT = 600.0
+WEIGHTS_TIMEOUT = 600.0  # seconds
 
 
 OPTIONS = {
@@ -64,7 +64,7 @@
 
 
 class EngineStandIn(serving.StandIn):
-    """One engine: its batch, the orders it was given and the faults it plays."""
+    """One engine: its batch, the orders that it received and its injected faults."""
 
     KIND = "engine"
     COUNTED_FAULTS = (
@@ -79,25 +79,25 @@
 
     def __init__(self, options, name):
         super().__init__(options, name)
-        self._swap = asyncio.Lock()
+        self._swap_lock = asyncio.Lock()
         self.batch = Batch(options, name)
         self.fence = 0
         self.role = ""
         self.orders = []
-        self.silent_before = 0.0
+        self.silenced_at = 0.0
         self.server, self.address = serving.listen(self._application())
-        self._report = (now(), self.current_load())
+        self._load_report = (now(), self.current_load())
 
     def start(self):
-        """Start generating, reporting and registering."""
+        """Start generation, load reports and registration."""
         super().start(self.batch.run())
 
     def models(self):
-        """Return the names of the models that it holds."""
+        """Return the names of the loaded models."""
         return list(self.batch.versions)
 
     def current_load(self):
-        """Return the load of this moment, JSON-ready."""
+        """Return the current load as a JSON-serializable mapping."""
         return {
             "running": len(self.batch.running),
             "queued": self.batch.queued,
@@ -108,7 +108,7 @@
         }
 
     def admit(self, document):
-        """Return the stream of that id, a new one, or the reason for a refusal."""
+        """Return the existing or a new stream, or the reason for a refusal (``str``)."""
         stream = self.batch.streams.get(document["stream"])
         if stream is not None:
             return stream
@@ -123,12 +123,12 @@
         return self.batch.start(document)
 
     def truth(self):
-        """Return which versions made which tokens, and how often streams started."""
+        """Return the executions of each stream, the versions, the orders and the fence."""
         streams = {
             name: {
                 **executions[-1].record(),
                 "starts": len(executions),
-                "executions": [one.record() for one in executions],
+                "executions": [execution.record() for execution in executions],
             }
             for name, executions in self.batch.history.items()
         }
@@ -139,29 +139,29 @@
             "fence": self.fence,
         }
 
-    async def order(self, fence, model, version, role):
-        """Carry out an order; return whether its fencing number was accepted."""
+    async def execute_order(self, fence, model, version, role):
+        """Execute an order; return whether its fencing number was accepted."""
         record = {"fence": fence, "model": model, "version": version, "applied": False}
         self.orders.append(record)
         if self._options.checks_fencing and fence < self.fence:
             return False
         self.fence = max(self.fence, fence)
         self.role = role or self.role
-        async with self._swap:
+        async with self._swap_lock:
             if self._options.checks_fencing and fence < self.fence:
                 return False
             if model and self.batch.versions.get(model) != version:
-                await self._change(model, version, record)
+                await self._swap_weights(model, version, record)
         return True
 
-    async def _change(self, model, version, record):
-        if self.take("false_swaps"):
+    async def _swap_weights(self, model, version, record):
+        if self.consume_fault("false_swaps"):
             return
         self.batch.swapping = True
         record["began"] = now()
         try:
             await self._fetch_weights(model, version)
-            if self.take("fail_swaps"):
+            if self.consume_fault("fail_swaps"):
                 raise RuntimeError("swap failed")
             self.batch.versions[model] = version
             record["applied"] = True
@@ -175,8 +175,8 @@
             return
         url = f"{self._options.weights_url}/weights/{model}/{version}"
         request = HTTPRequest(url, connect_timeout=5.0, request_timeout=WEIGHTS_TIMEOUT)
-        # An instance of its own: the shared one fetches ten at once at most, for
-        # all the engines of this process together.
+        # The shared client would limit all engines of this process together to ten
+        # concurrent fetches.
         client = SimpleAsyncHTTPClient(force_instance=True)
         try:
             await client.fetch(request)
@@ -194,26 +194,26 @@
         self.batch.frozen = bool(value)
 
     def _fault_slow(self, value):
-        self.batch.slow = float(value)
+        self.batch.slowdown = float(value)
 
     def _fault_silence(self, value):
-        """Connections open now go silent for good; new ones work."""
-        self.silent_before = now()
+        """Stop sending on the connections open now, for good; new ones work."""
+        self.silenced_at = now()
 
     @property
-    def late(self):
-        """Seconds by which a late order reply is late."""
+    def order_reply_delay(self):
+        """Delay of an order reply by ``late_swaps``, in seconds."""
         return self._options.late
 
 
 async def serve(options, name, count):
-    """Serve ``count`` engines in this process until asked to stop."""
+    """Serve ``count`` engines in this process until a stop signal."""
     names = [name] if count == 1 else [f"{name}-{number}" for number in range(count)]
-    engines = [EngineStandIn(options, each) for each in names]
+    engines = [EngineStandIn(options, engine_name) for engine_name in names]
     for engine in engines:
         engine.start()
     addresses = {engine.name: engine.address for engine in engines}
     serving.print_ready(name, engines[0].address, addresses=addresses)
-    await serving.until_asked_to_stop()
+    await serving.wait_for_stop_signal()
     await asyncio.gather(*[engine.leave() for engine in engines])
     await asyncio.gather(*[engine.close() for engine in engines])
--- a/sassafrasdoor/standin/service.py
+++ b/sassafrasdoor/standin/service.py
@@ -1,9 +1,10 @@
-"""A stand-in for a plain service: it counts every execution, and plays faults.
+"""A stand-in for a plain service: it records every execution and injects faults.
 
-``POST /standin/faults`` takes numbers of times to come for ``hang_up_before`` (it
-reads), ``hang_up`` (having run), ``hang_up_middle`` and ``cut_without_length`` (of
-the reply), ``fail``, ``silent``, ``redirect`` and ``interim``; and values for
-``refuse``, ``delay`` (seconds) and ``leaving``.
+``POST /standin/faults`` sets how often each of these faults is injected next:
+``hang_up_before`` (before the request is read), ``hang_up`` (after the execution),
+``hang_up_middle`` and ``cut_without_length`` (within the reply), ``fail``, ``silent``,
+``redirect`` and ``interim``. It sets values for ``refuse``, ``delay`` (seconds) and
+``leaving``.
 """
 
 import asyncio
@@ -16,10 +17,10 @@
 from sassafrasdoor.standin import serving
 from sassafrasdoor.standin.serving import StandInHandler
 
-HALF_WITH_LENGTH = b'HTTP/1.1 200 OK\r\nContent-Length: 1000\r\n\r\n{"half":'
-HALF_WITHOUT_LENGTH = b'HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n{"half":'
-INTERIM = b"HTTP/1.1 100 Continue\r\n\r\n"
-REDIRECT_TO = "/redirected"
+PARTIAL_REPLY_WITH_LENGTH = b'HTTP/1.1 200 OK\r\nContent-Length: 1000\r\n\r\n{"half":'
+PARTIAL_REPLY_WITHOUT_LENGTH = b'HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n{"half":'
+INTERIM_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"
+REDIRECT_LOCATION = "/redirected"
 
 
 OPTIONS = {
@@ -44,20 +45,20 @@
 
 
 class ServiceServer(HTTPServer):
-    """An HTTP server that may close a new connection before it reads from it."""
+    """An HTTP server that can close a new connection before it reads from it."""
 
     stand_in = None
 
     def handle_stream(self, stream, address):
-        """Serve the connection, or hang up on it."""
-        if self.stand_in is not None and self.stand_in.take("hang_up_before"):
+        """Serve the connection, or close it as a fault."""
+        if self.stand_in is not None and self.stand_in.consume_fault("hang_up_before"):
             stream.close()
             return
         super().handle_stream(stream, address)
 
 
 class ServiceStandIn(serving.StandIn):
-    """One plain service: what it ran and the faults it plays."""
+    """One plain service: its executions and its injected faults."""
 
     KIND = "service"
     COUNTED_FAULTS = (
@@ -73,16 +74,16 @@
 
     def __init__(self, options, name):
         super().__init__(options, name)
-        self._places = asyncio.Semaphore(options.capacity)
+        self._slots = asyncio.Semaphore(options.capacity)
         self.delay = options.delay
         self.executions = []
         self.abandoned = 0
         self.running = 0
-        self._report = (now(), self.current_load())
+        self._load_report = (now(), self.current_load())
         self._listen(0)
 
     def current_load(self):
-        """Return the load of this moment, JSON-ready."""
+        """Return the current load as a JSON-serializable mapping."""
         return {
             "running": self.running,
             "queued": 0,
@@ -93,7 +94,7 @@
         }
 
     def truth(self):
-        """Return every execution in order, and how many each request had."""
+        """Return all executions in order, and their number for each request."""
         by_request = {}
         for request_id in self.executions:
             by_request[request_id] = by_request.get(request_id, 0) + 1
@@ -105,10 +106,10 @@
         }
 
     async def execute(self, request):
-        """Run a request once and return the answer."""
+        """Execute a request and return the body of the reply."""
         self.running += 1
         try:
-            async with self._places:
+            async with self._slots:
                 if self.delay:
                     await asyncio.sleep(self.delay)
         finally:
@@ -132,13 +133,13 @@
         self.address = f"{serving.HOST}:{sockets[0].getsockname()[1]}"
 
     def _application(self):
-        mine = {"server": self}
+        handler_arguments = {"server": self}
         return Application(
             [
-                ("/standin/faults", serving.FaultsHandler, mine),
-                ("/standin/truth", serving.TruthHandler, mine),
-                ("/load", serving.LoadHandler, mine),
-                ("/.*", CallHandler, mine),
+                ("/standin/faults", serving.FaultsHandler, handler_arguments),
+                ("/standin/truth", serving.TruthHandler, handler_arguments),
+                ("/load", serving.LoadHandler, handler_arguments),
+                ("/.*", CallHandler, handler_arguments),
             ],
             log_function=lambda handler: None,
         )
@@ -154,45 +155,45 @@
 
 
 class CallHandler(StandInHandler):
-    """Any method and path: runs once, then answers or plays a fault."""
+    """Any method and path: executes once, then replies or injects a fault."""
 
     SUPPORTED_METHODS = ("GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS")
 
     def on_connection_close(self):
-        """Count callers that left before the reply."""
+        """Count the requests whose caller disconnected before the reply."""
         self.server.abandoned += 1
 
     async def prepare(self):
-        """Run the request; the method handlers have nothing left to do."""
-        answer = await self.server.execute(self.request)
-        for fault, play in self.FAULTS.items():
-            if self.server.take(fault):
-                await play(self)
+        """Execute the request and reply, before a method handler would run."""
+        reply = await self.server.execute(self.request)
+        for fault, inject in self.FAULTS.items():
+            if self.server.consume_fault(fault):
+                await inject(self)
                 return
-        self.answer(answer)
+        self.answer(reply)
 
     async def _hang_up(self):
         self.hang_up()
 
-    async def _raw(self, reply):
+    async def _send_raw(self, reply):
         stream = self.detach()
         await stream.write(reply)
         stream.close()
 
     async def _hang_up_middle(self):
-        await self._raw(HALF_WITH_LENGTH)
+        await self._send_raw(PARTIAL_REPLY_WITH_LENGTH)
 
     async def _cut_without_length(self):
-        await self._raw(HALF_WITHOUT_LENGTH)
+        await self._send_raw(PARTIAL_REPLY_WITHOUT_LENGTH)
 
     async def _interim(self):
-        await self._raw(INTERIM)
+        await self._send_raw(INTERIM_RESPONSE)
 
     async def _fail(self):
         self.answer({"reason": "failed"}, 500)
 
     async def _redirect(self):
-        self.redirect(REDIRECT_TO, status=307)
+        self.redirect(REDIRECT_LOCATION, status=307)
 
     async def _silent(self):
         self._auto_finish = False
@@ -210,10 +211,10 @@
 
 
 async def serve(options, name):
-    """Serve one service in this process until asked to stop."""
+    """Serve one service in this process until a stop signal."""
     service = ServiceStandIn(options, name)
     service.start()
     serving.print_ready(name, service.address)
-    await serving.until_asked_to_stop()
+    await serving.wait_for_stop_signal()
     await service.leave()
     await service.close()
