--- a/sassafrasdoor/soak/checks.py
+++ b/sassafrasdoor/soak/checks.py
@@ -72,8 +72,12 @@
 
     def covers(self, call):
         """Return whether a call to the instance was open during the disruption."""
-        same = call.instance == self.instance
-        return same and call.sent_at <= self.end and call.ended_at >= self.begin
+        is_same_instance = call.instance == self.instance
+        return (
+            is_same_instance
+            and call.sent_at <= self.end
+            and call.ended_at >= self.begin
+        )
 
 
 class Departure:
@@ -182,11 +186,11 @@
         if _was_disrupted(disruptions, "", departure.left_at):
             continue
         for run in departure.replica.runs:
-            late = (
+            is_late = (
                 departure.left_at + LEAVE_GRACE_PERIOD < run.at < departure.returned_at
             )
             sender = senders.get(run.request_id)
-            if not late or sender is None:
+            if not is_late or sender is None:
                 continue
             if not _was_disrupted(disruptions, sender, run.at) and not _was_disrupted(
                 disruptions, "", run.at
@@ -214,8 +218,10 @@
         if refused and starts:
             violations.add("not run is true", f"step {step.step_id}")
         if step.ended_at is not None:
-            late = [at for at in starts if at > step.ended_at + CANCEL_GRACE_PERIOD]
-            if late:
+            late_starts = [
+                at for at in starts if at > step.ended_at + CANCEL_GRACE_PERIOD
+            ]
+            if late_starts:
                 violations.add("ended means ended", f"step {step.step_id}")
 
 
--- a/sassafrasdoor/soak/tests/test_soak.py
+++ b/sassafrasdoor/soak/tests/test_soak.py
@@ -29,11 +29,11 @@
 
 def call(once, status, body):
     """Return a call to ``a``, sent at 0 and answered at 2; cut if ``status`` is None."""
-    found = Call("r", once, 0, "a")
-    found.record_outcome(
+    observed_call = Call("r", once, 0, "a")
+    observed_call.record_outcome(
         Broken("cut") if status is None else Reply(status, {}, body), False, 2
     )
-    return found
+    return observed_call
 
 
 def sample(name, text="text", versions=(1,)):
@@ -68,11 +68,11 @@
 
     def test_added_kinds_do_not_change_first_series(self):
         """Seeds that once failed are kept as tests, so their faults must not change."""
-        found = [
+        first_series = [
             fault for fault in schedule(36, 10, 3, 3) if fault.kind not in ADDED_KINDS
         ]
         self.assertEqual(
-            [(fault.kind, fault.target) for fault in found][:4],
+            [(fault.kind, fault.target) for fault in first_series][:4],
             FIRST_FAULTS_OF_SEED_36,
         )
 
@@ -82,7 +82,7 @@
 
 
 class ChecksTest(unittest.TestCase):
-    def calls(self, call, runs):
+    def violated_by_call(self, call, runs):
         violations = Violations()
         checks.check_calls([call], {"r": runs}, lambda name: b"own", violations)
         return [message.partition(":")[0] for message in violations.messages]
@@ -97,19 +97,19 @@
             (call(True, 503, b""), [run], ["not run is true"]),
             (call(False, 503, b""), [run], []),
         ]
-        for seen, runs, expected in cases:
-            self.assertEqual(self.calls(seen, runs), expected)
+        for observed_call, runs, expected in cases:
+            self.assertEqual(self.violated_by_call(observed_call, runs), expected)
 
     def test_cut_call_needs_a_disruption(self):
         # outcome, runs, disruptions -> violated guarantees
-        cut, late = Broken("connection lost"), Broken("timeout")
+        cut, timed_out = Broken("connection lost"), Broken("timeout")
         cases = [
             (cut, 1, [], ["nothing is cut"]),
             (cut, 1, [Disruption("b", 0, 9)], ["nothing is cut"]),
             (cut, 1, [Disruption("a", 3, 9)], ["nothing is cut"]),
             (cut, 1, [Disruption("a", 1, 9)], []),
             (cut, 0, [], []),
-            (late, 1, [], []),
+            (timed_out, 1, [], []),
             (Broken("refused", began=False), 1, [], []),
             (Reply(200, {}, b""), 1, [], []),
             (Reply(504, {}, b""), 1, [], []),
@@ -117,14 +117,16 @@
         ]
         for outcome, runs, disruptions, expected in cases:
             with self.subTest(outcome=outcome, disruptions=disruptions):
-                seen = Call("r", False, 0, "a")
-                seen.record_outcome(outcome, True, 2)
+                observed_call = Call("r", False, 0, "a")
+                observed_call.record_outcome(outcome, True, 2)
                 violations = Violations()
                 checks.check_cuts(
-                    [seen], {"r": [Run(0)] * runs}, disruptions, violations
+                    [observed_call], {"r": [Run(0)] * runs}, disruptions, violations
                 )
-                found = [message.partition(":")[0] for message in violations.messages]
-                self.assertEqual(found, expected)
+                violated = [
+                    message.partition(":")[0] for message in violations.messages
+                ]
+                self.assertEqual(violated, expected)
 
     def test_call_to_departed_replica_needs_a_disruption(self):
         # time of the run, disruptions -> violated guarantees; the entry is missing from
@@ -143,17 +145,24 @@
         ]
         for at, disruptions, expected in cases:
             with self.subTest(
-                at=at, disruptions=[(item.instance, item.end) for item in disruptions]
+                at=at,
+                disruptions=[
+                    (disruption.instance, disruption.end) for disruption in disruptions
+                ],
             ):
                 replica = SimpleNamespace(identity="p", runs=[Run(at)])
                 departure = Departure(replica, 10)
                 departure.returned_at = 19
-                seen, violations = call(False, 200, b""), Violations()
-                checks.check_departures([departure], [seen], disruptions, violations)
-                found = [message.partition(":")[0] for message in violations.messages]
-                self.assertEqual(found, expected)
+                observed_call, violations = call(False, 200, b""), Violations()
+                checks.check_departures(
+                    [departure], [observed_call], disruptions, violations
+                )
+                violated = [
+                    message.partition(":")[0] for message in violations.messages
+                ]
+                self.assertEqual(violated, expected)
 
-    def steps(
+    def violated_by_step(
         self, pages, runs=(), accepted=True, refusals=0, unknown=0, ended_at=None
     ):
         step = StepObservation("s", ["i"])
@@ -179,8 +188,10 @@
                 violations = Violations()
                 runs = {checks.reward_call_id("i"): [called]}
                 checks.check_scores([step], runs, violations)
-                found = [message.partition(":")[0] for message in violations.messages]
-                self.assertEqual(found, expected)
+                violated = [
+                    message.partition(":")[0] for message in violations.messages
+                ]
+                self.assertEqual(violated, expected)
 
     def test_each_step_guarantee_can_fail(self):
         kept = "accepted is kept"
@@ -205,4 +216,4 @@
             ),
         ]
         for pages, fields, expected in cases:
-            self.assertEqual(self.steps(pages, **fields), expected)
+            self.assertEqual(self.violated_by_step(pages, **fields), expected)
