--- a/sassafrasdoor/platform/soak.py
+++ b/sassafrasdoor/platform/soak.py
@@ -1,8 +1,8 @@
-"""The fault soak on the users' wire: real processes, stand-ins, seeded faults.
+"""The soak test of the platform's interface: real processes, stand-ins, seeded faults.
 
     python3 -m sassafrasdoor.platform.soak --seed 1 --seconds 20 --instances 3
 
-Ends only processes that it started. Exit code 1 if a promise was broken.
+Ends only processes that it started. Exit code 1 if a guarantee was violated.
 """
 
 import asyncio
@@ -38,12 +38,10 @@
 
 EVENT_COUNT = 6
 REPLICA_COUNT = 3
-CALL_DURATION = 0.1
-"""Seconds of a call: longer than the pause between calls to a stopping instance."""
+CALL_DURATION = 0.1  # seconds; above the interval of calls to a stopping instance
 PLAIN_SLOTS = 20
 FINAL_CALL_COUNT = 20
-LOG_TIMEOUT = 1.0
-"""Seconds for an append of the soak itself."""
+LOG_TIMEOUT = 1.0  # seconds for an append by the soak itself
 VIOLATION_EXIT_CODE = 1
 
 ROUTE = {
@@ -56,7 +54,7 @@
 
 
 def routes(version):
-    """Return the routes of a configuration; one prefix belongs to it alone."""
+    """Return the routes of a configuration; one path prefix is unique to its version."""
     return [
         {
             **ROUTE,
@@ -90,17 +88,17 @@
 
 
 def expected_answer(request_id):
-    """Return the whole answer that a plain replica gives."""
+    """Return the complete answer of a plain replica."""
     return b"answer to " + request_id.encode()
 
 
 def item_text(item_id):
-    """Return the whole text of an item."""
+    """Return the complete text of an item."""
     return "\n".join(f"{item_id}.{number}" for number in range(EVENT_COUNT))
 
 
 class Soak(Callers, FaultInjector):
-    """One run: a cluster, its callers, its faults and what was seen."""
+    """One run: a cluster, its callers, the faults and the violations found."""
 
     def __init__(self, seed, seconds, instances, folder):
         self._seed = seed
@@ -119,7 +117,7 @@
         self.faults = schedule(seed, seconds, instances, REPLICA_COUNT)
 
     async def run(self):
-        """Play the schedule; return the counts."""
+        """Inject the scheduled faults, check the guarantees and return a summary."""
         await self._start()
         jobs = [
             self._spawn(job) for job in (self._generate_calls(), self._generate_steps())
@@ -205,7 +203,7 @@
         await self._store.put(configuration.SERVERS_TOPIC, replica.identity, entry)
 
     async def _drop_entry(self, replica):
-        """Drop a replica's entry; return whether the log has kept that."""
+        """Drop a replica's entry; return whether the log acknowledged it."""
         dropped, limit = keyed_record(replica.identity), deadline_in(LOG_TIMEOUT)
         topic = configuration.SERVERS_TOPIC
         result = await self._store.log.append(topic, 0, [dropped], limit)
@@ -253,11 +251,11 @@
                 self.violations.add("accepted steps are run", step.step_id)
 
     async def _finish_step(self, step, limit):
-        """Say whether a step comes to its end: all samples, or an acknowledged end.
+        """Return whether a step finishes: all samples, or an acknowledged end.
 
-        An end that got no answer may be kept, and its step lists no more. Its trainer
-        asks for it again, as real ones do. Each step is looked at, also after
-        ``limit``: one that stands still must not count against those behind it.
+        An end request without an answer may have taken effect, and then the step lists
+        no more samples. It is repeated, as real trainers do. Each step is read at least
+        once, also after ``limit``: one that hangs must not count against later ones.
         """
         while True:
             if step.asked_to_end and step.ended_at is None:
@@ -274,7 +272,7 @@
             await asyncio.sleep(0.1)
 
     async def _check_leaving_after_faults(self):
-        """Have one replica of each kind leave, now that every instance can know."""
+        """Have one replica of each kind leave, and check that it gets no more work."""
         leaving = self._engines[0], self._plain[0]
         for replica in leaving:
             await self._put_entry(replica, self._entry(replica, leaving=True))
@@ -326,17 +324,21 @@
 
 
 def main(
-    seed: int = typer.Option(1, help="First seed."),
-    seeds: int = typer.Option(1, help="How many seeds, one after the other."),
-    seconds: float = typer.Option(20.0, help="Seconds of faults for each seed."),
-    instances: int = typer.Option(3, help="Processes of ours."),
-    keep: str = typer.Option("", help="Folder for the logs of seeds that fail."),
-    own: bool = typer.Option(False, help="The product's own interface, not the wire."),
+    seed: int = typer.Option(1, help="The first seed."),
+    seeds: int = typer.Option(1, help="Number of seeds, run one after the other."),
+    seconds: float = typer.Option(20.0, help="Duration of each seed's run in seconds."),
+    instances: int = typer.Option(3, help="Number of instances."),
+    keep: str = typer.Option(
+        "", help="Folder for the logs of failed seeds; not with --own."
+    ),
+    own: bool = typer.Option(
+        False, help="Test the product's own interface instead of the platform's."
+    ),
     version: bool = VersionOption,
 ):
-    """Play seeded faults on real processes and check the promises.
+    """Inject seeded faults into real processes and check the service's guarantees.
 
-    Exit codes: 0 all kept, 1 a promise was broken, 2 usage.
+    Exit codes: 0 no violation, 1 a guarantee was violated, 2 usage.
     """
     broken = False
     for current_seed in range(seed, seed + seeds):
@@ -346,7 +348,7 @@
 
 
 def _run_own_seed(seed, seconds, instances, keep):
-    """Play one seed on the product's own interface; return its violations."""
+    """Run one seed on the product's own interface; return its violations."""
     soak = OwnSoak(seed, seconds, instances)
     _report(seed, soak, asyncio.run(soak.run()))
     return soak.violations.messages
@@ -359,7 +361,7 @@
 
 
 def _run_seed(seed, seconds, instances, keep):
-    """Play one seed and report it; return its violations."""
+    """Run one seed and report it; return its violations."""
     with tempfile.TemporaryDirectory() as folder:
         soak = Soak(seed, seconds, instances, folder)
         _report(seed, soak, asyncio.run(soak.run()))
--- a/sassafrasdoor/platform/soak_callers.py
+++ b/sassafrasdoor/platform/soak_callers.py
@@ -1,4 +1,4 @@
-"""The soak's callers and trainers on the users' wire, and what they saw."""
+"""The callers and trainers of the platform's soak test; they record what they observe."""
 
 import asyncio
 import base64
@@ -16,14 +16,13 @@
 HOST = "h.example"
 MODEL, ENGINES, PLAIN = "m", "engines", "plain"
 ITEM_COUNT = 6
-CALL_INTERVAL, STEP_INTERVAL, READ_INTERVAL = 0.05, 1.0, 0.4
-ROUTE_TIMEOUT = 3.0
-CALL_TIMEOUT = 4.0
-"""Seconds a caller waits: longer than the route's time, so that it hears the end."""
+CALL_INTERVAL, STEP_INTERVAL, READ_INTERVAL = 0.05, 1.0, 0.4  # seconds
+ROUTE_TIMEOUT = 3.0  # seconds
+CALL_TIMEOUT = 4.0  # seconds; above ROUTE_TIMEOUT, so that callers see its answer
 
 
 class Callers:
-    """The part of a soak that asks; ``Soak`` has the rest."""
+    """Base class of ``Soak`` that sends calls and steps."""
 
     def _random_instance(self):
         return self._rng.choice(self._instances)
@@ -49,7 +48,7 @@
             await asyncio.sleep(CALL_INTERVAL)
 
     async def _call(self, request_id, once, instance=None):
-        """Call on a kept connection, where there is one, as long as it is open."""
+        """Send a call, on a pooled connection if one is open."""
         clock = asyncio.get_running_loop().time
         instance = instance or self._random_instance()
         headers = {
@@ -71,7 +70,10 @@
         self._calls.append(call)
 
     async def _probe(self):
-        """Ask one instance for the route that the newest version alone has."""
+        """Call the route that only the newest configuration version has.
+
+        An instance that served it once must not fall back to an older version.
+        """
         instance, version = self._random_instance(), self._version
         process_key = (instance.name, instance.process.pid)
         headers = {wire.REQUEST_ID: f"probe-{process_key}-{self._rng.random()}"}
@@ -153,7 +155,7 @@
             await self._end_step(step)
 
     async def _end_step(self, step):
-        """Ask for the end of a step, once."""
+        """Request the end of a step, once."""
         step.asked_to_end = True
         path = f"/-/lots/{step.step_id}"
         reply = await self._fetch(self._random_instance().front, path, "DELETE")
--- a/sassafrasdoor/platform/tests/test_soak.py
+++ b/sassafrasdoor/platform/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""A short soak with a fixed seed; longer ones are run by hand."""
+"""Short soak tests with fixed seeds; longer ones are run by hand."""
 
 import asyncio
 import json
@@ -11,19 +11,18 @@
 from sassafrasdoor.soak.checks import StepObservation
 
 SECONDS, INSTANCES = 15, 3
+# 1 and 2 have overlapping stops, kills, cuts and outages. In 36 all submissions of a step
+# end without an answer while every process is down; the check once took these for
+# refusals and reported that a refused step ran.
 SEEDS = (1, 2, 36)
-"""1 and 2 hold stops, kills, cuts and outages that overlap. 36 once showed a step that
-ran although it was refused: all its submissions had ended without an answer while every
-process was down, and the check took these for refusals.
-"""
 
+# A single instance has no peer to learn from while it is cut off: after a cut it once
+# used a replica that had left, up to 2.6 s after the replica's end.
 SINGLE_INSTANCE_SEED, SINGLE_INSTANCE_SECONDS = 332, 20
-"""One instance, which nobody can help while it is cut off: it once used a replica that
-had left after a cut, up to 2.6 s after its end."""
 
 
 class Answer:
-    """An instance's answer."""
+    """An instance's answer with ``listed`` samples."""
 
     def __init__(self, code, listed=0):
         self.code = code
@@ -31,7 +30,7 @@
 
 
 class ScriptedSoak(Soak):
-    """A soak whose instances answer as they are told: ends, then listings."""
+    """A soak whose instances answer ends with given codes, and reads with a listing."""
 
     def __init__(self, ends, listed):
         super().__init__(1, 1, 1, "")
@@ -50,10 +49,10 @@
 
 class BaseClassesTest(unittest.TestCase):
     def test_base_classes_share_no_method_name(self):
-        """Symptom: a soak prints "kill of 0", and no process of it ever ends.
+        """Guards against a base class that overrides another's method.
 
-        Sequence: two parts of it name a method alike, the end of a step and that of an
-        instance. Cause: the first part's was called for both, and never awaited.
+        The end of a step and that of an instance once had the same name: the former was
+        called for both and never awaited, so "kill of 0" was printed but nothing ended.
         """
         classes = [Soak, *Soak.__bases__]
         names = [
@@ -63,7 +62,7 @@
 
 
 class FinishStepTest(unittest.IsolatedAsyncioTestCase):
-    """What becomes of a step once the faults are over."""
+    """Whether a step finishes after the last fault."""
 
     async def finish_step(self, limit, asked_to_end=False, ends=(599,), listed=2):
         soak = ScriptedSoak(ends, listed)
@@ -75,11 +74,10 @@
         return is_finished
 
     async def test_unanswered_end_is_requested_again(self):
-        """Symptom: a soak beside load says that accepted steps were not run.
+        """Guards against reports that accepted steps were not run, seen under load.
 
-        Sequence: the instance that a step's end was sent to is killed; the end is kept,
-        its trainer gets no answer. Cause: the check waited for all samples of it, and
-        for those of every step behind it no more.
+        An instance is killed after it stored a step's end but before it answered. The
+        check waited for all samples of the step, and then had no time for later steps.
         """
         limit = deadline_in(20)
         self.assertTrue(await self.finish_step(limit, True, ends=(599, 504, 200)))
