--- a/sassafrasdoor/platform/soak.py
+++ b/sassafrasdoor/platform/soak.py
@@ -204,9 +204,9 @@
 
     async def _drop_entry(self, replica):
         """Drop a replica's entry; return whether the log acknowledged it."""
-        dropped, limit = keyed_record(replica.identity), deadline_in(LOG_TIMEOUT)
+        dropped, deadline = keyed_record(replica.identity), deadline_in(LOG_TIMEOUT)
         topic = configuration.SERVERS_TOPIC
-        result = await self._store.log.append(topic, 0, [dropped], limit)
+        result = await self._store.log.append(topic, 0, [dropped], deadline)
         return isinstance(result, Appended)
 
     async def _put_foreign_entries(self, replica):
@@ -218,9 +218,9 @@
         await self._put_entry(replica, {**entry, "State": "parked"})
 
     async def _wait_until_ready(self):
-        limit = deadline_in(SETTLE_TIMEOUT)
+        deadline = deadline_in(SETTLE_TIMEOUT)
         for instance in self._instances:
-            while not passed(limit):
+            while not passed(deadline):
                 if not instance.running:
                     instance.start()
                 reply = await self._fetch(instance.ready, "/-/ready")
@@ -245,17 +245,17 @@
                 departure.returned_at or asyncio.get_running_loop().time()
             )
         await self._list_replicas()
-        limit = deadline_in(SETTLE_TIMEOUT)
+        deadline = deadline_in(SETTLE_TIMEOUT)
         for step in self._steps:
-            if step.accepted and not await self._finish_step(step, limit):
+            if step.accepted and not await self._finish_step(step, deadline):
                 self.violations.add("accepted steps are run", step.step_id)
 
-    async def _finish_step(self, step, limit):
+    async def _finish_step(self, step, deadline):
         """Return whether a step finishes: all samples, or an acknowledged end.
 
         An end request without an answer may have taken effect, and then the step lists
         no more samples. It is repeated, as real trainers do. Each step is read at least
-        once, also after ``limit``: one that hangs must not count against later ones.
+        once, also after ``deadline``: one that hangs must not count against later ones.
         """
         while True:
             if step.asked_to_end and step.ended_at is None:
@@ -267,7 +267,7 @@
                 step.pages.append(page)
                 if len(page) == ITEM_COUNT and not step.asked_to_end:
                     return True
-            if passed(limit):
+            if passed(deadline):
                 return False
             await asyncio.sleep(0.1)
 
@@ -340,11 +340,11 @@
 
     Exit codes: 0 no violation, 1 a guarantee was violated, 2 usage.
     """
-    broken = False
+    has_violations = False
     for current_seed in range(seed, seed + seeds):
         run_one = _run_own_seed if own else _run_seed
-        broken |= bool(run_one(current_seed, seconds, instances, keep))
-    raise typer.Exit(VIOLATION_EXIT_CODE if broken else 0)
+        has_violations |= bool(run_one(current_seed, seconds, instances, keep))
+    raise typer.Exit(VIOLATION_EXIT_CODE if has_violations else 0)
 
 
 def _run_own_seed(seed, seconds, instances, keep):
@@ -354,10 +354,10 @@
     return soak.violations.messages
 
 
-def _report(seed, soak, counts):
-    print(f"seed {seed}: {counts}", flush=True)
-    for text in dict.fromkeys(soak.violations.messages):
-        print(f"seed {seed}: BROKEN {text}", flush=True)
+def _report(seed, soak, summary):
+    print(f"seed {seed}: {summary}", flush=True)
+    for message in dict.fromkeys(soak.violations.messages):
+        print(f"seed {seed}: BROKEN {message}", flush=True)
 
 
 def _run_seed(seed, seconds, instances, keep):
--- a/sassafrasdoor/platform/soak_callers.py
+++ b/sassafrasdoor/platform/soak_callers.py
@@ -143,8 +143,8 @@
 
     async def _read_step(self, step):
         ends_early = self._rng.random() < 0.3
-        limit = deadline_in(self._seconds)
-        while not passed(limit):
+        deadline = deadline_in(self._seconds)
+        while not passed(deadline):
             page = await self._read_page(step.step_id, self._random_instance())
             if page is not None:
                 step.pages.append(page)
--- a/sassafrasdoor/platform/tests/test_soak.py
+++ b/sassafrasdoor/platform/tests/test_soak.py
@@ -21,7 +21,7 @@
 SINGLE_INSTANCE_SEED, SINGLE_INSTANCE_SECONDS = 332, 20
 
 
-class Answer:
+class FakeResponse:
     """An instance's answer with ``listed`` samples."""
 
     def __init__(self, code, listed=0):
@@ -43,8 +43,10 @@
 
     async def _fetch(self, address, path, method="GET", body=None, **headers):
         if method == "DELETE":
-            return Answer(self.ends.pop(0) if len(self.ends) > 1 else self.ends[0])
-        return Answer(200, self.listed)
+            return FakeResponse(
+                self.ends.pop(0) if len(self.ends) > 1 else self.ends[0]
+            )
+        return FakeResponse(200, self.listed)
 
 
 class BaseClassesTest(unittest.TestCase):
@@ -64,12 +66,12 @@
 class FinishStepTest(unittest.IsolatedAsyncioTestCase):
     """Whether a step finishes after the last fault."""
 
-    async def finish_step(self, limit, asked_to_end=False, ends=(599,), listed=2):
+    async def finish_step(self, deadline, asked_to_end=False, ends=(599,), listed=2):
         soak = ScriptedSoak(ends, listed)
         self.addCleanup(soak._client.close)
         step = StepObservation("s1", [f"i{index}" for index in range(ITEM_COUNT)])
         step.asked_to_end = asked_to_end
-        is_finished = await soak._finish_step(step, limit)
+        is_finished = await soak._finish_step(step, deadline)
         self.assertEqual(step.ended_at is not None, asked_to_end and is_finished)
         return is_finished
 
@@ -79,14 +81,14 @@
         An instance is killed after it stored a step's end but before it answered. The
         check waited for all samples of the step, and then had no time for later steps.
         """
-        limit = deadline_in(20)
-        self.assertTrue(await self.finish_step(limit, True, ends=(599, 504, 200)))
+        deadline = deadline_in(20)
+        self.assertTrue(await self.finish_step(deadline, True, ends=(599, 504, 200)))
 
     async def test_unacknowledged_end_is_a_violation(self):
         self.assertFalse(await self.finish_step(LONG_AGO, True))
         self.assertFalse(await self.finish_step(LONG_AGO, True, listed=ITEM_COUNT))
 
-    async def test_finished_step_is_read_after_the_limit(self):
+    async def test_finished_step_is_read_after_the_deadline(self):
         self.assertTrue(await self.finish_step(LONG_AGO, listed=ITEM_COUNT))
 
     async def test_accepted_step_that_is_not_run_is_a_violation(self):
--- a/sassafrasdoor/soak/faults.py
+++ b/sassafrasdoor/soak/faults.py
@@ -70,8 +70,8 @@
         self._spawn_call(instance)
         await asyncio.sleep(STOP_CALL_INTERVAL)
         instance.signal(signal.SIGTERM)
-        limit = deadline_in(SETTLE_TIMEOUT)
-        while instance.running and not passed(limit):
+        deadline = deadline_in(SETTLE_TIMEOUT)
+        while instance.running and not passed(deadline):
             # Some callers keep using open connections until the process has exited.
             self._spawn_call(instance)
             await asyncio.sleep(STOP_CALL_INTERVAL)
--- a/sassafrasdoor/soak/own.py
+++ b/sassafrasdoor/soak/own.py
@@ -133,8 +133,8 @@
     async def _stop(self, fault):
         instance = await self._target_instance(fault)
         instance.entry.signal(15)
-        limit = deadline_in(SETTLE_TIMEOUT)
-        while instance.entry.returncode is None and not passed(limit):  # noqa: ASYNC110
+        deadline = deadline_in(SETTLE_TIMEOUT)
+        while instance.entry.returncode is None and not passed(deadline):  # noqa: ASYNC110
             await asyncio.sleep(POLL_INTERVAL)
         if instance.entry.returncode is None:
             self.violations.add("planned stop ends", instance.name)
@@ -192,10 +192,10 @@
     # Checks.
 
     async def _wait_until_served(self):
-        limit = deadline_in(SETTLE_TIMEOUT)
+        deadline = deadline_in(SETTLE_TIMEOUT)
         for instance in self._running_instances:
             row, served = "idempotent", False
-            while not served and not passed(limit):
+            while not served and not passed(deadline):
                 path = f"/v1/call/{row}/do"
                 address, key = instance.address, KEYS[row]
                 reply = await self._cluster.raw("POST", address, path, key, {})
