--- a/sassafrasdoor/log/tail.py
+++ b/sassafrasdoor/log/tail.py
@@ -73,7 +73,7 @@
     - ``skipped``: number of records that expired before they were read.
     - ``confirmed_at``: when the last read that reached the end was sent; None if there
       was none since the partition is followed.
-    - ``ended_at``: when that read was answered, ``LONG_AGO`` before the first.
+    - ``end_reached_at``: when that read was answered, ``LONG_AGO`` before the first.
     - ``failing_since``: when reads began to fail, None while they succeed.
     - ``restored_at``: when reads last began to succeed again, None before.
     - ``last_outage``: the last ``Outage`` that has ended, None before.
@@ -110,7 +110,7 @@
         self.end = None
         self.skipped = 0
         self.confirmed_at = None
-        self.ended_at = LONG_AGO
+        self.end_reached_at = LONG_AGO
         self.failing_since = None
         self.restored_at = None
         self.last_outage = None
@@ -215,7 +215,7 @@
         self._has_backlog = self.offset < result.end
         if not self._has_backlog:
             self._log_caught_up()
-            self.confirmed_at, self.ended_at = sent_at, now()
+            self.confirmed_at, self.end_reached_at = sent_at, now()
         return True
 
     @property
@@ -454,7 +454,7 @@
             return False
         self._record_answer()
         self._apply_newest(newest)
-        self.confirmed_at, self.ended_at = sent_at, now()
+        self.confirmed_at, self.end_reached_at = sent_at, now()
         return True
 
     async def _load_newest(self, timeout):
--- a/sassafrasdoor/routing/instance_view.py
+++ b/sassafrasdoor/routing/instance_view.py
@@ -120,11 +120,11 @@
 
     ``shortages`` are the ``ZoneShortages``, which the constructor updates.
     ``entry_points`` maps each zone to the addresses that its callers are sent to, the
-    largest first; ``called`` are the addresses in reserve that are to become entry
+    largest first; ``promoted`` are the addresses in reserve that are to become entry
     points. ``rankings`` caches the ranked addresses by key.
     """
 
-    __slots__ = ("_deadline", "alive", "called", "entry_points", "rankings")
+    __slots__ = ("_deadline", "alive", "promoted", "entry_points", "rankings")
 
     def __init__(self, alive, shortages):
         zones = {}
@@ -132,12 +132,14 @@
             zones.setdefault(record.zone, []).append(record)
         self._deadline = deadline_in(VIEW_LIFETIME)
         self.alive = alive
-        self.called = set()
+        self.promoted = set()
         self.entry_points = {}
         for zone, records in zones.items():
             chosen = _select_entry_points(records, shortages.promotion_rounds(zone))
             shortages.record(zone, any(record.in_reserve for record in chosen))
-            self.called.update(record.address for record in chosen if record.in_reserve)
+            self.promoted.update(
+                record.address for record in chosen if record.in_reserve
+            )
             self.entry_points[zone] = [
                 record.address for record in chosen if not record.in_reserve
             ]
--- a/sassafrasdoor/routing/instances.py
+++ b/sassafrasdoor/routing/instances.py
@@ -306,7 +306,7 @@
         """
         view = self._current_view
         is_recorded = any(record.address == self._address for record in view.alive)
-        if not is_recorded or self._address in view.called:
+        if not is_recorded or self._address in view.promoted:
             return True
         return self._address in view.all_entry_points
 
@@ -405,12 +405,12 @@
         been renewed at the outage's end. One that had lapsed before stays lapsed:
         otherwise each lost read would send callers to instances that ended long ago.
         """
-        if self.tail.ended_at - record.renewed_at < record.lapse_timeout:
+        if self.tail.end_reached_at - record.renewed_at < record.lapse_timeout:
             return True
-        silence = self.tail.last_outage
-        if silence is None or passed(silence.until + record.lapse_timeout):
+        outage = self.tail.last_outage
+        if outage is None or passed(outage.until + record.lapse_timeout):
             return False
-        return silence.since - record.renewed_at < record.lapse_timeout
+        return outage.since - record.renewed_at < record.lapse_timeout
 
     def _document(self):
         document = {
--- a/sassafrasdoor/routing/placement.py
+++ b/sassafrasdoor/routing/placement.py
@@ -9,13 +9,13 @@
 LOAD_WEIGHT = 1.0  # estimated slowdown of a full replica, as a share of its pace
 UNRESPONSIVE_AFTER = 1.2  # seconds without data on any stream; longer than a load
 MAX_MIGRATIONS = 2  # migrations of one sample
-DEFAULT_PACE = 1.0  # seconds between events while no replica's pace is known
+DEFAULT_EVENT_INTERVAL = 1.0  # seconds between events while no replica's pace is known
 
 
 class Candidate:
     """One replica's estimated state at one moment.
 
-    ``load`` and ``slots`` count samples; ``pace`` is the seconds between two events of
+    ``load`` and ``slots`` count samples; ``event_interval`` is the seconds between two events of
     its samples, None while unknown. ``versions`` maps models to weight versions.
     ``unavailable_models`` are those that it is loading or has recently refused.
     """
@@ -24,7 +24,7 @@
         "unavailable_models",
         "identity",
         "load",
-        "pace",
+        "event_interval",
         "replica",
         "slots",
         "is_suspect",
@@ -36,7 +36,7 @@
         self.identity = replica.identity
         self.load = load
         self.slots = max(1, replica.listing.slots)
-        self.pace = replica.pace
+        self.event_interval = replica.event_interval
         self.is_suspect = is_suspect
         self.versions = replica.versions
         self.unavailable_models = unavailable_models
@@ -61,15 +61,17 @@
         self.avoid = avoid
 
 
-def median_pace(candidates):
-    """Return the median of the known paces, or ``DEFAULT_PACE``."""
-    known = sorted(candidate.pace for candidate in candidates if candidate.pace)
-    return known[len(known) // 2] if known else DEFAULT_PACE
+def median_event_interval(candidates):
+    """Return the median of the known paces, or ``DEFAULT_EVENT_INTERVAL``."""
+    known = sorted(
+        candidate.event_interval for candidate in candidates if candidate.event_interval
+    )
+    return known[len(known) // 2] if known else DEFAULT_EVENT_INTERVAL
 
 
 def place(candidates, requirement):
     """Return the ``Candidate`` with the earliest estimated finish, or None."""
-    median = median_pace(candidates)
+    median = median_event_interval(candidates)
     eligible = [
         candidate for candidate in candidates if _is_eligible(candidate, requirement)
     ]
@@ -78,9 +80,12 @@
 
 def should_migrate(slow, better):
     """Return whether a sample should leave ``slow`` for the candidate ``better``."""
-    if better is None or slow.pace is None or better.pace is None:
+    if better is None or slow.event_interval is None or better.event_interval is None:
         return False
-    return slow.pace >= MIGRATION_THRESHOLD * better.pace and better.free_slots > 0
+    return (
+        slow.event_interval >= MIGRATION_THRESHOLD * better.event_interval
+        and better.free_slots > 0
+    )
 
 
 def is_unresponsive(sent_at, last_received_at, is_loading, moment):
@@ -103,17 +108,17 @@
         return False
     if not requirement.model:
         return True
-    held = candidate.versions.get(requirement.model, 0)
+    loaded_version = candidate.versions.get(requirement.model, 0)
     return (
-        held >= requirement.min_version
+        loaded_version >= requirement.min_version
         and requirement.model not in candidate.unavailable_models
     )
 
 
 def _cost(candidate, median):
     """Return the estimated pace with one more item, with the identity as tie-break."""
-    pace = candidate.pace or median
+    event_interval = candidate.event_interval or median
     return (
-        pace * (1 + LOAD_WEIGHT * (candidate.load + 1) / candidate.slots),
+        event_interval * (1 + LOAD_WEIGHT * (candidate.load + 1) / candidate.slots),
         candidate.identity,
     )
--- a/sassafrasdoor/routing/replicas.py
+++ b/sassafrasdoor/routing/replicas.py
@@ -24,7 +24,7 @@
 
 # Weight of one interval in the smoothed pace: a full replica sends about 250 events a
 # second, so a change shows within a fifth of a second, and one late packet does not.
-PACE_WEIGHT = 0.03
+EVENT_INTERVAL_WEIGHT = 0.03
 
 LISTED = counter("replicas_listed_total", "Changes of the platform's list, by kind.")
 
@@ -52,22 +52,22 @@
     """One incarnation of a replica; a later one may have the same ``identity``.
 
     All state of a replica is kept here, so that none carries over to the next
-    incarnation. By model, ``refused_until`` is the time until which it gets no items
-    after a refusal, ``loading_until`` the end of a load that this process ordered.
-    ``last_received_at`` is the time of the last data on any of its streams, ``pace`` the
+    incarnation. By model, ``refusal_deadlines`` is the time until which it gets no items
+    after a refusal, ``loading_deadlines`` the end of a load that this process ordered.
+    ``last_received_at`` is the time of the last data on any of its streams, ``event_interval`` the
     smoothed seconds between two events of its streams, None before the first.
     """
 
     __slots__ = (
         "_other_callers_load",
         "_other_callers_load_deadline",
-        "absent_until",
+        "grace_deadline",
         "last_received_at",
         "identity",
         "listing",
-        "loading_until",
-        "pace",
-        "refused_until",
+        "loading_deadlines",
+        "event_interval",
+        "refusal_deadlines",
         "state",
         "versions",
     )
@@ -77,10 +77,10 @@
         self.listing = listing
         self.state = BackendState(listing.slots)
         self.versions = dict(listing.versions)
-        self.absent_until = None
-        self.loading_until = {}
-        self.refused_until = {}
-        self.pace = None
+        self.grace_deadline = None
+        self.loading_deadlines = {}
+        self.refusal_deadlines = {}
+        self.event_interval = None
         self.last_received_at = LONG_AGO
         self._other_callers_load = 0
         self._other_callers_load_deadline = 0.0
@@ -89,7 +89,7 @@
     def is_usable(self):
         """Whether it may get new work: not leaving, and listed or in the grace period."""
         return not self.listing.leaving and (
-            self.absent_until is None or not passed(self.absent_until)
+            self.grace_deadline is None or not passed(self.grace_deadline)
         )
 
     @property
@@ -109,12 +109,12 @@
         """Return the current estimated state as a ``Candidate``."""
         unavailable_models = {
             model
-            for model, deadline in self.loading_until.items()
+            for model, deadline in self.loading_deadlines.items()
             if not passed(deadline)
         }
         unavailable_models |= {
             model
-            for model, deadline in self.refused_until.items()
+            for model, deadline in self.refusal_deadlines.items()
             if not passed(deadline)
         }
         return Candidate(self, self.load, self.state.is_suspect, unavailable_models)
@@ -127,13 +127,13 @@
     @property
     def is_loading(self):
         """Whether a load of weights that this process ordered is in progress."""
-        return any(not passed(deadline) for deadline in self.loading_until.values())
+        return any(not passed(deadline) for deadline in self.loading_deadlines.values())
 
     def record_event_interval(self, seconds):
         """Record the seconds between two events of one stream."""
-        if self.pace is None:
-            self.pace = seconds
-        self.pace += PACE_WEIGHT * (seconds - self.pace)
+        if self.event_interval is None:
+            self.event_interval = seconds
+        self.event_interval += EVENT_INTERVAL_WEIGHT * (seconds - self.event_interval)
 
     def record_version(self, model, version):
         """Record the weight version reported with an answer."""
@@ -205,13 +205,13 @@
             self._note("listed", replica)
         elif replica.listing.leaving != listing.leaving:
             self._note("leaving", replica)
-        elif replica.absent_until is not None:
+        elif replica.grace_deadline is not None:
             self._note("back", replica)
         for model, version in listing.versions.items():
             if listing.versions != replica.listing.versions:
                 replica.versions[model] = version
         replica.listing = listing
-        replica.absent_until = None
+        replica.grace_deadline = None
         self._changed()
 
     def _forget_incarnation(self, replica):
@@ -243,14 +243,14 @@
             del self._known[identity]
             self._note("gone", replica)
         else:
-            replica.absent_until = deadline
+            replica.grace_deadline = deadline
             self._note("absent", replica, **self._outage_fields(deadline))
         self._changed()
 
     def remove_lapsed(self):
         """Remove replicas whose entry did not return in time."""
         for identity, replica in list(self._known.items()):
-            if replica.absent_until is not None and passed(replica.absent_until):
+            if replica.grace_deadline is not None and passed(replica.grace_deadline):
                 del self._known[identity]
                 self._note("gone", replica)
 
@@ -261,12 +261,12 @@
         Counted from the removal instead of from the end of the outage, or granted after
         any lost read, it would keep a replica that left unannounced in use until it exits.
         """
-        silence = self.list_tail.last_outage if self.list_tail is not None else None
-        if silence is None:
+        outage = self.list_tail.last_outage if self.list_tail is not None else None
+        if outage is None:
             return LONG_AGO
-        if silence.until - silence.since < MIN_MISSED_HEARTBEATS * self._heartbeat:
+        if outage.until - outage.since < MIN_MISSED_HEARTBEATS * self._heartbeat:
             return LONG_AGO
-        return silence.until + OUTAGE_GRACE_PERIOD
+        return outage.until + OUTAGE_GRACE_PERIOD
 
     def choose(self, service, avoid=()):
         """Return the least loaded replica of a service, or None.
@@ -294,12 +294,12 @@
     def _outage_fields(self, until):
         """Return log fields with what determined the grace period of a lapsed entry."""
         fields = {"tried_seconds": round(remaining(until), 3)}
-        silence = self.list_tail.last_outage
-        if silence is None:
+        outage = self.list_tail.last_outage
+        if outage is None:
             return fields
-        if silence.since != LONG_AGO:
-            fields["list_away_seconds"] = round(silence.until - silence.since, 3)
-        fields["list_back_seconds"] = round(now() - silence.until, 3)
+        if outage.since != LONG_AGO:
+            fields["list_away_seconds"] = round(outage.until - outage.since, 3)
+        fields["list_back_seconds"] = round(now() - outage.until, 3)
         return fields
 
     def _note(self, kind, replica, **fields):
--- a/sassafrasdoor/routing/tests/test_instances.py
+++ b/sassafrasdoor/routing/tests/test_instances.py
@@ -69,9 +69,9 @@
     async def test_no_record_lapses_before_an_outage_is_detected(self):
         """Guards against needless new entry points at the start of a log outage."""
         tail, peers = self.instances[0].tail, {f"i{at}:80" for at in range(1, 5)}
-        tail.ended_at = now() - 2.0
+        tail.end_reached_at = now() - 2.0
         for record in self.instances[0]._records.values():
-            record.renewed_at = tail.ended_at - instance_view.LAPSE_TIMEOUT + 0.5
+            record.renewed_at = tail.end_reached_at - instance_view.LAPSE_TIMEOUT + 0.5
         for tail.failing_since in (None, now()):
             self.instances[0]._view = None
             self.assertLessEqual(peers, set(self.instances[0].addresses("c")))
@@ -84,7 +84,7 @@
         """Guards against peers that lapse by the first of several answers after an outage."""
         tail, peers = self.instances[0].tail, {f"i{at}:80" for at in range(1, 5)}
         for record in self.instances[0]._records.values():
-            record.renewed_at = tail.ended_at - instance_view.LAPSE_TIMEOUT + 0.1
+            record.renewed_at = tail.end_reached_at - instance_view.LAPSE_TIMEOUT + 0.1
         for instance in self.instances:
             await instance._write(instance._document())
         await asyncio.sleep(0.2)
--- a/sassafrasdoor/routing/tests/test_placement.py
+++ b/sassafrasdoor/routing/tests/test_placement.py
@@ -18,7 +18,7 @@
 def make_candidate(
     identity,
     load=0,
-    pace=0.04,
+    event_interval=0.04,
     slots=12,
     unavailable_models=(),
     version=1,
@@ -26,7 +26,7 @@
 ):
     listing = Listing("s", f"{identity}:80", "z", slots, False, {"m": version})
     replica = Replica(identity, listing)
-    replica.pace = pace
+    replica.event_interval = event_interval
     return Candidate(replica, load, is_suspect, set(unavailable_models))
 
 
@@ -98,13 +98,18 @@
 
     def test_samples_leave_only_much_slower_replicas(self):
         slow, usual = (
-            make_candidate("a", pace=0.15).replica,
-            make_candidate("b", pace=0.08).replica,
+            make_candidate("a", event_interval=0.15).replica,
+            make_candidate("b", event_interval=0.08).replica,
+        )
+        free, full = (
+            make_candidate("c", event_interval=0.04),
+            make_candidate("c", load=12),
         )
-        free, full = make_candidate("c", pace=0.04), make_candidate("c", load=12)
         self.assertTrue(should_migrate(slow, free))
         self.assertTrue(should_migrate(usual, free))
-        self.assertFalse(should_migrate(usual, make_candidate("c", pace=0.05)))
+        self.assertFalse(
+            should_migrate(usual, make_candidate("c", event_interval=0.05))
+        )
         self.assertFalse(should_migrate(slow, full))
         self.assertFalse(should_migrate(slow, None))
 
--- a/sassafrasdoor/routing/tests/test_replicas.py
+++ b/sassafrasdoor/routing/tests/test_replicas.py
@@ -40,7 +40,7 @@
         self.tail.last_outage = Outage(now() - 6.0, now())
         self.replicas.remove_listing("x")
         self.assertEqual(self.names(), ["x"])
-        self.replicas.get("x").absent_until = LONG_AGO
+        self.replicas.get("x").grace_deadline = LONG_AGO
         self.replicas.remove_lapsed()
         self.assertEqual(self.names(), [])
 
@@ -50,7 +50,7 @@
         returned_at = now() - 2.0
         self.tail.last_outage = Outage(returned_at - 6.0, returned_at)
         self.replicas.remove_listing("x")
-        used_until = getattr(self.replicas.get("x"), "absent_until", returned_at)
+        used_until = getattr(self.replicas.get("x"), "grace_deadline", returned_at)
         self.assertLessEqual(used_until, returned_at + module.OUTAGE_GRACE_PERIOD)
 
     def test_short_outage_extends_no_entry(self):
@@ -64,9 +64,9 @@
         self.listed("x")
         self.tail.last_outage = Outage(now() - 6.0, now())
         self.replicas.remove_listing("x")
-        self.assertIsNotNone(self.replicas.get("x").absent_until)
+        self.assertIsNotNone(self.replicas.get("x").grace_deadline)
         self.listed("x")
-        self.assertIsNone(self.replicas.get("x").absent_until)
+        self.assertIsNone(self.replicas.get("x").grace_deadline)
 
     def test_own_zone_is_preferred_until_it_is_busier(self):
         near, far = self.listed("near"), self.listed("far", zone="b")
@@ -122,13 +122,15 @@
         before.record_event_interval(0.5)
         before.state.failed(60.0)
         before.state.started()
-        before.loading_until["m"] = before.refused_until["m"] = now() + 60
+        before.loading_deadlines["m"] = before.refusal_deadlines["m"] = now() + 60
         replica = self.listed(2000, version=0)
         self.assertIsNot(replica, before)
         self.assertEqual((replica.versions, replica.free_slots), ({"m": 0}, 4))
-        self.assertIsNone(replica.pace)
+        self.assertIsNone(replica.event_interval)
         self.assertFalse(replica.state.is_suspect)
-        self.assertEqual((replica.loading_until, replica.refused_until), ({}, {}))
+        self.assertEqual(
+            (replica.loading_deadlines, replica.refusal_deadlines), ({}, {})
+        )
         self.assertEqual(self.restarted, [before])
 
     def test_late_entry_of_an_earlier_incarnation_is_ignored(self):
--- a/sassafrasdoor/steps/durable/jobs.py
+++ b/sassafrasdoor/steps/durable/jobs.py
@@ -9,41 +9,41 @@
 class Job:
     """An item in progress: its events and its current attempt. Times are monotonic.
 
-    ``sent_at`` is when the current attempt was sent, ``begun_at`` the first one, and
-    ``whole_at`` when the text was complete; None before. ``broke_at`` is when the last
+    ``sent_at`` is when the current attempt was sent, ``started_at`` the first one, and
+    ``completed_at`` when the text was complete; None before. ``disconnected_at`` is when the last
     attempt's connection broke, None if none did. ``avoid`` is the identity of the slow
     replica that it migrates from, until its next attempt. ``appended`` counts its
-    events in the log, under the name ``run``; more are due at ``keep_at``. Once
-    ``scoring``, ``task`` is the reward call, not sent before ``reward_from``;
-    ``text_kept_at`` is when the text was found in the log, and ``unanswered`` counts
+    events in the log, under the name ``run``; more are due at ``progress_due_at``. Once
+    ``scoring``, ``task`` is the reward call, not sent before ``next_reward_call_at``;
+    ``text_logged_at`` is when the text was found in the log, and ``unanswered_calls`` counts
     the calls without an answer.
     """
 
     __slots__ = (
         "attempts",
         "avoid",
-        "begun_at",
-        "broke_at",
+        "started_at",
+        "disconnected_at",
         "failures",
         "item",
-        "keep_at",
+        "progress_due_at",
         "appended",
         "last_event_at",
         "migrations",
         "numbers",
         "replica",
         "reward_failures",
-        "reward_from",
+        "next_reward_call_at",
         "run",
         "scoring",
         "sent_at",
         "step",
         "task",
-        "text_kept_at",
+        "text_logged_at",
         "texts",
-        "unanswered",
+        "unanswered_calls",
         "versions",
-        "whole_at",
+        "completed_at",
         "abort_reason",
     )
 
@@ -55,12 +55,12 @@
         self.attempts = 0
         self.migrations = 0
         self.avoid = ""
-        self.failures = len(step.failed.get(item.item_id, ()))
-        self.reward_failures = len(step.reward_failed.get(item.item_id, ()))
-        self.unanswered = 0
-        self.reward_from = self.text_kept_at = 0.0
+        self.failures = len(step.failed_attempts.get(item.item_id, ()))
+        self.reward_failures = len(step.failed_reward_calls.get(item.item_id, ()))
+        self.unanswered_calls = 0
+        self.next_reward_call_at = self.text_logged_at = 0.0
         self.scoring = False
-        self.sent_at = self.begun_at = self.whole_at = self.broke_at = None
+        self.sent_at = self.started_at = self.completed_at = self.disconnected_at = None
         self.restart()
         self._resume(step)
 
@@ -78,7 +78,7 @@
         self.abort_reason = ""
         self.run = uuid.uuid4().hex[:12]
         self.appended = 0
-        self.keep_at = None
+        self.progress_due_at = None
 
     @property
     def last_number(self):
@@ -101,15 +101,15 @@
     def begin_scoring(self):
         """Start scoring the complete text; no progress is logged any more."""
         self.scoring = True
-        self.whole_at = self.whole_at or now()
+        self.completed_at = self.completed_at or now()
         self.task = None
         self.last_event_at = self.sent_at = None
-        self.keep_at = None
+        self.progress_due_at = None
 
     def timings(self):
         """Return the seconds from its step's record to its first attempt, to its
         complete text and to now; None for what has not happened."""
-        times = (self.begun_at, self.whole_at, now())
+        times = (self.started_at, self.completed_at, now())
         seen_at = self.step.seen_at
         return [None if at is None else round(at - seen_at, 2) for at in times]
 
--- a/sassafrasdoor/steps/durable/reward_order.py
+++ b/sassafrasdoor/steps/durable/reward_order.py
@@ -22,9 +22,9 @@
     return max(0, max(MIN_CONCURRENCY, int(slots * SLOT_SHARE)) - in_flight)
 
 
-def call_timeout(route, unanswered=0):
-    """Return the timeout in seconds of a reward call after ``unanswered`` lost ones."""
-    return min(route.timeout, TIMEOUT_FACTOR * route.target * 2**unanswered)
+def call_timeout(route, unanswered_calls=0):
+    """Return the timeout in seconds of a reward call after ``unanswered_calls`` lost ones."""
+    return min(route.timeout, TIMEOUT_FACTOR * route.target * 2**unanswered_calls)
 
 
 def ordered(jobs):
--- a/sassafrasdoor/steps/durable/rewards.py
+++ b/sassafrasdoor/steps/durable/rewards.py
@@ -57,7 +57,7 @@
 
     def add(self, job):
         """Queue the reward call of a job."""
-        job.reward_from = job.text_kept_at = now()
+        job.next_reward_call_at = job.text_logged_at = now()
         self._jobs[job.key] = job
         self._wake()
 
@@ -75,12 +75,12 @@
         configuration = self._routes.current
         if configuration is None:
             return
-        due = [job for job in self.pending if passed(job.reward_from)]
+        due = [job for job in self.pending if passed(job.next_reward_call_at)]
         for job in reward_order.ordered(due):
             call = job.item.reward
             route = configuration.match(call.host, call.path)
             if route is None:
-                job.reward_from = deadline_in(reward_order.NO_ROUTE_RETRY_DELAY)
+                job.next_reward_call_at = deadline_in(reward_order.NO_ROUTE_RETRY_DELAY)
                 note("reward.no_route", request=call.call_id, item=job.item.item_id)
                 continue
             request = self._request(job, route, configuration)
@@ -99,7 +99,7 @@
 
     def _request(self, job, route, configuration):
         call = job.item.reward
-        timeout = reward_order.call_timeout(route, job.unanswered)
+        timeout = reward_order.call_timeout(route, job.unanswered_calls)
         return DirectRequest(
             route=route,
             method=METHOD,
@@ -134,14 +134,14 @@
                 self._append_score(job, result)
                 return
         CALLS.inc({"result": label})
-        job.unanswered += isinstance(result, Unknown)
+        job.unanswered_calls += isinstance(result, Unknown)
         if attempts.failures:
             self._handle_failure(job, attempts)
         else:
-            job.reward_from = deadline_in(reward_order.LOST_RETRY_DELAY)
+            job.next_reward_call_at = deadline_in(reward_order.LOST_RETRY_DELAY)
 
     def _append_score(self, job, answer):
-        SECONDS.observe({}, now() - job.text_kept_at)
+        SECONDS.observe({}, now() - job.text_logged_at)
         self.drop(job)
         spec = job.step.spec
         score = Score(spec.step_id, job.item.item_id, answer.signature)
@@ -168,4 +168,4 @@
             self.drop(job)
             self._on_failed(job, f"reward calls failed with status {SERVER_ERROR}")
         else:
-            job.reward_from = deadline_in(reward_order.FAILED_RETRY_DELAY)
+            job.next_reward_call_at = deadline_in(reward_order.FAILED_RETRY_DELAY)
--- a/sassafrasdoor/steps/durable/runner.py
+++ b/sassafrasdoor/steps/durable/runner.py
@@ -168,11 +168,11 @@
 
     def _append_due_progress(self):
         for job in self._jobs.values():
-            if job.keep_at is not None and passed(job.keep_at):
+            if job.progress_due_at is not None and passed(job.progress_due_at):
                 self._append_progress(job)
 
     def _append_progress(self, job):
-        job.keep_at = deadline_in(PROGRESS_INTERVAL)
+        job.progress_due_at = deadline_in(PROGRESS_INTERVAL)
         progress = job.progress()
         if progress is not None:
             self._outboxes[job.step.shard].put(encode(progress))
@@ -185,7 +185,7 @@
         for job in [job for job in self._jobs.values() if job.step is step]:
             if not step.is_open(job.item.item_id):
                 self._remove(job)
-            elif job.item.item_id in step.texts and not job.text_kept_at:
+            elif job.item.item_id in step.texts and not job.text_logged_at:
                 self._start_scoring(job)
 
     def _add_items(self, step):
@@ -253,7 +253,9 @@
 
     def _is_delayed_after_crash(self, job):
         """Say whether an item that crashes replicas must wait for its next attempt."""
-        if job.broke_at is None or passed(job.broke_at + CRASH_RETRY_DELAY):
+        if job.disconnected_at is None or passed(
+            job.disconnected_at + CRASH_RETRY_DELAY
+        ):
             return False
         return self._crashes.is_quarantined(_ItemRequest(job))
 
@@ -330,12 +332,12 @@
 
     def _start_attempt(self, job, replica):
         job.attempts += 1
-        job.begun_at = job.begun_at or now()
+        job.started_at = job.started_at or now()
         job.avoid = ""
         job.replica = replica
         job.last_event_at = job.sent_at = None
-        if job.keep_at is None:
-            job.keep_at = deadline_in(PROGRESS_INTERVAL)
+        if job.progress_due_at is None:
+            job.progress_due_at = deadline_in(PROGRESS_INTERVAL)
         job.task = asyncio.ensure_future(self._run_attempt(job, replica))
 
     def _abort_silent_attempts(self):
@@ -414,7 +416,7 @@
             if job.abort_reason != MIGRATED:
                 replica.state.failed(SUSPECT_DURATION)
             if job.abort_reason not in ABORT_REASONS:
-                job.broke_at = now()
+                job.disconnected_at = now()
                 self._crashes.record_result(_ItemRequest(job), replica, result)
             self._requeue(job, replica, result.reason)
 
@@ -447,7 +449,7 @@
 
     def _handle_refusal(self, job, replica, result):
         model = job.step.spec.model
-        replica.refused_until[model] = deadline_in(REFUSAL_DELAY)
+        replica.refusal_deadlines[model] = deadline_in(REFUSAL_DELAY)
         if isinstance(result, WrongReplica):
             replica.state.failed(SUSPECT_DURATION)
         self._requeue(job, replica, result.reason)
--- a/sassafrasdoor/steps/durable/state.py
+++ b/sassafrasdoor/steps/durable/state.py
@@ -18,7 +18,7 @@
 class Step:
     """One accepted step and what the log lists of it.
 
-    ``listed`` are the samples by position. By item, ``failed`` and ``reward_failed``
+    ``listed`` are the samples by position. By item, ``failed_attempts`` and ``failed_reward_calls``
     are the ids of attempts and reward calls that replicas failed, ``progress`` the
     partial samples by run, ``texts`` the complete texts that still need their score.
     ``seen_at`` is when this process learned of the step.
@@ -28,12 +28,12 @@
         "_group_sizes",
         "_listed_by_group",
         "ended",
-        "failed",
+        "failed_attempts",
         "items",
         "listed",
         "listed_ids",
         "progress",
-        "reward_failed",
+        "failed_reward_calls",
         "seen_at",
         "shard",
         "spec",
@@ -49,8 +49,8 @@
         self._listed_by_group = {}
         self.listed = []
         self.listed_ids = set()
-        self.failed = {}
-        self.reward_failed = {}
+        self.failed_attempts = {}
+        self.failed_reward_calls = {}
         self.progress = {}
         self.texts = {}
         self.ended = False
@@ -257,12 +257,14 @@
     def _fold_failure(self, shard, offset, failure):
         step = self.by_id.get(failure.step_id)
         if step is not None:
-            step.failed.setdefault(failure.item_id, set()).add(failure.attempt)
+            step.failed_attempts.setdefault(failure.item_id, set()).add(failure.attempt)
 
     def _fold_reward_failure(self, shard, offset, failure):
         step = self.by_id.get(failure.step_id)
         if step is not None:
-            step.reward_failed.setdefault(failure.item_id, set()).add(failure.attempt)
+            step.failed_reward_calls.setdefault(failure.item_id, set()).add(
+                failure.attempt
+            )
 
     def _fold_end(self, shard, offset, end):
         step = self.by_id.get(end.step_id)
--- a/sassafrasdoor/steps/durable/tests/test_runner.py
+++ b/sassafrasdoor/steps/durable/tests/test_runner.py
@@ -142,7 +142,7 @@
         """Guards against failures counted in one runner's memory only."""
         failed = SampleFailed("status 500", final=False)
         await self.start(ScriptedClient(failed), items=1, step_id="s1")
-        self.steps.by_id["s1"].failed["i0"] = {"t1", "t2"}
+        self.steps.by_id["s1"].failed_attempts["i0"] = {"t1", "t2"}
         self.runner.stop_shard(0)
         self.client.script = [failed]
         self.client.sent.clear()
@@ -227,8 +227,8 @@
         await self.start(ScriptedClient(slow, [(1, "b", 1)]), replica_set, items=1)
         await self.until(lambda: self.client.sent)
         origin, other = self.client.sent[0][0], {"e0": "e1", "e1": "e0"}
-        replica_set.get(origin).pace = 0.2
-        replica_set.get(other[origin]).pace = 0.05
+        replica_set.get(origin).event_interval = 0.2
+        replica_set.get(other[origin]).event_interval = 0.05
         (sample,) = await self.samples(1)
         self.assertEqual(sample.text, "a\nb")
         sent = [(name, after) for name, _, after in self.client.sent]
@@ -238,7 +238,10 @@
     async def test_attempt_that_has_not_started_is_not_migrated(self):
         """Guards against an item lost by cancelling an attempt that has not begun."""
         replica_set = replicas(2, slots=1)
-        replica_set.get("e0").pace, replica_set.get("e1").pace = 0.2, 0.04
+        replica_set.get("e0").event_interval, replica_set.get("e1").event_interval = (
+            0.2,
+            0.04,
+        )
         replica_set.get("e1").state.started()
         await self.start(ScriptedClient(), replica_set, items=1)
         self.runner._dispatch()
--- a/sassafrasdoor/steps/durable/tests/test_state.py
+++ b/sassafrasdoor/steps/durable/tests/test_state.py
@@ -58,13 +58,13 @@
     def test_failures_are_counted_across_runners(self):
         failures = [encode(Failure("s1", "i0")) for _ in range(2)]
         steps = folded(*step_records(), *failures)
-        self.assertEqual(len(steps.by_id["s1"].failed["i0"]), 2)
+        self.assertEqual(len(steps.by_id["s1"].failed_attempts["i0"]), 2)
 
     def test_duplicate_failure_record_counts_once(self):
         """Guards against a failure counted twice after a repeated append."""
         for record_type, attribute in (
-            (Failure, "failed"),
-            (RewardFailure, "reward_failed"),
+            (Failure, "failed_attempts"),
+            (RewardFailure, "failed_reward_calls"),
         ):
             with self.subTest(record_type.__name__):
                 data = encode(record_type("s1", "i0"))
--- a/sassafrasdoor/weights/controller.py
+++ b/sassafrasdoor/weights/controller.py
@@ -241,7 +241,7 @@
         )
         if result is True:
             last_order.retry_deadline = deadline_in(REPORT_LAG)
-            replica.loading_until[model] = deadline_in(MIN_LOAD_TIME)
+            replica.loading_deadlines[model] = deadline_in(MIN_LOAD_TIME)
             ORDER_DELAY.observe({}, now() - self._target_set_at[model])
             return
         last_order.retry_deadline = deadline_in(RETRY_DELAY)
