--- a/sassafrasdoor/requests/crash_watch.py
+++ b/sassafrasdoor/requests/crash_watch.py
@@ -26,9 +26,7 @@
 SUSPECT_WAIT_TIMEOUT = 1.0  # seconds to wait for crash checks between two suspects
 APPEND_TIMEOUT = 1.0  # seconds
 APPEND_RETRY_INTERVAL = 0.25  # seconds
-MAX_PENDING_RECORDS = (
-    4096  # records not yet in the log; the oldest are dropped beyond it
-)
+MAX_PENDING_RECORDS = 4096  # records not yet in the log; the oldest are dropped
 EXPIRY_INTERVAL = 60.0  # seconds
 MAX_IDENTITY_LENGTH = 128  # characters, since a record's key is limited to 255 bytes
 
--- a/sassafrasdoor/routing/instances.py
+++ b/sassafrasdoor/routing/instances.py
@@ -168,7 +168,7 @@
             )
 
     async def _wait_for_renewal(self, timeout):
-        """Wait until the own record may be due, for ``seconds`` at most."""
+        """Wait until the own record may be due, for ``timeout`` seconds at most."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(timeout):
                 await self._renewal_requested.wait()
--- a/sassafrasdoor/routing/placement.py
+++ b/sassafrasdoor/routing/placement.py
@@ -1,23 +1,23 @@
 """Chooses the replica of an item, and the samples that leave a slow replica.
 
 A step ends with its longest sample. Items go to the replica with the earliest estimated
-finish, by its pace (token interval) and load. A sample leaves its replica when another
+finish, by its event interval and load. A sample leaves its replica when another
 one with a free slot is faster by ``MIGRATION_THRESHOLD``.
 """
 
-MIGRATION_THRESHOLD = 1.8  # ratio of paces; above the variation of healthy replicas
-LOAD_WEIGHT = 1.0  # estimated slowdown of a full replica, as a share of its pace
+MIGRATION_THRESHOLD = 1.8  # ratio of intervals; above the variation of healthy replicas
+LOAD_WEIGHT = 1.0  # estimated slowdown of a full replica, as a share of its interval
 UNRESPONSIVE_AFTER = 1.2  # seconds without data on any stream; longer than a load
 MAX_MIGRATIONS = 2  # migrations of one sample
-DEFAULT_EVENT_INTERVAL = 1.0  # seconds between events while no replica's pace is known
+DEFAULT_EVENT_INTERVAL = 1.0  # seconds, while no replica's interval is known
 
 
 class Candidate:
     """One replica's estimated state at one moment.
 
-    ``load`` and ``slots`` count samples; ``event_interval`` is the seconds between two events of
-    its samples, None while unknown. ``versions`` maps models to weight versions.
-    ``unavailable_models`` are those that it is loading or has recently refused.
+    ``load`` and ``slots`` count samples; ``event_interval`` is the seconds between two
+    events of its samples, None while unknown. ``versions`` maps models to weight
+    versions. ``unavailable_models`` are those that it is loading or has recently refused.
     """
 
     __slots__ = (
@@ -62,7 +62,7 @@
 
 
 def median_event_interval(candidates):
-    """Return the median of the known paces, or ``DEFAULT_EVENT_INTERVAL``."""
+    """Return the median known event interval, or ``DEFAULT_EVENT_INTERVAL``."""
     known = sorted(
         candidate.event_interval for candidate in candidates if candidate.event_interval
     )
@@ -116,7 +116,7 @@
 
 
 def _cost(candidate, median):
-    """Return the estimated pace with one more item, with the identity as tie-break."""
+    """Return the estimated interval with one more item; the identity breaks ties."""
     event_interval = candidate.event_interval or median
     return (
         event_interval * (1 + LOAD_WEIGHT * (candidate.load + 1) / candidate.slots),
--- a/sassafrasdoor/routing/replicas.py
+++ b/sassafrasdoor/routing/replicas.py
@@ -22,7 +22,7 @@
 ZONE_PENALTY = 0.25
 LOAD_REPORT_LIFETIME = 1.0  # seconds; calls last less
 
-# Weight of one interval in the smoothed pace: a full replica sends about 250 events a
+# Weight of one interval in the smoothed one: a full replica sends about 250 events a
 # second, so a change shows within a fifth of a second, and one late packet does not.
 EVENT_INTERVAL_WEIGHT = 0.03
 
@@ -33,7 +33,8 @@
     """A replica's entry in the platform's list.
 
     ``born`` distinguishes its incarnations: the start in Unix milliseconds, or 0 if
-    the list does not state it. It is compared with other values of ``born`` only, never with a clock.
+    the list does not state it. It is compared with other values of ``born`` only, never
+    with a clock.
     """
 
     __slots__ = ("address", "born", "leaving", "service", "slots", "versions", "zone")
@@ -52,10 +53,12 @@
     """One incarnation of a replica; a later one may have the same ``identity``.
 
     All state of a replica is kept here, so that none carries over to the next
-    incarnation. By model, ``refusal_deadlines`` is the time until which it gets no items
-    after a refusal, ``loading_deadlines`` the end of a load that this process ordered.
-    ``last_received_at`` is the time of the last data on any of its streams, ``event_interval`` the
-    smoothed seconds between two events of its streams, None before the first.
+    incarnation. By model, ``refusal_deadlines`` are the times until which it gets no
+    items after a refusal, ``loading_deadlines`` those until which a load that this
+    process ordered counts as in progress. ``grace_deadline`` is the time until which it
+    stays in use without an entry, None while listed. ``last_received_at`` is the time of
+    the last data on any of its streams, ``event_interval`` the smoothed seconds between
+    two events of its streams, None before the first.
     """
 
     __slots__ = (
--- a/sassafrasdoor/routing/tests/test_placement.py
+++ b/sassafrasdoor/routing/tests/test_placement.py
@@ -42,7 +42,7 @@
         cases = [
             ("less load", [make_candidate("a", 5), make_candidate("b", 2)], {}, "b"),
             (
-                "pace counts",
+                "event interval counts",
                 [make_candidate("a", 2, 0.12), make_candidate("b", 5, 0.04)],
                 {},
                 "b",
@@ -79,7 +79,7 @@
                 "b",
             ),
             (
-                "unknown pace counts as median",
+                "unknown event interval counts as median",
                 [make_candidate("a", 2, None), make_candidate("b", 3)],
                 {},
                 "a",
--- a/sassafrasdoor/steps/durable/jobs.py
+++ b/sassafrasdoor/steps/durable/jobs.py
@@ -9,14 +9,15 @@
 class Job:
     """An item in progress: its events and its current attempt. Times are monotonic.
 
-    ``sent_at`` is when the current attempt was sent, ``started_at`` the first one, and
-    ``completed_at`` when the text was complete; None before. ``disconnected_at`` is when the last
-    attempt's connection broke, None if none did. ``avoid`` is the identity of the slow
-    replica that it migrates from, until its next attempt. ``appended`` counts its
-    events in the log, under the name ``run``; more are due at ``progress_due_at``. Once
+    ``sent_at`` is when the current attempt was sent, ``started_at`` when the first one
+    started, ``completed_at`` when the text was complete; None before.
+    ``disconnected_at`` is when an attempt last ended in a broken connection or a
+    timeout, None if none did. ``avoid`` is the identity of the slow replica that it
+    migrates from, until its next attempt. ``appended`` counts its events in the log,
+    under the run id ``run``; the next ones are logged at ``progress_due_at``. Once
     ``scoring``, ``task`` is the reward call, not sent before ``next_reward_call_at``;
-    ``text_logged_at`` is when the text was found in the log, and ``unanswered_calls`` counts
-    the calls without an answer.
+    ``text_logged_at`` is when the text was found in the log, ``unanswered_calls`` the
+    number of reward calls without an answer.
     """
 
     __slots__ = (
--- a/sassafrasdoor/steps/durable/reward_order.py
+++ b/sassafrasdoor/steps/durable/reward_order.py
@@ -23,7 +23,7 @@
 
 
 def call_timeout(route, unanswered_calls=0):
-    """Return the timeout in seconds of a reward call after ``unanswered_calls`` lost ones."""
+    """Return the timeout in seconds of a reward call after some unanswered ones."""
     return min(route.timeout, TIMEOUT_FACTOR * route.target * 2**unanswered_calls)
 
 
--- a/sassafrasdoor/steps/durable/runner.py
+++ b/sassafrasdoor/steps/durable/runner.py
@@ -310,9 +310,9 @@
         for job in list(self._jobs.values()):
             if job.task is None or job.scoring or job.abort_reason:
                 continue
-            # An attempt without events may not have started. Cancelled then, it handles
-            # nothing: its item would never be queued again, and its replica would be
-            # counted as one fuller.
+            # The task of an attempt without events may not have started. If cancelled
+            # then, it handles no result: its item would never be queued again, and its
+            # replica would be counted as one fuller.
             if job.last_event_at is None:
                 continue
             if (
--- a/sassafrasdoor/steps/durable/service.py
+++ b/sassafrasdoor/steps/durable/service.py
@@ -10,10 +10,10 @@
 from sassafrasdoor.steps.durable import records
 
 TOPIC = "steps"
-SHARD_COUNT = 6  # partitions of the topic; a model's steps share one, and its runner
-APPEND_TIMEOUT = 0.8  # seconds for one append; a slow log answers within 60 times 4 ms
+SHARD_COUNT = 6  # partitions of the topic; a model's steps share one, and so a runner
+APPEND_TIMEOUT = 0.8  # seconds; a slow log takes up to 60 times the usual 4 ms
 MIN_APPEND_TIMEOUT = 0.4  # seconds; a slow log answers within 0.25 s
-SUBMIT_TIMEOUT = 3.0  # seconds to try a submission; a caller has 12 s and one more try
+SUBMIT_TIMEOUT = 3.0  # seconds to try a submission; a caller has 12 s and one retry
 # Seconds to try an end; its trainer retries at another instance, and announces no new
 # weights before.
 END_TIMEOUT = 1.3
@@ -114,8 +114,8 @@
             is_unknown = is_unknown or isinstance(result, ReplyLost)
             if forward is None:
                 break
-            # The log may be unreachable from this instance only. A step that waited
-            # here would be late by seconds, and its trainer behind for the day.
+            # The log may be unreachable from this instance only. Waiting here would
+            # delay the step by seconds, which its trainer cannot make up that day.
             accepted = await forward()
             if accepted:
                 return True
--- a/sassafrasdoor/steps/durable/shards.py
+++ b/sassafrasdoor/steps/durable/shards.py
@@ -42,8 +42,8 @@
 
     ``ranking(shard)`` is this instance's rank among those that could run a shard, 0
     for the first; ``on_gain(shard)`` and ``on_loss(shard)`` are called on changes.
-    ``processes`` says which have ended, ``has_ended(instance, name, since)``, and
-    whether this one ``is_listed``; until it is, it claims nothing.
+    ``processes.has_ended(instance, name, since)`` says whether a process has ended, and
+    ``processes.is_listed`` whether this one is listed; before that it claims nothing.
     """
 
     __slots__ = (
--- a/sassafrasdoor/steps/durable/state.py
+++ b/sassafrasdoor/steps/durable/state.py
@@ -18,9 +18,10 @@
 class Step:
     """One accepted step and what the log lists of it.
 
-    ``listed`` are the samples by position. By item, ``failed_attempts`` and ``failed_reward_calls``
-    are the ids of attempts and reward calls that replicas failed, ``progress`` the
-    partial samples by run, ``texts`` the complete texts that still need their score.
+    ``listed`` are the samples by position. By item, ``failed_attempts`` and
+    ``failed_reward_calls`` are the ids of attempts and reward calls that failed at a
+    replica, ``progress`` the partial samples by run, ``texts`` the complete texts that
+    still need their score.
     ``seen_at`` is when this process learned of the step.
     """
 
