--- a/sassafrasdoor/platform/process.py
+++ b/sassafrasdoor/platform/process.py
@@ -56,11 +56,11 @@
 # time and keep too many connections.
 MAX_REPLICAS_FOR_ONE_RUNNER = 60
 # Added to the shard ranks of all other instances while the holder of the weights lease
-# is alive. After a start the holder first reads megabytes. If the next in rank finished
-# slightly earlier and ran the steps, loads and items would be assigned by different
-# processes, and replicas that are loading weights refuse items.
+# is alive. After a start the holder first reads megabytes of the log. If the next in
+# rank finished slightly earlier and ran the steps, loads and items would be assigned by
+# different processes, and replicas that are loading weights refuse items.
 NON_CONTROLLER_RANK_OFFSET = 3
-FENCED_HANDOVER_DELAY = 0.3  # seconds; longest delivery of a former holder's order
+FENCED_HANDOVER_DELAY = 0.3  # seconds; a former holder's order arrives within it
 # Seconds between checks whether to read the steps; shorter while waiting for a slot.
 FOLLOW_CHECK_INTERVAL, READ_SLOT_CHECK_INTERVAL = 0.2, 0.05
 # Minimum seconds between reads of a shard that this process does not run.
@@ -126,7 +126,7 @@
             self._crashes.apply_record,
             CRASH_LIST_READ_INTERVAL,
             self._peers.newest,
-            # Not shared with the others: a slow crash list must not delay the steps.
+            # Not shared with other tails: a slow crash list must not delay the steps.
             ReadCoordinator(self._backlog_share, self._retry_pause),
         )
         self._steps = Steps()
@@ -353,9 +353,9 @@
             self._instances.has_read = self._following.is_set() and all_caught_up(
                 step_tails
             )
-            waiting = not (self._read_slot.has_come or self._instances.in_reserve)
+            awaits_slot = not (self._read_slot.has_come or self._instances.in_reserve)
             await asyncio.sleep(
-                READ_SLOT_CHECK_INTERVAL if waiting else FOLLOW_CHECK_INTERVAL
+                READ_SLOT_CHECK_INTERVAL if awaits_slot else FOLLOW_CHECK_INTERVAL
             )
 
     def _should_follow_steps(self):
@@ -389,7 +389,7 @@
 
     @property
     def _unread_instances_ahead(self):
-        """How many instances read the steps first; 0 if this is first for a shard."""
+        """Number of instances that read first; 0 if this is first for some shard."""
         keys = set(map(self._ranking_key, range(self._weights_shard + 1)))
         if any(self._instances.unread_entry_points_before(key) == 0 for key in keys):
             return 0
@@ -430,14 +430,14 @@
         """Return a function that returns the seconds between reads of a shard."""
 
         def pause():
-            shared = follower_pause(
+            interval = follower_pause(
                 self._instances.entry_point_count,
                 len(self._steps.used_shards),
                 self._settings.reads_per_second,
             )
             if self._shards.runs_here(shard):
-                return shared
-            return max(shared, UNOWNED_SHARD_MIN_READ_INTERVAL)
+                return interval
+            return max(interval, UNOWNED_SHARD_MIN_READ_INTERVAL)
 
         return pause
 
@@ -490,7 +490,9 @@
         self._settings_signature = platform_settings.file_signature(self._path)
         loaded = platform_settings.load(self._path)
         if not loaded:
-            findings = [str(item) for item in loaded.findings[:MAX_LOGGED_FINDINGS]]
+            findings = [
+                str(finding) for finding in loaded.findings[:MAX_LOGGED_FINDINGS]
+            ]
             note("process.reloaded", valid=False, findings=findings)
             return
         applied, deferred = self._settings.take_over(loaded)
