--- a/sassafrasdoor/platform/front.py
+++ b/sassafrasdoor/platform/front.py
@@ -43,7 +43,7 @@
 # Seconds for all peers asked for one read, in addition to the wait that its caller
 # requested; the caller gives up 1.5 s after that wait.
 PEER_READ_TIMEOUT = 1.4
-# Seconds without an answer, in addition to that wait, before asking the next peer too.
+# Seconds without an answer, after the caller's wait, before the next peer is asked too.
 HEDGE_DELAY = 0.5
 MAX_PEERS_ASKED = 3
 STEP_PATH = re.compile(r"^/-/lots/([^/?]+)$")
@@ -159,7 +159,7 @@
         elif page is not None:
             await self._reply_from_peer_or_fail(page)
 
-    async def _read_body(self, step_id):
+    async def _read_item_body(self, step_id):
         query = parse_qs_bytes(self.request.query.encode())
         item_id = query.get("Id", [b""])[0].decode("utf-8", "replace")
         body = await self._while_connected(self._parts.steps.body(step_id, item_id))
@@ -179,7 +179,7 @@
 
     @property
     def _forwarder(self):
-        """Function that forwards this call to a peer; None if it was forwarded."""
+        """Function that forwards this call to a peer; None if a peer sent it here."""
         return (
             None if FORWARDED_HEADER in self.request.headers else self._accepted_by_peer
         )
@@ -202,8 +202,8 @@
             if self._caller_left:
                 return
             if reply is not None:
-                kind = reply.headers.get("Content-Type", wire.JSON_TYPE)
-                self._reply(200, [("Content-Type", kind)], reply.body)
+                content_type = reply.headers.get("Content-Type", wire.JSON_TYPE)
+                self._reply(200, [("Content-Type", content_type)], reply.body)
                 return
         self._reply_failure(outcome)
 
@@ -293,7 +293,7 @@
 _STEP_CALLS = (
     (STEP_PATH, "GET", FrontHandler._read_step),
     (STEP_PATH, "DELETE", FrontHandler._end_step),
-    (ITEM_PATH, "GET", FrontHandler._read_body),
+    (ITEM_PATH, "GET", FrontHandler._read_item_body),
 )
 
 
@@ -331,7 +331,7 @@
 
 def _application(handlers):
     # Disables Tornado's log line for each answer of 400 and above: decisions are logged
-    # where they are made, and their number is limited.
+    # where they are made, at a limited rate.
     return Application(handlers, log_function=lambda handler: None)
 
 
