--- a/sassafrasdoor/weights/controller.py
+++ b/sassafrasdoor/weights/controller.py
@@ -56,9 +56,10 @@
 class WeightsController:
     """Orders loads while ``holder.fence`` is set and the handover has passed.
 
-    ``handover()`` returns the seconds to wait for orders of a former holder. ``work``
-    describes the steps run here: ``queued_items(model)`` returns the number of queued items,
-    ``oldest_allowed(model)`` the oldest version that serves all open steps.
+    ``handover()`` returns the seconds to wait before the first order, since orders of a
+    former holder may still arrive. ``work`` describes the steps run here:
+    ``queued_items(model)`` returns the number of queued items, ``oldest_allowed(model)``
+    the oldest version that serves all open steps.
     """
 
     __slots__ = (
@@ -152,9 +153,9 @@
             replicas = self._replicas.of_service(service)
             if replicas and models:
                 self._assign(replicas, models)
-                self._order_due(replicas)
+                self._order_due_loads(replicas)
 
-    def _order_due(self, replicas):
+    def _order_due_loads(self, replicas):
         loading = sum(
             not passed(order.load_deadline) for order in self._last_orders.values()
         )
@@ -262,13 +263,13 @@
 
     def _assign(self, replicas, models):
         """Assign the replicas to the models; each keeps its model where possible."""
-        targets = allocate_replicas(len(replicas), models, self._demand)
+        replica_counts = allocate_replicas(len(replicas), models, self._demand)
         unassigned = {replica.identity: replica for replica in replicas}
         if len(replicas) < len(models):
-            order = sorted(unassigned)
+            identities = sorted(unassigned)
             for index, model in enumerate(models):
-                identity = order[index % len(order)]
-                if index < len(order):
+                identity = identities[index % len(identities)]
+                if index < len(identities):
                     self._assigned[identity] = ()
                 self._assigned[identity] += (model,)
             return
@@ -278,7 +279,7 @@
                 unassigned.values(),
                 key=lambda replica: self._assignment_cost(replica, model),
             )
-            for replica in preferred[: targets[model]]:
+            for replica in preferred[: replica_counts[model]]:
                 if self._is_assigned(replica, model):
                     assigned[replica.identity] = (model,)
         for identity in assigned:
@@ -291,7 +292,7 @@
                 unassigned.values(),
                 key=lambda replica: self._assignment_cost(replica, model),
             )
-            for replica in preferred[: max(0, targets[model] - assigned_count)]:
+            for replica in preferred[: max(0, replica_counts[model] - assigned_count)]:
                 assigned[replica.identity] = (model,)
                 del unassigned[replica.identity]
         if assigned != {key: self._assigned.get(key) for key in assigned}:
@@ -316,11 +317,13 @@
     """
     if count < len(models):
         return dict.fromkeys(models, 1)
-    weights = {model: max(1, demand.get(model, 1)) for model in models}
+    effective_demand = {model: max(1, demand.get(model, 1)) for model in models}
     if len(demand) < len(models):
-        weights = dict.fromkeys(models, 1)
-    total = sum(weights.values())
-    exact = {model: count * weight / total for model, weight in weights.items()}
+        effective_demand = dict.fromkeys(models, 1)
+    total = sum(effective_demand.values())
+    exact = {
+        model: count * tokens / total for model, tokens in effective_demand.items()
+    }
     allocated = dict.fromkeys(models, 1)
     while sum(allocated.values()) < count:
         neediest = max(
