--- a/sassafrasdoor/weights/load_policy.py
+++ b/sassafrasdoor/weights/load_policy.py
@@ -13,8 +13,8 @@
 def may_load(replicas, loading, serves_open_steps):
     """Return whether one more of a model's replicas may begin to load.
 
-    ``replicas`` counts the model's own, ``loading`` those that load now. A replica whose
-    weights are too old for the open steps may always load.
+    ``replicas`` is the number of the model's replicas, ``loading`` how many of them load
+    now. A replica whose weights are too old for the open steps may always load.
     """
     return not serves_open_steps or loading < max(1, int(replicas * LOADING_SHARE))
 
