--- a/sassafrasdoor/weights/plan.py
+++ b/sassafrasdoor/weights/plan.py
@@ -52,7 +52,7 @@
     def is_behind(self, model, version):
         """Return whether the engine reports an older version.
 
-        A newer one does not count, since the own view may be outdated.
+        A newer version is not behind, since this process's view may be outdated.
         """
         return self.versions is not None and self.versions.get(model, 0) < version
 
@@ -78,7 +78,7 @@
 
 
 def preference(table, model):
-    """Return the ``Preference`` of a model's trainers, by the sum of their weights."""
+    """Return the ``Preference`` of a model's trainers, by the sum of row weights."""
     sums = dict.fromkeys(Preference, 0.0)
     for row in table.rows if table else ():
         if row.kind is Kind.TRAINER and row.model == model:
