--- a/sassafrasdoor/admission/allocator.py
+++ b/sassafrasdoor/admission/allocator.py
@@ -6,11 +6,11 @@
 are lost, instances are partitioned and the holder changes; clocks need only run at the
 same rate.
 
-A dead instance can't be distinguished from a partitioned one. What a silent instance may still
-be using counts against hard limits only: rows without one get its slots as soon as its
-grants lapse, and the backend servers queue or refuse the excess. With
-``admission.strict_capacity`` it counts against the capacity too, so the slots of a dead
-instance stay unused for ``overhang``.
+A dead instance can't be distinguished from a partitioned one. What a silent instance
+may still be using counts against hard limits only: rows without a hard limit get its
+slots as soon as its grants lapse, and the backend servers queue or refuse the excess.
+With ``admission.strict_capacity`` it counts against the capacity too, so the slots of a
+dead instance stay unused for ``overhang``.
 """
 
 from collections import Counter
@@ -118,13 +118,14 @@
             self._targets[report.instance] = dict(record.committed)
         return self._grant(report.instance, record, lease_deadline)
 
-    def _lifetime(self, instances):
-        """Return the seconds that grants last, within ``REPORTS_PER_SECOND``.
+    def _lifetime(self, instance_count):
+        """Return the seconds that grants last.
 
-        An instance reports ``REPORTS_PER_GRANT`` times in a grant's lifetime.
+        An instance reports ``REPORTS_PER_GRANT`` times in a grant's lifetime, so many
+        instances need a longer one to stay within ``REPORTS_PER_SECOND``.
         """
-        longest = REPORTS_PER_GRANT * instances / REPORTS_PER_SECOND
-        return max(self._settings.admission.grant_duration, longest)
+        min_lifetime = REPORTS_PER_GRANT * instance_count / REPORTS_PER_SECOND
+        return max(self._settings.admission.grant_duration, min_lifetime)
 
     def _record_fallback(self, report):
         if report.instance in self._expected:
@@ -154,12 +155,12 @@
             self._rotation += 1
         self._recount()
         wanted = {row.name: {} for row in self._rows}
-        for name, record in self._records.items():
+        for instance, record in self._records.items():
             if not passed(record.report_deadline):
                 for row, slots in record.wanted.items():
-                    wanted.get(row, {})[name] = slots
-        self._targets = {name: {} for name in self._records}
-        demand = {row: sum(parts.values()) for row, parts in wanted.items()}
+                    wanted.get(row, {})[instance] = slots
+        self._targets = {instance: {} for instance in self._records}
+        demand = {row: sum(by_instance.values()) for row, by_instance in wanted.items()}
         allocated = shares(self._rows, demand, self._capacity, self._rotation)
         for row, slots in allocated.items():
             self._add_targets(row, split_evenly(slots, wanted[row], self._rotation))
@@ -174,19 +175,21 @@
         ).items():
             # One slot for every instance first: a caller's first call at an instance
             # must not wait for a report's round trip.
-            ready = min(slots, len(self._targets))
+            first_slots = min(slots, len(self._targets))
             self._add_targets(
                 row,
-                split_evenly(ready, dict.fromkeys(self._targets, 1), self._rotation),
+                split_evenly(
+                    first_slots, dict.fromkeys(self._targets, 1), self._rotation
+                ),
             )
             recipients = wanted[row] or self._targets
-            more = slots - ready
+            rest = slots - first_slots
             self._add_targets(
-                row, split_evenly(more, dict.fromkeys(recipients, more), self._rotation)
+                row, split_evenly(rest, dict.fromkeys(recipients, rest), self._rotation)
             )
 
-    def _add_targets(self, row, parts):
-        for instance, slots in parts.items():
+    def _add_targets(self, row, by_instance):
+        for instance, slots in by_instance.items():
             if slots:
                 target = self._targets[instance]
                 target[row] = target.get(row, 0) + slots
@@ -195,10 +198,10 @@
         self._committed = SlotTotals()
         self._active = SlotTotals()
         self._fallback = SlotTotals()
-        for name, record in list(self._records.items()):
+        for instance, record in list(self._records.items()):
             record.recount()
             if record.is_empty:
-                del self._records[name]
+                del self._records[instance]
             else:
                 self._add_to_totals(record, +1)
 
@@ -227,10 +230,10 @@
         available = self._capacity - self._capacity_in_use.total
         available += sum(self._capacity_in_use_by(record).values())
         if reserved and not self._reclaims_capacity:
-            reserved_in_all = self._reserved(
+            reserved_total = self._reserved(
                 self._capacity // 2, *self._reported_fallback
             )
-            available -= min(sum(reserved.values()), reserved_in_all)
+            available -= min(sum(reserved.values()), reserved_total)
         free = {
             name: max(0, min(slots, self._remaining_limit(name, record, reserved)))
             for name, slots in target.items()
@@ -239,10 +242,10 @@
         if sum(free.values()) > available:
             rows = [row for row in self._rows if row.name in free]
             free = distribute(rows, free, max(0, available), self._rotation)
-        # A row without slots is granted zero if it may hold some: only grants in use
-        # carry the number that confirms the end of earlier ones.
-        held = dict.fromkeys([*record.committed, *record.wanted], 0)
-        return {**held, **free}
+        # A row that gets no slots but may hold or wants some is granted zero: only the
+        # grant of a row carries the number that confirms the end of earlier ones.
+        zeros = dict.fromkeys([*record.committed, *record.wanted], 0)
+        return {**zeros, **free}
 
     @property
     def _reclaims_capacity(self):
@@ -284,10 +287,10 @@
         return fallback
 
     def _remaining_fallback(self, record):
-        """Return the slots that half of the capacity leaves to this fallback.
+        """Return the slots that half of the capacity leaves to the record's fallback.
 
-        Bounded only under ``strict_capacity``: else trainers would take all of it, and
-        applications would be refused while the log is down.
+        Bounded only under ``strict_capacity``: else trainers would take all of that
+        half, and applications would be refused while the log is down.
         """
         if self._reclaims_capacity:
             return sum(self._limits.values())
@@ -305,9 +308,9 @@
         return {name: self._reserved(limit // 2, name) for name, limit in limits}
 
     def _reserved(self, half, *names):
-        """Return the fallback of the instances that have not reported since takeover.
+        """Return the most fallback of the instances without a report since takeover.
 
-        All together had at most ``half``; what the others reported is subtracted.
+        All instances together had at most ``half``; reported fallback is subtracted.
         """
         if not self._has_reserve:
             return 0
