--- a/sassafrasdoor/admission/queues.py
+++ b/sassafrasdoor/admission/queues.py
@@ -16,7 +16,7 @@
 from sassafrasdoor.outcomes import NotRun
 
 # Durations in seconds.
-DEMAND_HALF_LIFE = 3.0  # of the peak demand; a row with few calls keeps a slot
+DEMAND_HALF_LIFE = 3.0  # of the peak demand, so that rows with few calls keep a slot
 MIN_DEMAND = 0.25  # slots; below it a decayed peak counts as none
 MIN_RETRY_AFTER = 0.5
 MAX_RETRY_AFTER = 30.0
@@ -163,8 +163,8 @@
 
     def retry_after(self):
         """Return the seconds until a slot is expected to be free, with jitter."""
-        likely = min(MAX_RETRY_AFTER, max(MIN_RETRY_AFTER, self._expected_wait()))
-        return likely * random.uniform(1.0, 1.5)
+        base_delay = min(MAX_RETRY_AFTER, max(MIN_RETRY_AFTER, self._expected_wait()))
+        return base_delay * random.uniform(1.0, 1.5)
 
     def _new_permit(self):
         self.in_use += 1
@@ -179,8 +179,8 @@
             + self._mean_service_time
             > remaining(deadline),
         }
-        for reason, holds in reasons.items():
-            if holds:
+        for reason, applies in reasons.items():
+            if applies:
                 REFUSED.inc({"row": self.row.name, "reason": reason})
                 return NotRun(reason, self.retry_after())
         return None
@@ -273,7 +273,7 @@
 
 
 def _grant_status(grant):
-    """Return a grant, JSON-ready: None where there is none, below 0 s once lapsed."""
+    """Return a grant, JSON-ready: None if there is none, negative seconds if lapsed."""
     return {
         "granted": grant.slots if grant else None,
         "grant_number": grant.number if grant else 0,
